--- a/cyclamenlift/ledger/__init__.py
+++ b/cyclamenlift/ledger/__init__.py
@@ -1,4 +1,4 @@
-"""Claims: a non-idempotent operation with a key runs at most once."""
+"""Idempotency keys: a non-idempotent operation runs at most once."""
 
 from cyclamenlift.ledger.records import Attempt
 from cyclamenlift.ledger.records import ClaimKey
--- a/cyclamenlift/ledger/errands.py
+++ b/cyclamenlift/ledger/errands.py
@@ -1,4 +1,4 @@
-"""Messages that must reach whoever leads the control instances."""
+"""Client base class for requests that only the control leader answers."""
 
 import collections
 from collections.abc import Callable
@@ -14,10 +14,9 @@
 from cyclamenlift.wire.tasks import Link
 from cyclamenlift.wire.tasks import PeerNetwork
 
-# How long one instance may be silent before another one is asked, in
-# seconds.
+# Seconds without an answer before another instance is asked.
 SILENCE_SECONDS = 0.25
-# The wait between two questions once all instances were asked, in seconds;
+# Backoff in seconds between two attempts once all instances were asked;
 # doubled with each further round.
 SPACING_SECONDS = 0.05
 MAX_SPACING_SECONDS = 2.0
@@ -26,15 +25,16 @@
 
 @dataclasses.dataclass(slots=True)
 class Errand:
-    """One message that must reach the leader, and who was asked last.
-
-    ``deadline`` is the call's, ``give_up_at`` ends the asking. ``open_asks``
-    counts, for each instance, the times it was asked without proving that
-    it does not lead: each of them may have put the message into the log.
-    ``silent`` holds those who gave no answer, ``in_round`` those who were
-    asked since all were, and ``hinted`` is who was named as the leader.
-    ``was_taken`` says that it may be in the log since before it was an
-    errand.
+    """A request to the leader and the state of its attempts.
+
+    ``deadline`` is the call's deadline, ``give_up_at`` ends the attempts.
+    ``asked`` is the instance asked last. ``open_asks`` counts, for each
+    instance, the attempts after which it did not prove that it is not the
+    leader: each may have appended the message to the log. ``silent`` holds
+    the instances that timed out, ``in_round`` those asked in this round
+    over all instances, and ``hinted`` the one named as leader.
+    ``was_taken`` means that an earlier request may have appended the
+    message already.
     """
 
     message: object
@@ -54,17 +54,17 @@
     began_at: float = 0.0
 
     def maybe_taken(self) -> bool:
-        """Tell whether a leader may have put it into the log."""
+        """Return whether a leader may have appended it to the log."""
         return self.was_taken or any(self.open_asks.values())
 
 
 class LeaderErrands(BaseComponent):
-    """Asks one control instance after the other until one that leads answers.
+    """Sends requests to control instances in turn until the leader answers.
 
-    Another one is asked after a silence, a lost connection, or an answer of
-    one that does not lead. A message may so reach several instances: it must
-    be harmless to take it twice. ``give_up`` ends an errand whose time has
-    come.
+    The next instance is tried after a timeout, a lost connection, or an
+    answer of an instance that is not the leader. A message may therefore
+    reach several instances and must be idempotent. ``give_up`` ends a
+    request that has expired.
     """
 
     max_spacing_seconds = MAX_SPACING_SECONDS
@@ -95,7 +95,7 @@
         done: Callable,
         was_taken: bool = False,
     ) -> None:
-        """Number a message and ask the first instance."""
+        """Assign a request id and send to the first instance."""
         message.request_id = next(self.numbers)
         errand = Errand(
             message,
@@ -109,26 +109,26 @@
         self.ask(errand)
 
     def give_up(self, errand: Errand) -> None:
-        """End an errand without an answer."""
+        """End a request without an answer."""
         raise NotImplementedError
 
     def finish(self, errand: Errand, answer) -> None:
-        """End an errand and hand over its answer."""
+        """End a request and pass on its answer."""
         if errand.timer is not None:
             errand.timer.cancel()
         del self.errands[errand.message.request_id]
         errand.done(answer)
 
-    # -- asking -----------------------------------------------------------
+    # -- attempts ---------------------------------------------------------
 
     def now(self) -> float:
         return self.loop.scheduler.clock.now()
 
     def prepare(self, errand: Errand, now: float) -> None:
-        """Bring a message up to date before it is sent."""
+        """Update a message before it is sent."""
 
     def ask(self, errand: Errand) -> None:
-        """Send to the likeliest leader, and again if it stays silent."""
+        """Send to the most likely leader and set a timeout for the answer."""
         now = self.now()
         address = self.next_place(errand)
         if address is None or now >= errand.give_up_at:
@@ -142,7 +142,7 @@
             errand.open_asks[address] += 1
 
     def next_place(self, errand: Errand) -> Address | None:
-        """Return whom to ask: who was named as the leader, else in turn."""
+        """Return the instance to ask: the hinted leader, else the next one."""
         hinted, errand.hinted = errand.hinted, None
         if errand.in_round.issuperset(self.finder.control):
             errand.in_round.clear()
@@ -156,7 +156,7 @@
     def plan(
         self, errand: Errand, at: float, step: Callable[[Errand], None]
     ) -> None:
-        """Run ``step`` at an instant, in place of what was planned."""
+        """Schedule ``step``, replacing what was scheduled before."""
         if errand.timer is not None:
             errand.timer.cancel()
         if at >= errand.give_up_at:
@@ -164,14 +164,14 @@
         errand.timer = self.loop.scheduler.at(at, lambda: step(errand))
 
     def ask_next(self, errand: Errand) -> None:
-        """Ask another instance; after one round of all, with spacing."""
+        """Ask another instance, with backoff after the first round."""
         now = self.now()
         first_round = errand.hops <= len(self.finder.control)
         wait = 0.0 if first_round else self.spacing(errand.hops)
         self.plan(errand, now + wait, self.ask)
 
     def spacing(self, hops: int) -> float:
-        """Return the wait before the next question, longer each round."""
+        """Return the backoff before the next attempt, by round."""
         rounds = hops // max(1, len(self.finder.control))
         wait = SPACING_SECONDS * 2 ** min(rounds, MOST_DOUBLINGS)
         return min(self.max_spacing_seconds, wait)
@@ -186,10 +186,10 @@
     def on_not_leader(
         self, errand: Errand, link: Link, hinted: Address | None
     ) -> None:
-        """Follow the hint of an instance that does not lead.
+        """Follow the leader hint of an instance that is not the leader.
 
-        Not one to somebody who has been silent: those who do not lead go on
-        naming a leader that is gone until they have another one.
+        A hint to an instance that timed out is ignored: followers name a
+        lost leader until another one is elected.
         """
         if errand.open_asks[link.address] > 0:
             errand.open_asks[link.address] -= 1
@@ -202,13 +202,13 @@
         self.ask_next(errand)
 
     def on_lost_leader(self, errand: Errand, link: Link) -> None:
-        """Ask on: the instance led no majority when it answered."""
+        """Ask another instance: this one had no quorum when it answered."""
         if link.address == errand.asked:
             self.finder.note_silent(link.address)
             self.ask_next(errand)
 
     def on_link_lost(self, link: Link) -> None:
-        """Ask others at once for what was asked over a lost connection."""
+        """Retry at once what was sent over a lost connection."""
         if link.address is None:
             return
         self.finder.note_silent(link.address)
@@ -219,6 +219,6 @@
                 self.ask_next(errand)
 
     def learn_name(self, link: Link) -> None:
-        """Remember where the instance that answers over ``link`` is."""
+        """Record the address of the instance that answers on ``link``."""
         if link.hello is not None and link.address is not None:
             self.finder.note_name(link.hello.instance, link.address)
--- a/cyclamenlift/ledger/finder.py
+++ b/cyclamenlift/ledger/finder.py
@@ -1,4 +1,4 @@
-"""Which control instance to ask next: pure state, no sockets."""
+"""Selection of the control instance to ask next; performs no I/O."""
 
 from collections.abc import Callable
 from collections.abc import Collection
@@ -8,10 +8,11 @@
 
 
 class LeaderFinder:
-    """Remembers who led last and whom a hint may mean.
+    """Tracks the last known leader and the addresses of instances.
 
-    A hint is the name of an instance; names are learned from the greetings
-    of its connections. Hints are only hints: whoever is asked decides.
+    A leader hint is an instance name; names are learned from the hello
+    messages of connections. Hints may be outdated: the instance that is
+    asked decides whether it is the leader.
     """
 
     def __init__(self, control: list[Address], rng: random.Random):
@@ -21,17 +22,17 @@
         self.leader: Address | None = None
 
     def note_name(self, name: str, address: Address) -> None:
-        """Remember where the instance called ``name`` is."""
+        """Record the address of the instance called ``name``."""
         self.names[name] = address
 
     def note_leader(self, address: Address) -> None:
-        """Remember that ``address`` answered as leader."""
+        """Record that ``address`` answered as leader."""
         self.leader = address
 
     def note_control(self, address: Address, live: bool) -> None:
-        """Learn of a control instance, or that one is gone.
+        """Add or remove a control instance.
 
-        The last one stays: there must be somebody to ask.
+        The last one is kept, so that there is always one to ask.
         """
         if live:
             if address not in self.control:
@@ -40,19 +41,19 @@
             self.note_other(address)
 
     def note_other(self, address: Address) -> None:
-        """Learn that an address is not one of a control instance."""
+        """Remove an address that is not one of a control instance."""
         if address in self.control:
             self.control.remove(address)
             self.note_silent(address)
 
     def place_of(self, hint: str) -> Address | None:
-        """Return where an instance is that a hint names, if known."""
+        """Return the address of the hinted instance, None if unknown."""
         return self.names.get(hint)
 
     def note_refused(self, address: Address, hinted: Address | None) -> None:
-        """Forget a leader that is none, and take up its hint.
+        """Drop an instance that is not the leader and use its hint.
 
-        A hint to the very instance that gave it is none.
+        A hint of an instance to itself is ignored.
         """
         if self.leader == address:
             self.leader = None
@@ -60,7 +61,7 @@
             self.leader = hinted
 
     def note_silent(self, address: Address) -> None:
-        """Forget a leader that gave no answer."""
+        """Drop a leader that did not answer."""
         if self.leader == address:
             self.leader = None
 
@@ -70,12 +71,12 @@
         is_up: Callable[[Address], bool] = lambda address: True,
         in_round: Collection[Address] = (),
     ) -> Address | None:
-        """Return whom to ask: the last leader, else the next in the list.
+        """Return the instance to ask: the last leader, else the next one.
 
-        After ``tried`` comes the one behind it in the list, so that every
-        instance is reached; a first question goes to any. Of those who were
-        not asked ``in_round``, the ones whose connection is up come first:
-        the others may be dark, also the last leader.
+        After ``tried`` comes the next one in the list, so that every
+        instance is reached; the first attempt starts at a random one. Among
+        those not yet in ``in_round``, instances with an open connection are
+        preferred: the others, including the last leader, may be unreachable.
         """
         if self.leader not in (None, tried):
             if is_up(self.leader) or not any(map(is_up, self.control)):
--- a/cyclamenlift/ledger/messages.py
+++ b/cyclamenlift/ledger/messages.py
@@ -1,4 +1,4 @@
-"""Between the thrift messages of the wire and the ledger's data classes."""
+"""Conversion between thrift messages and the ledger's data classes."""
 
 from cyclamenlift.core.codes import ResultCode
 from cyclamenlift.ledger.records import AnswerRecord
@@ -22,15 +22,15 @@
 def apply_claim(
     ledger: Ledger, request: ClaimRequest, event_ends_ms: int
 ) -> ClaimAnswer:
-    """Run one claim of the log against the ledger."""
+    """Apply a committed claim to the ledger."""
     outcome = ledger.claim(attempt_of(request), event_ends_ms)
     return answer_of(outcome, request.request_id or 0)
 
 
 def apply_claim_end(ledger: Ledger, ending: ClaimEnd) -> ClaimEndAnswer:
-    """Run the end of one attempt against the ledger.
+    """Apply the committed end of an attempt to the ledger.
 
-    Raises ValueError when the message names no ending.
+    Raises ValueError if the message has no valid ending.
     """
     committed = ledger.end(
         ClaimKey(ending.service_name or '', ending.key or ''),
@@ -42,7 +42,7 @@
 
 
 def attempt_of(request: ClaimRequest) -> Attempt:
-    """Return the attempt; a field that is missing becomes an empty one."""
+    """Return the attempt of a request; missing fields become empty."""
     return Attempt(
         service_name=request.service_name or '',
         key=request.key or '',
@@ -54,7 +54,7 @@
 
 
 def answer_of(outcome: ClaimOutcome, request_id: int) -> ClaimAnswer:
-    """Return the wire form of the ledger's decision."""
+    """Return the wire form of a ledger outcome."""
     return ClaimAnswer(
         request_id=request_id,
         verdict=ClaimVerdict(outcome.verdict),
@@ -87,10 +87,10 @@
 
 
 def limit_record(ending: ClaimEnd, limit: int) -> None:
-    """Leave out a body over ``limit`` bytes, before it enters the log.
+    """Drop a body of more than ``limit`` bytes before it is proposed.
 
-    The limit is a setting, and settings may differ between instances; the
-    ledger itself must not depend on one.
+    The limit is a setting and may differ between instances, so the ledger
+    itself must not depend on it.
     """
     answer = ending.answer
     if answer is not None and len(answer.body or b'') > limit:
@@ -99,7 +99,7 @@
 
 
 def no_majority(request_id: int, leader: str = '') -> ClaimAnswer:
-    """Return the answer when no majority could be asked."""
+    """Return the answer for an unreachable majority."""
     return ClaimAnswer(
         request_id=request_id,
         verdict=ClaimVerdict.NO_MAJORITY,
@@ -110,7 +110,7 @@
 
 
 def not_leader(request_id: int, leader: str) -> ClaimAnswer:
-    """Return the answer of an instance that does not lead."""
+    """Return the answer of an instance that is not the leader."""
     return ClaimAnswer(
         request_id=request_id,
         verdict=ClaimVerdict.NOT_LEADER,
@@ -121,7 +121,7 @@
 
 
 def ledger_full(request_id: int) -> ClaimAnswer:
-    """Return the refusal when too many keys are held."""
+    """Return the refusal for a ledger that holds too many keys."""
     return ClaimAnswer(
         request_id=request_id,
         verdict=ClaimVerdict.REFUSED,
--- a/cyclamenlift/ledger/records.py
+++ b/cyclamenlift/ledger/records.py
@@ -1,4 +1,4 @@
-"""What the ledger holds and answers: data classes without decisions."""
+"""Data classes of the ledger's state and outcomes."""
 
 import dataclasses
 import enum
@@ -14,7 +14,7 @@
 
 
 class ClaimState(enum.IntEnum):
-    """What is known of the one attempt that holds a key."""
+    """State of the attempt that holds a key."""
 
     OPEN = 0
     ANSWERED = 1
@@ -22,7 +22,7 @@
 
 
 class Verdict(enum.IntEnum):
-    """The answer to an attempt; the numbers are those of the wire file."""
+    """Result of a claim; the values equal those of the thrift enum."""
 
     GRANTED = 0
     IN_PROGRESS = 1
@@ -32,7 +32,7 @@
 
 
 class Ending(enum.IntEnum):
-    """How an attempt ended; the numbers are those of the wire file."""
+    """How an attempt ended; the values equal those of the thrift enum."""
 
     RELEASED = 0
     ANSWERED = 1
@@ -40,10 +40,10 @@
 
 
 class ClaimKey(NamedTuple):
-    """Identity of an operation: the service's name and the caller's key.
+    """Identity of an operation: the service name and the caller's key.
 
-    The deadline of the key is no part of it: an attempt that sends another
-    deadline for a key that is held must not run a second time.
+    The key's deadline is not part of it: an attempt that sends another
+    deadline for a held key must not run a second time.
     """
 
     service_name: str
@@ -52,7 +52,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AnswerRecord:
-    """The recorded answer; ``body_kept`` False means: body was too large."""
+    """A recorded answer; ``body_kept`` is False if it was too large."""
 
     __pydantic_config__: ClassVar = BYTES_AS_BASE64
     status: int
@@ -63,10 +63,10 @@
 
 @dataclasses.dataclass(slots=True)
 class Claim:
-    """One held key. Instants are in ledger time, milliseconds.
+    """A held key. Times are ledger time in milliseconds.
 
-    ``encoded`` keeps its JSON between two snapshots; whoever changes a
-    claim calls ``touch``.
+    ``encoded`` caches the JSON between two snapshots; call ``touch`` after
+    every change of a claim.
     """
 
     __pydantic_config__: ClassVar = BYTES_AS_BASE64
@@ -82,7 +82,7 @@
     encoded: Annotated[bytes | None, pydantic.Field(exclude=True)] = None
 
     def touch(self) -> None:
-        """Say that the claim has changed since it was encoded."""
+        """Invalidate the cached encoding after a change."""
         self.encoded = None
 
     def identity(self) -> ClaimKey:
@@ -91,10 +91,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReleasedAttempt:
-    """An attempt that proved it ran nothing, kept for a minute.
+    """An attempt known not to have run, kept for a minute.
 
-    Its claim may still travel; without this it would take the key again
-    with nobody left to end it.
+    A delayed copy of its claim may still arrive; without this record it
+    would take the key again, and nothing would ever end that claim.
     """
 
     service_name: str
@@ -108,7 +108,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Attempt:
-    """One request for a claim. ``key_expires_ms`` 0: to the event's end."""
+    """A claim request; ``key_expires_ms`` 0 stands for the event's end."""
 
     service_name: str
     key: str
@@ -120,7 +120,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimOutcome:
-    """The answer to an attempt."""
+    """The ledger's answer to an attempt."""
 
     verdict: Verdict
     code: int = 0
@@ -130,7 +130,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LedgerSnapshot:
-    """Everything that a restarted instance needs of the ledger."""
+    """The serialized state of the ledger."""
 
     time_ms: int
     claims: list[Claim]
--- a/cyclamenlift/ledger/server.py
+++ b/cyclamenlift/ledger/server.py
@@ -1,4 +1,4 @@
-"""The ledger's server on a control instance: frames in, proposals out."""
+"""The claim server of a control instance."""
 
 import collections
 from collections.abc import Callable
@@ -33,10 +33,10 @@
 
 
 class ClaimServer:
-    """Proposes claims and their ends while this instance leads.
+    """Proposes claims and their ends while this instance is the leader.
 
-    What depends on settings is decided here, before the log: how many keys
-    may be held and how much of an answer is recorded.
+    Limits that depend on settings are applied here, before the log: the
+    number of held keys and the size of recorded answers.
     """
 
     def __init__(
@@ -64,7 +64,7 @@
         return self.replica.leader == self.instance
 
     def is_full(self, request: ClaimRequest) -> bool:
-        """Tell whether a new key has no room."""
+        """Return whether the request's key is new and the ledger is full."""
         if len(self.ledger) < self.max_claims:
             return False
         return not self.ledger.holds(request.service_name, request.key)
@@ -99,10 +99,10 @@
     def claim_answer(
         self, result: Result[bytes, Problem], number: int
     ) -> ClaimAnswer:
-        """Return the ledger's answer, or why there is none.
+        """Return the ledger's answer, or an answer for the failure.
 
-        NOT_LEADER proves that the claim did not enter the log. After any
-        other failure it may still be granted, which NO_MAJORITY leaves open.
+        NOT_LEADER guarantees that the claim was not appended. After any
+        other failure it may still be granted, which NO_MAJORITY allows for.
         """
         if failed_with(result, ResultCode.NOT_LEADER):
             return not_leader(number, self.hint())
@@ -130,8 +130,8 @@
     ) -> ClaimEndAnswer:
         """Return the ledger's answer.
 
-        The own name as leader marks it as decided; without it the sender
-        asks on.
+        This instance's name as leader marks it as decided; otherwise the
+        sender retries.
         """
         answer = decode_success(ClaimEndAnswer, result)
         if answer is None:
@@ -157,12 +157,12 @@
 
 
 def failed_with(result: Result[bytes, Problem], code: ResultCode) -> bool:
-    """Tell whether the result is the failure ``code``."""
+    """Return whether the result is a failure with ``code``."""
     return isinstance(result, Failure) and result.failure().code == code
 
 
 def decode_success(kind, result: Result[bytes, Problem]):
-    """Return the decoded answer, None after a failure or a bad command."""
+    """Decode a successful answer; return None if there is none."""
     if not isinstance(result, Success):
         return None
     data = result.unwrap()
--- a/cyclamenlift/ledger/state.py
+++ b/cyclamenlift/ledger/state.py
@@ -1,11 +1,12 @@
-"""The ledger of claims: at most one run for each key, a pure state machine.
+"""The claim ledger: a deterministic state machine, one run for each key.
 
-Every control instance applies the same log, so every decision here depends
-on the log alone: no settings, no local clock. Ledger time is the largest
-stamp applied so far; it never falls, whichever leader wrote the stamps.
+Every control instance applies the same log, so every decision depends on
+the log alone and not on settings or the local clock. Ledger time is the
+largest time stamp applied so far; it never decreases, whichever leader wrote
+the stamps.
 
-A claim is forgotten only after its key's deadline by ledger time, and a key
-whose deadline has passed is never granted, so forgetting can not bring a
+A claim is removed only after its key's deadline by ledger time, and a key
+whose deadline has passed is never granted, so removal cannot lead to a
 second run.
 """
 
@@ -42,7 +43,7 @@
 
 
 class Ledger:
-    """Grants each key to one attempt and remembers how it ended."""
+    """Grants each key to one attempt and records how it ended."""
 
     def __init__(self) -> None:
         self.time_ms = 0
@@ -54,13 +55,13 @@
     # -- commands ---------------------------------------------------------
 
     def advance(self, stamp_unix_ms: int) -> None:
-        """Move ledger time forward and forget what is due."""
+        """Advance ledger time and remove expired claims."""
         if stamp_unix_ms > self.time_ms:
             self.time_ms = stamp_unix_ms
             self.forget_due()
 
     def claim(self, attempt: Attempt, event_ends_ms: int) -> ClaimOutcome:
-        """Decide on one attempt; the event's end is 0 without a document."""
+        """Process an attempt; ``event_ends_ms`` is 0 without a document."""
         if not self.well_formed(attempt):
             return refused(ResultCode.BAD_REQUEST)
         held = self.claims.get(ClaimKey(attempt.service_name, attempt.key))
@@ -83,10 +84,10 @@
         ending: Ending,
         answer: AnswerRecord | None = None,
     ) -> bool:
-        """End an attempt; True when this ending is now in effect.
+        """End an attempt; return whether this ending is now in effect.
 
-        Only the attempt that holds the key may end it, and an attempt that
-        has ended never turns into a released one.
+        Only the attempt that holds the key may end the claim, and an ended
+        attempt is never released.
         """
         held = self.claims.get(identity)
         holds = held is not None and held.attempt_id == attempt_id
@@ -102,7 +103,7 @@
         return True
 
     def grant(self, attempt: Attempt, expires_ms: int) -> None:
-        """Give a free key to ``attempt``."""
+        """Grant an unclaimed key to ``attempt``."""
         claim = Claim(
             attempt.service_name,
             attempt.key,
@@ -120,7 +121,7 @@
     def claim_held(
         self, held: Claim, attempt: Attempt, event_ends_ms: int
     ) -> ClaimOutcome:
-        """Answer an attempt for a key that is held; never a second run."""
+        """Answer an attempt for a held key, without a second run."""
         if held.fingerprint != attempt.fingerprint:
             return refused(ResultCode.KEY_REUSED)
         self.extend(held, attempt.key_expires_ms, event_ends_ms)
@@ -137,7 +138,7 @@
         )
 
     def extend(self, held: Claim, expires_ms: int, event_ends_ms: int) -> None:
-        """Keep a key until the latest deadline that it was sent with."""
+        """Extend a claim to the latest deadline sent for its key."""
         later = expires_ms or event_ends_ms
         if held.retained or later <= held.expires_ms:
             return
@@ -149,7 +150,7 @@
     def release(
         self, identity: ClaimKey, attempt_id: str, held: Claim | None
     ) -> bool:
-        """Free the key that ``held`` holds for the attempt, if any."""
+        """Release the attempt and the claim that it holds, if any."""
         if held is not None and held.state is not ClaimState.OPEN:
             return False
         if held is not None:
@@ -163,21 +164,21 @@
         return True
 
     def record(self, held: Claim, answer: AnswerRecord | None) -> bool:
-        """Keep the first answer of the attempt that holds the key."""
+        """Record the first answer of the attempt that holds the key."""
         if held.state is not ClaimState.ANSWERED:
             held.state = ClaimState.ANSWERED
             held.answer = answer
             held.touch()
         return True
 
-    # -- forgetting -------------------------------------------------------
+    # -- expiry -----------------------------------------------------------
 
     def forget_due(self) -> None:
-        """Forget by ledger time: claims, then attempts that were released.
+        """Remove claims and released attempts that have expired.
 
-        Past its deadline a claim is retained for another day, as far as
-        there is room: a key without a deadline of its own that is sent
-        again under the next event is then still known.
+        After its deadline a claim is retained for another day, within a
+        limit on their number, so that a key without a deadline of its own
+        that is sent again during the next event is still known.
         """
         while self.expiry and self.expiry[0][0] <= self.time_ms:
             expires_ms, identity = heapq.heappop(self.expiry)
@@ -203,14 +204,14 @@
         return oldest.expires_ms + RETAINED_MS <= self.time_ms
 
     def drop(self, claim: Claim) -> None:
-        """Take one claim out; its entry in the heap is skipped later."""
+        """Remove a claim; its heap entry is skipped later."""
         identity = claim.identity()
         del self.claims[identity]
         if claim.retained:
             self.retained.remove(identity)
 
     def rebuild_expiry(self) -> None:
-        """Rid the heap of entries whose claims were released."""
+        """Rebuild the heap without the entries of removed claims."""
         self.expiry = [
             (claim.expires_ms, identity)
             for identity, claim in self.claims.items()
@@ -221,7 +222,7 @@
     # -- queries ----------------------------------------------------------
 
     def well_formed(self, attempt: Attempt) -> bool:
-        """Tell whether the attempt names what it is for, within limits."""
+        """Return whether required fields are set and within limits."""
         return (
             0 < len(attempt.service_name) <= MAX_NAME_LENGTH
             and 0 < len(attempt.key) <= MAX_KEY_LENGTH
@@ -231,7 +232,7 @@
         )
 
     def in_horizon(self, expires_ms: int, event_ends_ms: int) -> bool:
-        """Tell whether a key with this deadline may be granted now."""
+        """Return whether a key with this deadline may be granted now."""
         latest_ms = event_ends_ms + HORIZON_MS
         return self.time_ms < expires_ms <= latest_ms
 
@@ -240,20 +241,20 @@
         return identity in self.released
 
     def holds(self, service_name: str, key: str) -> bool:
-        """Tell whether the key is held now."""
+        """Return whether the key is held."""
         return ClaimKey(service_name, key) in self.claims
 
     def __len__(self) -> int:
-        """Return the number of keys held."""
+        """Return the number of held keys."""
         return len(self.claims)
 
     # -- snapshots --------------------------------------------------------
 
     def encode(self) -> bytes:
-        """Return the whole state as the JSON of a ``LedgerSnapshot``.
+        """Return the state as the JSON of a ``LedgerSnapshot``.
 
-        Only claims that changed since the last time are encoded anew:
-        this runs on the event loop, with all keys that are held.
+        Only claims changed since the last call are encoded again: this runs
+        on the event loop and covers all held keys.
         """
         self.encode_changed()
         claims = b','.join([c.encoded for c in self.claims.values()])
@@ -265,13 +266,13 @@
         )
 
     def encode_changed(self) -> None:
-        """Encode each claim that changed since it was encoded."""
+        """Encode the claims whose cached encoding is invalid."""
         for claim in self.claims.values():
             if claim.encoded is None:
                 claim.encoded = CLAIM.dump_json(claim)
 
     def restore(self, state: LedgerSnapshot) -> None:
-        """Replace the state with a decoded one."""
+        """Replace the state with that of a snapshot."""
         self.time_ms = state.time_ms
         self.claims = {c.identity(): c for c in state.claims}
         self.encode_changed()
@@ -283,12 +284,12 @@
 
 
 def refused(code: ResultCode) -> ClaimOutcome:
-    """Return a refusal: this attempt was not run and holds nothing."""
+    """Return a refusal; the attempt did not run and holds no key."""
     return ClaimOutcome(Verdict.REFUSED, int(code))
 
 
 def recorded(answer: AnswerRecord | None) -> ClaimOutcome:
-    """Return the recorded answer, or that its body was too large to keep."""
+    """Return the recorded answer; the code tells if its body was dropped."""
     if answer is None or not answer.body_kept:
         code = ResultCode.RECORD_TOO_LARGE
     else:
--- a/cyclamenlift/ledger/tasks.py
+++ b/cyclamenlift/ledger/tasks.py
@@ -1,4 +1,4 @@
-"""The ledger's client: claims and their ends, sent to whoever leads."""
+"""The claim client, which sends claims and their ends to the leader."""
 
 from collections.abc import Callable
 import random
@@ -29,14 +29,13 @@
 
 
 class ClaimClient(LeaderErrands):
-    """Asks the control instances for claims on behalf of one daemon.
-
-    An attempt is sent again with the same attempt id, which the ledger
-    answers with the same grant. When no majority is found within
-    ``patience_seconds`` the answer is NO_MAJORITY; a claim that may have
-    been taken nevertheless is then released. If the release is lost too,
-    the key stays taken: later attempts learn that the outcome is unknown,
-    and none runs.
+    """Requests claims from the control instances on behalf of a daemon.
+
+    An attempt is retried with the same attempt id, which the ledger answers
+    with the same grant. If no majority answers within ``patience_seconds``,
+    the answer is NO_MAJORITY, and a claim that may have been granted
+    nevertheless is released. If the release is lost too, the key stays
+    held: later attempts get an unknown outcome and none of them runs.
     """
 
     channel = 'claims'
@@ -64,10 +63,10 @@
         deadline: float,
         done: Callable[[ClaimAnswer], None],
     ) -> None:
-        """Ask for a claim; ``done`` runs once, by ``deadline`` at latest.
+        """Request a claim; ``done`` is called once, by ``deadline``.
 
-        The attempt id must be fresh for each call. The request's number
-        and time left are filled in here.
+        The attempt id must be unique for each call. The request id and the
+        time left are filled in here.
         """
         patience_ends = self.now() + self.patience_seconds
         self.begin(request, deadline, min(deadline, patience_ends), done)
@@ -78,23 +77,23 @@
         deadline: float,
         done: Callable[[bool], None],
     ) -> None:
-        """Report the end of an attempt until a majority holds it.
+        """Report the end of an attempt until it is committed.
 
-        ``done`` gets False when the deadline came first, or when another
-        ending of this attempt stands already.
+        ``done`` gets False if the deadline passed first, or if another
+        ending of this attempt is already recorded.
         """
         self.begin(ending, deadline, deadline, done)
 
-    # -- asking -----------------------------------------------------------
+    # -- attempts ---------------------------------------------------------
 
     def prepare(self, errand: Errand, now: float) -> None:
-        """Tell how much time the call has left."""
+        """Fill in the time that the call has left."""
         if is_claim(errand):
             left = max(0.0, errand.deadline - now)
             errand.message.time_left_ms = int(left * MILLISECONDS)
 
     def give_up(self, errand: Errand) -> None:
-        """End without an answer; free what may have been taken."""
+        """End without an answer and release a claim that may be granted."""
         if not is_claim(errand):
             self.finish(errand, False)
             return
@@ -103,9 +102,10 @@
             self.release(errand.message)
 
     def release(self, request: ClaimRequest) -> None:
-        """Free a claim that nobody will use.
+        """Release a claim that will not be used.
 
-        Releases are limited in number: an outage must not grow a backlog.
+        The number of pending releases is limited, so that no backlog grows
+        during an outage.
         """
         if self.releases >= MAX_RELEASES:
             return
@@ -142,7 +142,7 @@
     def on_decision(
         self, errand: Errand, link: Link, answer: ClaimAnswer
     ) -> None:
-        """Hand over what the ledger decided, unless it comes too late."""
+        """Pass on the ledger's decision, unless it is too late."""
         if link.address is not None:
             self.finder.note_leader(link.address)
         if self.now() >= errand.give_up_at:
@@ -150,8 +150,8 @@
             return
         self.finish(errand, answer)
         if answer.code == ResultCode.LEDGER_FULL and errand.hops > 1:
-            # This answer comes from outside the log: an earlier question
-            # may still be granted.
+            # This refusal was not made by the ledger itself: an earlier
+            # attempt may still be granted.
             self.release(errand.message)
 
     def on_end_answer(self, link: Link, answer: ClaimEndAnswer) -> None:
@@ -170,11 +170,11 @@
         self.refused(errand, link, answer.leader)
 
     def refused(self, errand: Errand, link: Link, hint: str) -> None:
-        """Ask on: the instance does not lead, and may know who does."""
+        """Ask the next instance, following a leader hint if there is one."""
         hinted = self.finder.place_of(hint or '')
         self.on_not_leader(errand, link, hinted)
 
 
 def is_claim(errand: Errand) -> bool:
-    """Tell a claim from the end of one."""
+    """Return whether the request is a claim, not the end of one."""
     return isinstance(errand.message, ClaimRequest)
--- a/cyclamenlift/replication/__init__.py
+++ b/cyclamenlift/replication/__init__.py
@@ -1,4 +1,4 @@
-"""The replicated log: what a majority of control instances has synced."""
+"""The replicated log (Raft) of the control instances."""
 
 from cyclamenlift.replication.machine import StateMachine
 from cyclamenlift.replication.queries import InstanceStatus
--- a/cyclamenlift/replication/commands.py
+++ b/cyclamenlift/replication/commands.py
@@ -1,4 +1,4 @@
-"""Commands to a leader: append a batch, replace a lost storage."""
+"""Leader commands: append a batch, replace the storage of a voter."""
 
 from returns.result import Failure
 from returns.result import Result
@@ -32,28 +32,28 @@
 def check_replacement(
     state: ReplicaState, instance: str, storage_id: str
 ) -> str:
-    """Return why a storage can not be replaced now, '' if it can."""
+    """Return why a storage cannot be replaced now, '' if it can."""
     latest = state.voters.latest
     progress = state.leadership.progress.get(instance)
     if state.commit_index < state.leadership.start_index:
         return 'the leader has not committed an entry of its term yet'
     if state.voters.change_pending(state.commit_index):
-        return 'another replacement is under way'
+        return 'another configuration change is in progress'
     if instance not in latest.storage_ids:
-        return f'{instance!r} is no control instance'
+        return f'{instance!r} is not a voter'
     if progress is None:
-        return f'{instance!r} leads; its storage is in use'
+        return f'{instance!r} is the leader and its storage is in use'
     if progress.storage_id != storage_id:
-        return f'{instance!r} last answered with {progress.storage_id!r}'
+        return f'{instance!r} last reported storage {progress.storage_id!r}'
     return ''
 
 
 def replace_storage(
     state: ReplicaState, instance: str, storage_id: str, now: float
 ) -> Result[int, Problem]:
-    """Append the change that lets a new storage count (leader only).
+    """Append the change that makes a new storage a voter (leader only).
 
-    Return the index of its entry, 0 when the storage counts already.
+    Return the index of its entry, 0 if the storage is a voter already.
     """
     if state.voters.names_storage(instance, storage_id):
         return Success(0)
--- a/cyclamenlift/replication/commits.py
+++ b/cyclamenlift/replication/commits.py
@@ -1,4 +1,4 @@
-"""When an entry is committed, and what follows from it."""
+"""Committing entries and taking snapshots of committed state."""
 
 from cyclamenlift.replication.effects import Apply
 from cyclamenlift.replication.effects import PersistSnapshot
@@ -10,16 +10,16 @@
 
 
 def may_commit(state: ReplicaState, index: int) -> bool:
-    """Tell whether counting copies of this entry proves anything.
+    """Return whether a quorum of copies of this entry commits it.
 
-    Only an entry of the leader's own term is committed by its copies; an
-    older one may be on a majority and still be replaced.
+    Only entries of the leader's own term are committed by counting copies;
+    an older entry may be on a majority and still be overwritten.
     """
     return state.log.term_at(index) == state.term
 
 
 def holders(state: ReplicaState, index: int) -> dict[str, str]:
-    """Return the instances, with storage, that have synced ``index``."""
+    """Map the instances that have synced ``index`` to their storage ids."""
     found = {
         name: progress.storage_id
         for name, progress in state.leadership.progress.items()
@@ -31,7 +31,7 @@
 
 
 def advance_commit(state: ReplicaState) -> None:
-    """Commit the newest entry that a quorum has synced (leader only)."""
+    """Commit up to the newest entry synced by a quorum (leader only)."""
     indexes = {p.match_index for p in state.leadership.progress.values()}
     indexes.add(state.log.durable_index)
     for index in sorted(indexes, reverse=True):
@@ -46,14 +46,14 @@
 
 
 def finish_replacement(state: ReplicaState) -> None:
-    """Once a changed configuration is committed, append the final one."""
+    """Append the final configuration once the joint one is committed."""
     latest = state.voters.latest
     if not latest.final and latest.index <= state.commit_index:
         state.append_configuration(latest.finished())
 
 
 def commit_to(state: ReplicaState, index: int) -> None:
-    """Let the machine run what is now committed."""
+    """Apply the entries up to ``index`` and take a snapshot when due."""
     entries = state.log.between(state.commit_index, index)
     state.commit_index = index
     state.outbox.add(Apply(tuple(entries)))
@@ -63,11 +63,11 @@
 
 
 def snapshot_taken(state: ReplicaState, index: int, data: bytes) -> None:
-    """Write the machine's state at ``index``.
+    """Persist the state machine's state at ``index``.
 
-    What a snapshot covers is committed, so its configuration is final.
+    Everything in a snapshot is committed, so its configuration is final.
 
-    Call it while the effect ``TakeSnapshot`` is handled: nothing later
+    Call this while handling the ``TakeSnapshot`` effect: no later entry
     may have been applied.
     """
     if state.snapshot_writes or index <= state.log.base_index:
@@ -86,10 +86,10 @@
 
 
 def snapshots_synced(state: ReplicaState, ticket: int) -> None:
-    """Shorten the log in memory once a snapshot is synced.
+    """Compact the in-memory log after a snapshot is synced.
 
-    A part of it stays, so that an instance that is a little behind needs
-    no whole snapshot.
+    Some covered entries are kept, so that an instance that lags slightly
+    behind does not need a full snapshot.
     """
     for written in [t for t in state.snapshot_writes if t <= ticket]:
         snapshot = state.snapshot_writes.pop(written)
--- a/cyclamenlift/replication/effects.py
+++ b/cyclamenlift/replication/effects.py
@@ -1,4 +1,4 @@
-"""What the decisions ask for, in the order it must be done."""
+"""Effects: side effects requested by the protocol logic, in order."""
 
 from collections import deque
 import dataclasses
@@ -17,7 +17,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PersistTerm:
-    """Write the term and the vote in it."""
+    """Persist the current term and the vote in it."""
 
     ticket: int
     term: int
@@ -26,7 +26,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PersistEntries:
-    """Write entries; the first one cuts what stood from its index on."""
+    """Persist entries, overwriting the log from the first one's index on."""
 
     ticket: int
     entries: tuple[LogEntry, ...]
@@ -34,7 +34,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PersistSnapshot:
-    """Write a snapshot; ``keep_log`` says that later entries stay."""
+    """Persist a snapshot; with ``keep_log`` later log entries are kept."""
 
     ticket: int
     snapshot: Snapshot
@@ -43,28 +43,28 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Apply:
-    """Run these committed entries on the machine."""
+    """Apply these committed entries to the state machine."""
 
     entries: tuple[LogEntry, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TakeSnapshot:
-    """Ask the machine for its state, which stands at ``index``."""
+    """Take a snapshot of the state machine, which has applied ``index``."""
 
     index: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RestoreMachine:
-    """Replace the machine's state with that of a snapshot."""
+    """Restore the state machine from a snapshot."""
 
     snapshot: Snapshot
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReadReady:
-    """A read was confirmed; what is applied up to ``index`` is current."""
+    """A read is confirmed: the state applied up to ``index`` is current."""
 
     token: int
     index: int
@@ -72,17 +72,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LeadershipLost:
-    """The replica stopped leading: fail what is waiting."""
+    """The replica is no longer leader: fail all pending operations."""
 
 
 Persist = PersistTerm | PersistEntries | PersistSnapshot
 
 
 class Outbox:
-    """Collects effects and holds back messages that must wait for a sync.
+    """Collects effects and delays messages that require a sync first.
 
-    Each write has a ticket; writes are made in the order of their tickets,
-    so one synced ticket vouches for all before it.
+    Each write has a ticket. Writes are made in ticket order, so a synced
+    ticket implies that all earlier ones are synced.
     """
 
     def __init__(self):
@@ -93,7 +93,7 @@
 
     @property
     def is_synced(self) -> bool:
-        """Tell whether no write is under way."""
+        """Return whether no write is pending."""
         return self.synced_ticket == self.last_ticket
 
     def next_ticket(self) -> int:
@@ -104,24 +104,24 @@
         self.effects.append(effect)
 
     def send(self, to: str, message) -> None:
-        """Send at once."""
+        """Send without waiting for a sync."""
         self.effects.append(Send(to, message))
 
     def send_synced(self, to: str, message) -> None:
-        """Send once everything written so far is synced."""
+        """Send after all writes issued so far are synced."""
         if self.is_synced:
             self.send(to, message)
             return
         self.held.append((self.last_ticket, Send(to, message)))
 
     def synced(self, ticket: int) -> None:
-        """Release what waited for ``ticket``."""
+        """Send the messages that waited for writes up to ``ticket``."""
         self.synced_ticket = max(self.synced_ticket, ticket)
         while self.held and self.held[0][0] <= self.synced_ticket:
             self.effects.append(self.held.popleft()[1])
 
     def take(self) -> list:
-        """Return the effects collected so far and forget them."""
+        """Return and clear the collected effects."""
         effects = self.effects
         self.effects = []
         return effects
--- a/cyclamenlift/replication/elections.py
+++ b/cyclamenlift/replication/elections.py
@@ -1,4 +1,4 @@
-"""Elections: a pre-vote that changes nothing, then votes that are synced."""
+"""Leader election: a pre-vote without side effects, then a durable vote."""
 
 from cyclamenlift.replication.leading import start_leading
 from cyclamenlift.replication.queries import Role
@@ -10,7 +10,7 @@
 
 
 def tick_election(state: ReplicaState, now: float) -> None:
-    """Ask for votes once no leader was heard until the deadline."""
+    """Start a pre-vote when the election deadline has passed."""
     if now < state.election_deadline:
         return
     state.postpone_asking(now)
@@ -19,10 +19,10 @@
 
 
 def start_pre_vote(state: ReplicaState, now: float) -> None:
-    """Ask whether an election could be won, without a new term.
+    """Ask peers whether they would grant a vote, keeping the term.
 
-    An instance that was cut off would otherwise return with a high term
-    and depose a working leader.
+    Without a pre-vote, an instance that was partitioned away would return
+    with a higher term and depose a working leader.
     """
     state.role = Role.CANDIDATE
     state.leader = ''
@@ -35,10 +35,11 @@
 
 
 def start_vote(state: ReplicaState, now: float) -> None:
-    """Stand for election in a new term.
+    """Become a candidate in a new term.
 
-    The requests name the end of our log, so they wait until that log and
-    our own vote are synced: after a crash the claim must still be true.
+    The requests state the end of the local log, so they are sent only after
+    that log and the own vote are synced: the statement must still be true
+    after a crash.
     """
     state.returned = False
     state.term += 1
@@ -64,7 +65,7 @@
 
 
 def vote_synced(state: ReplicaState, ticket: int, now: float) -> None:
-    """Count our own vote, once it is synced."""
+    """Count the candidate's own vote once it is durable."""
     campaign = state.campaign
     if campaign is None or campaign.pre_vote:
         return
@@ -84,7 +85,7 @@
 
 
 def is_current(state: ReplicaState, request: VoteRequest) -> bool:
-    """Tell whether the candidate's log holds at least what ours does."""
+    """Return whether the candidate's log is at least as up to date."""
     theirs = (request.last_term, request.last_index)
     return theirs >= (state.log.last_term, state.log.last_index)
 
@@ -121,7 +122,7 @@
 def answer_vote(
     state: ReplicaState, sender: str, request: VoteRequest, now: float
 ) -> None:
-    """Vote at most once in a term, for a log that lacks nothing of ours."""
+    """Grant at most one vote a term, to a log at least as up to date."""
     if request.term > state.term:
         state.follow(request.term, '', now)
     granted = (
@@ -140,7 +141,7 @@
 
 
 def send_vote(state: ReplicaState, to: str, answer: VoteAnswer) -> None:
-    """Answer only after the vote is synced: a crash must not undo it."""
+    """Send the answer after the vote is synced, so no crash undoes it."""
     state.outbox.send_synced(to, answer)
 
 
@@ -160,7 +161,7 @@
 def receive_answer(
     state: ReplicaState, sender: str, answer: VoteAnswer, now: float
 ) -> None:
-    """Count a vote for the storage that gave it."""
+    """Count a granted vote under the voter's storage id."""
     if answer.term > state.term and not answer.granted:
         state.follow(answer.term, '', now)
         return
--- a/cyclamenlift/replication/folder.py
+++ b/cyclamenlift/replication/folder.py
@@ -1,4 +1,4 @@
-"""The data folder: its lock, its identity, and files replaced whole."""
+"""The data folder: lock, metadata and atomic file replacement."""
 
 import dataclasses
 import errno
@@ -29,10 +29,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Metadata:
-    """Whose folder it is, its storage id, and the vote in the term.
+    """Owner and storage id of the folder, current term and vote.
 
-    ``segment`` and ``snapshot_index`` name files that must be there, so
-    that a file which was removed by hand is noticed.
+    ``segment`` and ``snapshot_index`` identify files that must exist, so
+    that a file removed by hand is detected.
     """
 
     instance: str
@@ -43,16 +43,16 @@
     snapshot_index: int = 0
 
     def encode(self) -> bytes:
-        """Return one line of JSON and one with its checksum."""
+        """Return a line of JSON followed by a line with its checksum."""
         line = json.dumps(dataclasses.asdict(self), sort_keys=True).encode()
         return line + b'\n%08x\n' % crc32c(line)
 
     @classmethod
     def decode(cls, data: bytes) -> 'Metadata':
-        """Read metadata; raise ValueError when it is damaged."""
+        """Decode metadata; raise ValueError if it is damaged."""
         line, _, checksum = data.partition(b'\n')
         if int(checksum, 16) != crc32c(line):
-            raise ValueError('the checksum differs')
+            raise ValueError('the checksum of the metadata does not match')
         return cls(**json.loads(line))
 
 
@@ -64,7 +64,7 @@
 
 
 def sync_folder(folder: pathlib.Path) -> None:
-    """Make created, renamed and removed names durable."""
+    """Sync directory entries: created, renamed and removed files."""
     descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
     try:
         os.fsync(descriptor)
@@ -79,7 +79,7 @@
 
 
 def replace_file(path: pathlib.Path, data: bytes) -> None:
-    """Replace a file in one step that survives a crash at any point."""
+    """Replace a file atomically and durably."""
     new = path.with_name(path.name + NEW_SUFFIX)
     flags = os.O_WRONLY | os.O_CREAT | os.O_TRUNC
     descriptor = os.open(new, flags, 0o600)
@@ -93,7 +93,7 @@
 
 
 def lock_folder(folder: pathlib.Path) -> Result[int, Problem]:
-    """Return the descriptor that holds the lock, for this process alone."""
+    """Take the folder's exclusive lock; return its file descriptor."""
     try:
         folder.mkdir(parents=True, exist_ok=True)
         flags = os.O_RDWR | os.O_CREAT
@@ -117,7 +117,7 @@
 def open_metadata(
     folder: pathlib.Path, instance: str
 ) -> Result[Metadata, Problem]:
-    """Read whose folder it is; an empty one gets a new storage id."""
+    """Read the metadata; a new folder gets a new storage id."""
     path = folder / METADATA_NAME
     if not path.exists():
         return create_metadata(folder, instance)
@@ -128,7 +128,7 @@
     except OSError as error:
         return failed(path, error)
     if metadata.instance != instance:
-        detail = f'it belongs to {metadata.instance!r}'
+        detail = f'the folder belongs to instance {metadata.instance!r}'
         problem = Problem(ResultCode.STORAGE_FOREIGN, detail, str(folder))
         return Failure(problem)
     return Success(metadata)
@@ -139,7 +139,7 @@
 ) -> Result[Metadata, Problem]:
     left = [p for p in folder.iterdir() if is_state(p)]
     if left:
-        detail = f'{left[0].name} is there without {METADATA_NAME}'
+        detail = f'{left[0].name} exists but {METADATA_NAME} is missing'
         return damaged(folder, detail)
     metadata = Metadata(instance, str(uuid.uuid4()))
     try:
--- a/cyclamenlift/replication/following.py
+++ b/cyclamenlift/replication/following.py
@@ -1,4 +1,4 @@
-"""What a follower does with a leader's entries."""
+"""Follower role: append the leader's entries and acknowledge them."""
 
 from cyclamenlift.replication.commits import commit_to
 from cyclamenlift.replication.queries import Role
@@ -13,9 +13,12 @@
 def hear_leader(
     state: ReplicaState, term: int, leader: str, now: float
 ) -> None:
-    """Follow the sender, the one leader of its term."""
+    """Accept the sender as the leader of ``term``.
+
+    Raises InvariantError if this replica leads the same term.
+    """
     if term == state.term and state.role is Role.LEADER:
-        raise InvariantError(f'{leader} leads term {term} as well')
+        raise InvariantError(f'{leader} also claims to lead term {term}')
     state.follow(term, leader, now)
     state.leader_heard_at = now
     state.returned = False
@@ -44,7 +47,7 @@
 
 
 def fits(state: ReplicaState, request: AppendRequest) -> bool:
-    """Tell whether our log agrees up to where the entries begin."""
+    """Return whether the log matches at the entry before the new ones."""
     if request.previous_index <= state.commit_index:
         return True
     ours = state.log.term_at(request.previous_index)
@@ -52,7 +55,7 @@
 
 
 def find_hint(state: ReplicaState, request: AppendRequest) -> int:
-    """Return the last index that may agree, a whole term at a time."""
+    """Return the last index that may match, skipping whole terms."""
     last = state.log.last_index
     if last < request.previous_index:
         return last
@@ -61,7 +64,7 @@
 
 
 def add_entries(state: ReplicaState, entries: list[LogEntry]) -> None:
-    """Append what is new; cut what another leader left behind."""
+    """Append new entries, truncating conflicting ones of an old leader."""
     for position, entry in enumerate(entries):
         if entry.index <= state.commit_index:
             continue
@@ -75,7 +78,7 @@
 
 def truncate_from(state: ReplicaState, index: int) -> None:
     if index <= state.commit_index:
-        raise InvariantError(f'entry {index} is committed')
+        raise InvariantError(f'cannot truncate committed entry {index}')
     state.log.truncate_from(index)
     state.voters.truncate_from(index)
     state.refresh_peers()
@@ -84,10 +87,10 @@
 def send_ack(
     state: ReplicaState, sender: str, request: AppendRequest, last: int
 ) -> None:
-    """Acknowledge ``last`` once it is synced.
+    """Acknowledge ``last`` after it is synced.
 
-    A bare heartbeat is answered at once with what is synced already, so
-    that a slow disk does not look like a lost instance.
+    A heartbeat without entries is answered at once with the index that is
+    already durable, so that a slow disk does not look like a lost instance.
     """
     if request.entries or not state.term_is_durable:
         answer = make_answer(state, request, True, last)
--- a/cyclamenlift/replication/growth.py
+++ b/cyclamenlift/replication/growth.py
@@ -1,11 +1,11 @@
-"""How a leader keeps the voter set whole: decisions, no sockets.
+"""Automatic voter set changes by the leader; performs no I/O.
 
-The cluster is founded by a few instances that everybody is told of. The
-leader then adds the others one at a time, lets a new storage count in place
-of one that was lost, and takes out voters that are gone. Each change is an
-entry of the log and needs a majority of the voters before and after it. A
-storage counts only after it holds everything that is committed, so that no
-change weakens what was promised.
+The cluster is bootstrapped by a few configured instances. The leader then
+adds the others one at a time, replaces the storage of a voter whose disk was
+lost, and removes voters that are gone. Each change is a log entry and needs
+a majority of the voters before and after it. A storage becomes a voter only
+after it holds every committed entry, so that no change reduces the
+durability of committed entries.
 """
 
 from cyclamenlift.replication.progress import Progress
@@ -14,14 +14,14 @@
 from cyclamenlift.replication.voters import Configuration
 
 MOST_VOTERS = 7
-# A voter that was silent this long, in seconds, may give its place to a
-# successor: longer than a restart of a process takes (0.5 to 1.5 s as
-# measured), shorter than the time in which a repair must be complete (4 s).
+# After this many seconds without contact a voter may be replaced by another
+# instance: longer than a process restart takes (0.5 to 1.5 s as measured),
+# shorter than the time in which a repair must be complete (4 s).
 SILENT_SECONDS = 2.0
 
 
 def change_voters(state: ReplicaState, now: float) -> None:
-    """Append the next change of the voters that is due, if any."""
+    """Append the next voter set change that is due, if any."""
     if not state.limits.wanted_voters or state.leadership is None:
         return
     if state.commit_index < state.leadership.start_index:
@@ -35,7 +35,7 @@
 
 
 def next_change(state: ReplicaState, now: float) -> Configuration | None:
-    """Return the voters that should be next, None to leave them."""
+    """Return the next voter set, None if no change is needed."""
     latest = state.voters.latest
     for name, progress in sorted(state.leadership.progress.items()):
         if not may_count(state, progress, now):
@@ -50,7 +50,7 @@
 
 
 def may_count(state: ReplicaState, progress: Progress, now: float) -> bool:
-    """Tell whether a storage answers now and holds what is committed."""
+    """Return whether a storage is reachable and fully caught up."""
     if not progress.storage_id:
         return False
     silent = now - progress.contact_at
@@ -62,7 +62,7 @@
 def join(
     state: ReplicaState, name: str, storage_id: str, now: float
 ) -> Configuration | None:
-    """Add a voter, in the place of a silent one if there are enough."""
+    """Add a voter, replacing an unreachable one if there are enough."""
     latest = state.voters.latest
     address = state.addresses.get(name, '')
     gone = longest_silent(state, now)
@@ -75,7 +75,7 @@
 
 
 def leave(state: ReplicaState, now: float) -> Configuration | None:
-    """Take a silent voter out if enough stay."""
+    """Remove an unreachable voter if enough remain."""
     latest = state.voters.latest
     gone = longest_silent(state, now)
     if gone and len(latest.storage_ids) > state.limits.wanted_voters:
@@ -84,7 +84,7 @@
 
 
 def longest_silent(state: ReplicaState, now: float) -> str:
-    """Return the voter that was silent longest, '' if none is."""
+    """Return the voter unreachable for longest, '' if there is none."""
     silent = {
         name: progress.contact_at
         for name, progress in state.leadership.progress.items()
--- a/cyclamenlift/replication/handling.py
+++ b/cyclamenlift/replication/handling.py
@@ -1,4 +1,4 @@
-"""How a replica does what its decisions ask for, by kind of effect."""
+"""Effect handlers: execute the effects of the protocol logic."""
 
 from typing import TYPE_CHECKING
 
@@ -31,7 +31,7 @@
 
 @EFFECTS.register('Apply')
 def apply(replica: 'Replica', effect: Apply) -> None:
-    """Run committed commands and answer those who proposed them."""
+    """Apply committed commands and answer their proposers."""
     for entry in effect.entries:
         answer = b''
         if entry.kind == KIND_COMMAND:
@@ -54,7 +54,7 @@
 
 
 def restore_machine(replica: 'Replica', snapshot: Snapshot) -> None:
-    """Replace the machine's state by that of a snapshot."""
+    """Restore the state machine and the applied index from a snapshot."""
     replica.machine.restore(snapshot.data)
     replica.applied_index = snapshot.index
 
--- a/cyclamenlift/replication/inputs.py
+++ b/cyclamenlift/replication/inputs.py
@@ -1,4 +1,4 @@
-"""The way in: messages, ticks and finished syncs."""
+"""Entry points of the protocol: messages, ticks and completed syncs."""
 
 from cyclamenlift.replication.commits import advance_commit
 from cyclamenlift.replication.commits import snapshots_synced
@@ -14,13 +14,13 @@
 
 
 def receive(state: ReplicaState, sender: str, message, now: float) -> None:
-    """Take one message of the instance ``sender``."""
+    """Process a message from the instance ``sender``."""
     if sender in state.peers:
         RECEIVERS.get(type(message).__name__)(state, sender, message, now)
 
 
 def tick(state: ReplicaState, now: float) -> None:
-    """Do what is due at ``now``; call it several times a heartbeat."""
+    """Run the timers; must be called several times per heartbeat."""
     state.disk.tick(state.outbox, now, state.limits.election)
     if state.role is Role.LEADER:
         tick_leader(state, now)
@@ -29,7 +29,7 @@
 
 
 def synced(state: ReplicaState, ticket: int, now: float) -> None:
-    """Note that all writes up to ``ticket`` are durable."""
+    """Process the completion of all writes up to ``ticket``."""
     state.log.synced(ticket)
     state.outbox.synced(ticket)
     snapshots_synced(state, ticket)
@@ -40,11 +40,11 @@
 
 
 def connection_lost(state: ReplicaState, sender: str, now: float) -> None:
-    """Note that the connection from ``sender`` broke.
+    """Process the loss of the connection from ``sender``.
 
-    If it led, its process has probably ended, so an election is due soon:
-    within two heartbeats, at a random instant. Should it be alive after
-    all, the pre-vote fails and nothing has changed.
+    If it was the leader, its process has probably ended, so the election
+    deadline moves to a random time within two heartbeats. If the leader is
+    still alive, the pre-vote fails without side effects.
     """
     if sender != state.leader or state.role is not Role.FOLLOWER:
         return
--- a/cyclamenlift/replication/installing.py
+++ b/cyclamenlift/replication/installing.py
@@ -1,4 +1,4 @@
-"""Taking a snapshot that a leader sends in chunks."""
+"""Receiving and installing a snapshot that a leader sends in chunks."""
 
 from cyclamenlift.replication.effects import PersistSnapshot
 from cyclamenlift.replication.effects import RestoreMachine
@@ -35,7 +35,7 @@
 
 
 def take_chunk(state: ReplicaState, chunk: SnapshotChunk) -> IncomingSnapshot:
-    """Keep a chunk that comes in order; any other changes nothing."""
+    """Store the next chunk in order and ignore any other."""
     incoming = state.incoming
     known = incoming is not None and (
         (incoming.term, incoming.last_index) == (chunk.term, chunk.last_index)
@@ -51,7 +51,7 @@
 
 
 def install(state: ReplicaState, payload: bytes, chunk: SnapshotChunk) -> bool:
-    """Replace log and machine by a whole snapshot; False if it is not."""
+    """Replace log and state machine; return False for a bad snapshot."""
     try:
         snapshot = Snapshot.decode(payload)
     except SnapshotError:
--- a/cyclamenlift/replication/leading.py
+++ b/cyclamenlift/replication/leading.py
@@ -1,4 +1,4 @@
-"""What a leader does: send entries, count answers, check its majority."""
+"""Leader role: replicate entries, process answers, verify the quorum."""
 
 from cyclamenlift.replication.commits import advance_commit
 from cyclamenlift.replication.growth import change_voters
@@ -20,9 +20,9 @@
 def start_leading(
     state: ReplicaState, votes: dict[str, str], now: float
 ) -> None:
-    """Lead this term, beginning with an entry of its own.
+    """Become leader of this term and append a first entry.
 
-    It is a no-op, or the configuration that founds the cluster.
+    The entry is a no-op, or the initial configuration of a new cluster.
     """
     state.role = Role.LEADER
     state.leader = state.instance
@@ -53,7 +53,7 @@
 
 
 def tick_leader(state: ReplicaState, now: float) -> None:
-    """Step down without a majority or a disk, or send what is due."""
+    """Step down without a quorum or with a stalled disk, else heartbeat."""
     if not has_contact(state, now) or state.is_stalled(now):
         state.follow(state.term, '', now)
         return
@@ -64,7 +64,7 @@
 
 
 def has_contact(state: ReplicaState, now: float) -> bool:
-    """Tell whether a quorum answered within an election timeout."""
+    """Return whether a quorum answered within an election timeout."""
     oldest = now - state.limits.election
     present = {
         name: progress.storage_id
@@ -112,7 +112,7 @@
     answer: AppendAnswer | SnapshotAnswer,
     now: float,
 ) -> bool:
-    """Note who answered which round; False if it is not for this term."""
+    """Record an answer; return False if it belongs to another term."""
     if answer.term > state.term:
         state.follow(answer.term, '', now)
     if state.leadership is None or answer.term != state.term:
@@ -124,7 +124,7 @@
 
 
 def continue_leading(state: ReplicaState, now: float) -> None:
-    """Release reads, then send the next entries or chunks."""
+    """Complete confirmed reads, then send the next entries or chunks."""
     confirm_reads(state)
     replicate(state, now)
     start_waiting_reads(state, now)
--- a/cyclamenlift/replication/log.py
+++ b/cyclamenlift/replication/log.py
@@ -1,4 +1,4 @@
-"""The log in memory, and how much of it is synced."""
+"""The in-memory log and its durable index."""
 
 from collections import deque
 
@@ -10,11 +10,11 @@
 
 
 class Log:
-    """Entries after a base that a snapshot covers.
+    """Log entries after a base index that a snapshot covers.
 
-    ``durable_index`` is the last entry that is synced here. Writes that are
-    under way are kept with their ticket; cutting the log also cuts what
-    they will have made durable.
+    ``durable_index`` is the last entry synced on the local disk. Pending
+    writes are tracked by ticket; truncating the log also lowers the index
+    that they will make durable.
     """
 
     def __init__(self, base_index: int, base_term: int, entries):
@@ -33,7 +33,7 @@
         return self.entries[-1].term if self.entries else self.base_term
 
     def term_at(self, index: int) -> int | None:
-        """Return the term of an entry, None where it is not known."""
+        """Return the term of an entry, None if the entry is not in memory."""
         if index == self.base_index:
             return self.base_term
         if self.base_index < index <= self.last_index:
@@ -43,7 +43,7 @@
     def after(self, index: int, limit: int, size: int) -> list[LogEntry]:
         """Return at most ``limit`` entries after ``index``.
 
-        Stops once the commands reach ``size`` bytes, but returns at least
+        Stops when the commands reach ``size`` bytes, but returns at least
         one entry if there is one.
         """
         start = index - self.base_index
@@ -61,32 +61,32 @@
         return self.entries[start : last - self.base_index]
 
     def first_of_term(self, index: int) -> int:
-        """Return the first index whose term is that of ``index``."""
+        """Return the first known index of the term of entry ``index``."""
         term = self.term_at(index)
         while index - 1 > self.base_index and self.term_at(index - 1) == term:
             index -= 1
         return index
 
     def append(self, entries: list[LogEntry], ticket: int) -> None:
-        """Add entries whose write goes under ``ticket``."""
+        """Append entries that are written with ``ticket``."""
         self.entries.extend(entries)
         self.writes.append((ticket, self.last_index))
 
     def truncate_from(self, index: int) -> None:
-        """Drop the entries from ``index`` on."""
+        """Remove the entries from ``index`` on."""
         del self.entries[index - self.base_index - 1 :]
         last = index - 1
         self.durable_index = min(self.durable_index, last)
         self.writes = deque((t, min(i, last)) for t, i in self.writes)
 
     def synced(self, ticket: int) -> None:
-        """Note that everything written up to ``ticket`` is durable."""
+        """Advance the durable index after writes up to ``ticket``."""
         while self.writes and self.writes[0][0] <= ticket:
             index = self.writes.popleft()[1]
             self.durable_index = max(self.durable_index, index)
 
     def compact(self, index: int) -> None:
-        """Forget the entries up to ``index``, which a snapshot covers."""
+        """Remove the entries up to ``index``, which a snapshot covers."""
         if index <= self.base_index:
             return
         term = self.term_at(index)
@@ -95,12 +95,12 @@
         self.base_term = term
 
     def cover(self, index: int, ticket: int) -> None:
-        """Compact up to a snapshot whose write goes under ``ticket``."""
+        """Compact up to a snapshot that is written with ``ticket``."""
         self.compact(index)
         self.writes.append((ticket, index))
 
     def reset(self, index: int, term: int, ticket: int) -> None:
-        """Start after a snapshot whose write goes under ``ticket``."""
+        """Empty the log after a snapshot that is written with ``ticket``."""
         self.base_index = index
         self.base_term = term
         self.entries.clear()
--- a/cyclamenlift/replication/progress.py
+++ b/cyclamenlift/replication/progress.py
@@ -1,4 +1,4 @@
-"""What a leader keeps: how far each instance is, rounds and reads."""
+"""Leader state: replication progress, heartbeat rounds, pending reads."""
 
 import dataclasses
 
@@ -7,7 +7,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Transfer:
-    """A snapshot under way to one instance."""
+    """A snapshot transfer to one instance."""
 
     snapshot: Snapshot
     payload: bytes = dataclasses.field(repr=False)
@@ -16,11 +16,12 @@
 
 @dataclasses.dataclass(slots=True)
 class Progress:
-    """How far one instance is, by its own answers.
+    """Replication progress of one instance, according to its answers.
 
-    ``retry_at`` is the deadline of what is in flight, None if nothing is.
-    While ``probing`` it gets heartbeats only, until it answers.
-    ``contact_at`` is when the newest round that it answered was started.
+    ``retry_at`` is the answer deadline of the request in flight, None
+    without one. While ``probing``, only heartbeats are sent until the
+    instance answers. ``contact_at`` is the start of the newest round that
+    it answered.
     """
 
     storage_id: str = ''
@@ -34,11 +35,11 @@
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether it may be sent entries or a chunk now."""
+        """Return whether entries or a snapshot chunk may be sent now."""
         return self.retry_at is None and not self.probing
 
     def heard_from(self, storage_id: str, next_index: int) -> None:
-        """Start anew when another storage answers under the name."""
+        """Reset the progress if the instance has a different storage."""
         if storage_id == self.storage_id:
             return
         self.storage_id = storage_id
@@ -50,7 +51,7 @@
         self.transfer = None
 
     def accepted(self, match_index: int) -> None:
-        """Note what it has synced."""
+        """Record that the instance has synced up to ``match_index``."""
         self.match_index = max(self.match_index, match_index)
         self.next_index = max(self.next_index, self.match_index + 1)
         transfer = self.transfer
@@ -61,27 +62,27 @@
         self.probing = False
 
     def rejected(self, hint_index: int) -> None:
-        """Go back to where the logs may agree."""
+        """Move back to the last index where the logs may match."""
         if self.transfer is None and hint_index + 1 < self.next_index:
             self.next_index = max(self.match_index, hint_index) + 1
             self.retry_at = None
         self.probing = False
 
     def probe(self) -> None:
-        """Go back to what is known, since an answer is overdue."""
+        """Move back to the acknowledged index after a missed answer."""
         self.next_index = self.match_index + 1
         self.retry_at = None
         self.probing = True
 
     def sends(self, last_index: int) -> bool:
-        """Tell whether the snapshot at ``last_index`` is under way."""
+        """Return whether the snapshot at ``last_index`` is being sent."""
         transfer = self.transfer
         return transfer is not None and transfer.snapshot.index == last_index
 
 
 @dataclasses.dataclass(slots=True)
 class Read:
-    """A read that waits; ``round_id`` 0 until a round started after it."""
+    """A pending read; ``round_id`` is 0 until a later round has started."""
 
     token: int
     round_id: int = 0
@@ -91,8 +92,8 @@
 class Leadership:
     """State of a leader in one term.
 
-    ``start_index`` is its first own entry: once that is committed, all
-    entries of earlier terms are known to be.
+    ``start_index`` is its first own entry. Once that is committed, all
+    entries of earlier terms are committed as well.
     """
 
     start_index: int
@@ -103,9 +104,9 @@
     reads: list[Read] = dataclasses.field(default_factory=list)
 
     def open_round(self, now: float, kept: float) -> None:
-        """Number a new round; the reads asked so far wait for it.
+        """Start a new round and assign it to reads that have none.
 
-        Starts of rounds are kept for ``2 * kept`` seconds.
+        Start times of rounds are kept for ``2 * kept`` seconds.
         """
         self.round_id += 1
         oldest = now - 2 * kept
@@ -116,7 +117,7 @@
             read.round_id = read.round_id or self.round_id
 
     def follow_peers(self, peers: tuple[str, ...], next_index: int) -> None:
-        """Keep progress for just these instances."""
+        """Track progress of exactly these instances."""
         for peer in peers:
             if peer not in self.progress:
                 self.progress[peer] = Progress(next_index=next_index)
@@ -124,10 +125,10 @@
             del self.progress[name]
 
     def note_answer(self, progress: Progress, round_id: int) -> None:
-        """Note that an instance answered a round.
+        """Record that an instance answered a round.
 
-        The contact dates from the start of that round: an answer that lay
-        in a buffer while this process was frozen is no fresh contact.
+        The contact time is the start of that round: an answer that was
+        buffered while this process was frozen does not prove contact now.
         """
         progress.acked_round = max(progress.acked_round, round_id)
         started = self.round_started.get(round_id, progress.contact_at)
--- a/cyclamenlift/replication/queries.py
+++ b/cyclamenlift/replication/queries.py
@@ -1,4 +1,4 @@
-"""What a replica tells about itself and, as leader, about the others."""
+"""Status of a replica and, on the leader, of its peers."""
 
 import dataclasses
 import enum
@@ -11,7 +11,7 @@
 
 
 class Role(enum.StrEnum):
-    """What a replica does in its term."""
+    """Role of a replica in its term."""
 
     FOLLOWER = 'follower'
     CANDIDATE = 'candidate'
@@ -21,14 +21,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class InstanceStatus:
-    """One control instance as the answering replica sees it.
+    """One control instance as seen by the answering replica.
 
-    ``counts`` says that its storage id stands in the committed and final
-    voter set, ``caught_up`` that it holds every committed entry, and
+    ``counts`` means that its storage id is in the committed and final voter
+    set, ``caught_up`` that it holds every committed entry, and
     ``reachable`` that it answered within an election timeout. A repair is
-    complete when all hold: then the next disk may be lost.
-    ``match_index`` is -1 where it is unknown (the answering replica does
-    not lead), ``storage_id`` is empty where it never answered.
+    complete when all three are true; the cluster then tolerates the loss of
+    another disk. ``match_index`` is -1 if unknown (the answering replica is
+    not the leader), ``storage_id`` is empty if it never answered.
     """
 
     instance: str
@@ -46,7 +46,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReplicaStatus:
-    """State of one replica; ``instances`` is sorted by name."""
+    """Status of one replica; ``instances`` is sorted by name."""
 
     instance: str
     role: Role
@@ -68,7 +68,7 @@
     applied_index: int,
     now: float,
 ) -> ReplicaStatus:
-    """Return the status of a replica; ``state`` None says it is stopped."""
+    """Return a replica's status; ``state`` is None if it is stopped."""
     if state is None:
         return stopped_status(instance)
     voters = state.voters.at(state.commit_index)
--- a/cyclamenlift/replication/reads.py
+++ b/cyclamenlift/replication/reads.py
@@ -1,9 +1,9 @@
-"""Reads that confirm leadership after they were asked.
+"""Linearizable reads, which confirm leadership after the request.
 
-A leader may have been frozen for any time, so neither its clock nor an
-answer from before the read proves anything. A read waits for a round of
-requests that started after it, answered by a quorum in the same term, and
-for an own entry of that term to be committed.
+A leader may have been frozen for any length of time, so neither its clock
+nor an answer from before the read proves that it still leads. A read waits
+for a round of requests that started after it to be answered by a quorum in
+the same term, and for an entry of the leader's own term to be committed.
 """
 
 from cyclamenlift.replication.effects import ReadReady
@@ -13,16 +13,16 @@
 
 
 def ask_read(state: ReplicaState, token: int, now: float) -> None:
-    """Ask for a confirmed read (leader only).
+    """Request a confirmed read (leader only).
 
-    Reads that come while a round is under way share the next one.
+    Reads that arrive during a round share the next one.
     """
     state.leadership.reads.append(Read(token))
     start_waiting_reads(state, now)
 
 
 def start_waiting_reads(state: ReplicaState, now: float) -> None:
-    """Start a round for the reads that wait for one."""
+    """Start a round if no pending read has one yet."""
     if state.leadership is None:
         return
     rounds = {read.round_id for read in state.leadership.reads}
@@ -32,7 +32,7 @@
 
 
 def confirmed_round(state: ReplicaState) -> int:
-    """Return the newest round that a quorum has answered."""
+    """Return the newest round answered by a quorum, 0 if there is none."""
     leadership = state.leadership
     rounds = {p.acked_round for p in leadership.progress.values()}
     rounds.add(leadership.round_id)
@@ -49,7 +49,7 @@
 
 
 def confirm_reads(state: ReplicaState) -> None:
-    """Release the reads whose round is confirmed."""
+    """Complete the reads whose round a quorum has answered."""
     leadership = state.leadership
     if not leadership.reads or state.commit_index < leadership.start_index:
         return
--- a/cyclamenlift/replication/receivers.py
+++ b/cyclamenlift/replication/receivers.py
@@ -1,11 +1,10 @@
-"""The registry of what receives each kind of message."""
+"""Registry of message handlers, by message type."""
 
 from cyclamenlift.core.registry import Registry
 
-# Filled by the modules that receive: elections, leading, following and
-# installing.
+# Filled by elections, leading, following and installing.
 RECEIVERS: Registry = Registry('message')
 
 
 class InvariantError(Exception):
-    """A rule that holds the log together is broken: stop, touch nothing."""
+    """A consensus invariant is violated; the replica must halt."""
--- a/cyclamenlift/replication/records.py
+++ b/cyclamenlift/replication/records.py
@@ -1,8 +1,8 @@
-"""Records of the log file: one for each sync, with a checksum.
+"""Log file records: one per sync, with a checksum.
 
 A record holds every entry that one sync made durable, as a thrift
-``AppendRequest``. It is written only after the record before it was synced,
-so a broken record is an unfinished last write if, and only if, no whole
+``AppendRequest``. It is written only after the previous record was synced,
+so an invalid record is an unfinished last write if, and only if, no valid
 record follows it.
 """
 
@@ -24,20 +24,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Record:
-    """The entries of one record, and where the next one begins."""
+    """The entries of one record and the offset of the next one."""
 
     entries: list[LogEntry]
     end: int
 
 
 def encode_record(entries: Iterable[LogEntry]) -> bytes:
-    """Return magic, length, checksum and entries."""
+    """Return a record: magic, length, checksum and entries."""
     payload = encode_struct(AppendRequest(entries=list(entries)))
     return HEAD.pack(MAGIC, len(payload), crc32c(payload)) + payload
 
 
 def read_record(data: bytes, offset: int) -> Record | None:
-    """Return the whole record at ``offset``, None if there is none."""
+    """Return the valid record at ``offset``, None if there is none."""
     if len(data) - offset < HEAD.size:
         return None
     magic, length, checksum = HEAD.unpack_from(data, offset)
@@ -55,7 +55,7 @@
 
 
 def record_follows(data: bytes, offset: int) -> bool:
-    """Tell whether a whole record begins after ``offset``."""
+    """Return whether a valid record begins after ``offset``."""
     found = data.find(MAGIC, offset + 1)
     while found >= 0:
         if read_record(data, found) is not None:
--- a/cyclamenlift/replication/segments.py
+++ b/cyclamenlift/replication/segments.py
@@ -1,7 +1,7 @@
-"""Segments: the files of the log, each a run of records.
+"""Log segments: append-only files, each a sequence of records.
 
-A later entry with the index of an earlier one replaces it and all after
-it, so cutting the log is only ever an append.
+An entry replaces an earlier one of the same index and all after it, so
+truncating the log is an append too.
 """
 
 import dataclasses
@@ -30,7 +30,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Segment:
-    """One file; ``last_index`` is the highest index it ever held."""
+    """A segment file; ``last_index`` is the highest index it ever held."""
 
     path: pathlib.Path
     number: int
@@ -39,24 +39,24 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UnsureTail:
-    """A segment whose bytes from ``durable_size`` on may be on the disk."""
+    """A segment whose bytes from ``durable_size`` on may not be durable."""
 
     path: pathlib.Path
     durable_size: int
 
 
 def sync_tail(path: pathlib.Path) -> None:
-    """Make durable what a process that was killed had only written.
+    """Sync what a killed process had written but not synced.
 
-    Its entries are about to be counted as held here, and a loss of power
-    after that must not take them away.
+    The entries are about to be treated as durable, so a later power loss
+    must not remove them.
     """
     with path.open('r+b') as file:
         os.fsync(file.fileno())
 
 
 class Segments:
-    """All segments of a folder; the newest one is written."""
+    """All segments of a folder; records are appended to the newest one."""
 
     def __init__(self, folder: pathlib.Path):
         self.folder = folder
@@ -67,9 +67,9 @@
     # -- reading ----------------------------------------------------------
 
     def read(self, required: int) -> Result[list[LogEntry], Problem]:
-        """Return all entries as written, after cutting a torn tail.
+        """Return all entries in write order, truncating a torn tail.
 
-        The segment numbered ``required`` must be there.
+        Fails if the segment numbered ``required`` does not exist.
         """
         entries = []
         paths = sorted(self.folder.glob(LOG_PREFIX + '*'))
@@ -80,7 +80,7 @@
                 return found
             entries.extend(found.unwrap())
         try:
-            # Names that a killed process had changed but not made durable.
+            # A killed process may not have synced its directory changes.
             sync_folder(self.folder)
         except OSError as error:
             return failed(self.folder, error)
@@ -107,7 +107,7 @@
             offset = record.end
         if offset < len(data):
             if not is_last or record_follows(data, offset):
-                return damaged(path, f'no whole record at byte {offset}')
+                return damaged(path, f'invalid record at byte {offset}')
             try:
                 self.cut_tail(path, offset, len(data))
             except OSError as error:
@@ -118,7 +118,7 @@
         return Success(entries)
 
     def cut_tail(self, path: pathlib.Path, offset: int, size: int) -> None:
-        """Cut a write that a crash left unfinished; it was never synced."""
+        """Truncate an unfinished write, which was never synced."""
         LOG.warning(
             'torn_tail_cut',
             code=int(ResultCode.STORAGE_TORN_TAIL),
@@ -130,9 +130,9 @@
             os.fsync(file.fileno())
 
     def cut_unsure(self) -> None:
-        """Cut a write that failed: what is left of it is not known.
+        """Truncate a failed write, which may be partly on the disk.
 
-        Raises OSError while the disk still refuses.
+        Raises OSError while the disk still fails.
         """
         if self.unsure is None:
             return
@@ -145,7 +145,7 @@
 
     @property
     def newest(self) -> int:
-        """Return the number of the newest segment, 0 if there is none."""
+        """The number of the newest segment, 0 if there is none."""
         return self.segments[-1].number if self.segments else 0
 
     def append(self, entries: list[LogEntry]) -> None:
@@ -169,7 +169,7 @@
         self.descriptor = os.open(path, flags, 0o600)
 
     def roll(self) -> None:
-        """Begin a new segment."""
+        """Start a new segment."""
         self.close()
         number = self.newest + 1
         path = self.folder / f'{LOG_PREFIX}{number:012d}'
@@ -178,7 +178,7 @@
         sync_folder(self.folder)
 
     def drop_covered(self, index: int) -> None:
-        """Remove the oldest segments, as far as a snapshot covers them."""
+        """Remove the oldest segments that a snapshot covers fully."""
         while len(self.segments) > 1 and self.segments[0].last_index <= index:
             self.segments.pop(0).path.unlink(missing_ok=True)
         sync_folder(self.folder)
--- a/cyclamenlift/replication/sending.py
+++ b/cyclamenlift/replication/sending.py
@@ -1,4 +1,4 @@
-"""What a leader sends: rounds, entries and chunks of a snapshot."""
+"""Leader messages: heartbeat rounds, entries and snapshot chunks."""
 
 from cyclamenlift.replication.progress import Transfer
 from cyclamenlift.replication.state import ReplicaState
@@ -8,7 +8,7 @@
 
 
 def start_round(state: ReplicaState, now: float) -> None:
-    """Send every instance a request that carries a new round."""
+    """Start a new round and send a request of it to every peer."""
     leadership = state.leadership
     leadership.heartbeat_at = now + state.limits.heartbeat
     leadership.open_round(now, state.limits.election)
@@ -17,7 +17,7 @@
 
 
 def replicate(state: ReplicaState, now: float) -> None:
-    """Send entries to those that lack some and have nothing in flight."""
+    """Send entries to peers that lack some and have none in flight."""
     last_index = state.log.last_index
     for peer, progress in state.leadership.progress.items():
         if progress.next_index <= last_index and progress.is_ready:
@@ -25,10 +25,10 @@
 
 
 def send_append(state: ReplicaState, peer: str, now: float) -> None:
-    """Send what the instance lacks, or a bare heartbeat.
+    """Send missing entries or a snapshot chunk, or else a heartbeat.
 
     With entries in flight, or when the last ones were not answered in
-    time, only a heartbeat goes out: its answer tells how to go on.
+    time, only a heartbeat is sent; its answer tells where to continue.
     """
     progress = state.leadership.progress[peer]
     if progress.retry_at is not None and now >= progress.retry_at:
@@ -65,7 +65,7 @@
 
 
 def send_chunk(state: ReplicaState, peer: str, now: float) -> None:
-    """Send the next chunk, or a heartbeat while one is in flight."""
+    """Send the next snapshot chunk, or a heartbeat if one is in flight."""
     progress = state.leadership.progress[peer]
     if not progress.is_ready:
         send_entries(state, peer, state.log.base_index, [])
--- a/cyclamenlift/replication/settings.py
+++ b/cyclamenlift/replication/settings.py
@@ -1,4 +1,4 @@
-"""What a replica is told when it is built."""
+"""Settings of a replica."""
 
 import dataclasses
 import pathlib
@@ -12,16 +12,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReplicaSettings:
-    """Names, places and times of one replica.
+    """Settings of one replica.
 
-    ``peers`` names every other control instance with its peer address.
-    ``election_ms`` is the shortest time without a leader before an
-    election; each wait is drawn between it and its double. ``bootstrap``
-    lets an empty folder take part in founding a new cluster, which needs
-    every instance; it is harmless in an established one. An instance that
-    is no ``founder`` waits until the leader adds it. ``wanted_voters``
-    above 0 lets the leader add, replace and remove voters by itself, down
-    to that number; ``own_address`` is where the others reach this one.
+    ``peers`` maps every other control instance to its peer address.
+    ``election_ms`` is the minimum election timeout; each timeout is random
+    between it and its double. ``bootstrap`` lets an empty folder take part
+    in forming a new cluster, which needs every instance; it has no effect
+    in an established one. An instance that is not a ``founder`` waits until
+    the leader adds it. With ``wanted_voters`` above 0 the leader adds,
+    replaces and removes voters by itself, down to that number.
+    ``own_address`` is the address at which peers reach this instance.
     """
 
     instance: str
--- a/cyclamenlift/replication/snapshots.py
+++ b/cyclamenlift/replication/snapshots.py
@@ -1,4 +1,4 @@
-"""Snapshots: their bytes, which are the same on disk and on the wire."""
+"""Snapshot encoding, the same on disk and on the wire."""
 
 import dataclasses
 import json
@@ -13,15 +13,15 @@
 
 
 class SnapshotError(ValueError):
-    """The bytes are no whole snapshot."""
+    """An encoded snapshot is incomplete or damaged."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Snapshot:
-    """The machine's state after the entry ``index``.
+    """The state machine's state after the entry ``index``.
 
-    ``stamp_unix_ms`` is the time stamp of that entry; ``data`` is what the
-    machine returned.
+    ``stamp_unix_ms`` is the time stamp of that entry; ``data`` is the
+    serialized state.
     """
 
     index: int
@@ -49,13 +49,13 @@
 
     @classmethod
     def decode(cls, payload: bytes) -> 'Snapshot':
-        """Read a snapshot; raise SnapshotError when it is not whole."""
+        """Decode a snapshot; raise SnapshotError if it is damaged."""
         if len(payload) < HEAD.size:
-            raise SnapshotError('too short')
+            raise SnapshotError('the snapshot is shorter than its header')
         checksum, header_length = HEAD.unpack_from(payload)
         body = payload[HEAD.size :]
         if crc32c(body) != checksum:
-            raise SnapshotError('the checksum differs')
+            raise SnapshotError('the checksum of the snapshot does not match')
         header = json.loads(body[:header_length])
         storage_ids = header['storage_ids']
         configuration = Configuration(
--- a/cyclamenlift/replication/stalls.py
+++ b/cyclamenlift/replication/stalls.py
@@ -1,19 +1,19 @@
-"""Whether the disk of this replica answers: decisions, no disk.
+"""Detection of a hanging local disk; performs no I/O.
 
-A leader needs its own disk only to append the next batch, and its heartbeats
-need none. So with a disk that hangs it went on leading while operators
-waited, until the disk went on; the others, whose disks are sound, choose
-another leader within two election timeouts once it gives its place up.
+A leader needs its own disk only to append the next batch; heartbeats need
+none. A leader with a hanging disk would therefore keep its role while
+operators' requests wait. Once it steps down, the peers, whose disks work,
+elect another leader within two election timeouts.
 """
 
-# For how many election timeouts a write may be under way. With 500 ms it is
-# one second, after which operators ask another instance; the slowest disk
-# that the users named syncs in 30 ms.
+# How many election timeouts a write may take. With 500 ms it is one second,
+# after which operators ask another instance; the slowest disk named in the
+# requirements syncs in 30 ms.
 STALLED_ELECTIONS = 2
 
 
 class DiskWatch:
-    """Notes at each tick whether writes were done since the last one."""
+    """Checks at each tick whether pending writes have progressed."""
 
     def __init__(self, now: float) -> None:
         self.ticked_at = now
@@ -21,9 +21,10 @@
         self.synced_ticket = 0
 
     def tick(self, outbox, now: float, election: float) -> None:
-        """Look at the writes under way.
+        """Record progress of the pending writes.
 
-        Blame the disk for nothing while the process itself stood still.
+        Time in which the process itself was paused is not attributed to
+        the disk.
         """
         paused = now - self.ticked_at >= election
         moved = outbox.synced_ticket != self.synced_ticket
@@ -33,5 +34,5 @@
         self.ticked_at = now
 
     def is_stalled(self, now: float, election: float) -> bool:
-        """Tell whether a write has been under way for too long."""
+        """Return whether a write has been pending for too long."""
         return now - self.moved_at >= STALLED_ELECTIONS * election
--- a/cyclamenlift/replication/state.py
+++ b/cyclamenlift/replication/state.py
@@ -1,9 +1,10 @@
-"""The state that all decisions of one replica share.
+"""In-memory consensus state of one replica.
 
-Pure: time comes in as ``now`` (monotonic seconds), randomness as a
-``random.Random``; what is to be done goes out as effects. The decisions
-stand in ``elections``, ``following``, ``leading``, ``reads``, ``transfer``
-and ``commits``; ``inputs`` is the way in.
+This code performs no I/O: time is passed in as ``now`` (monotonic seconds),
+randomness as a ``random.Random``, and side effects are returned as effect
+objects. The protocol logic is in ``elections``, ``following``, ``leading``,
+``reads``, ``sending``, ``installing`` and ``commits``; ``inputs`` holds the
+entry points.
 """
 
 import dataclasses
@@ -25,22 +26,24 @@
 
 MAX_BATCH_ENTRIES = 1024
 MAX_BATCH_BYTES = 1024 * 1024
-# How long a replica that came back with a log waits for a leader before it
-# asks for votes, as a part of the usual election timeout: long enough for a
-# heartbeat of a leader that there is, and for two rounds of messages and
-# syncs of an election that has begun. To ask changes nothing.
+# How long a replica that restarted with a log waits for a leader before it
+# starts a pre-vote, as a fraction of the election timeout: long enough for
+# a heartbeat of an existing leader, and for the two rounds of messages and
+# syncs of an election in progress. A pre-vote changes no persistent state.
 RETURNED_SHARE = 0.2
-# The part of its own time at whose random point one asks; the rest keeps it
-# apart from the next: 10 ms for five instances and a timeout of 500 ms, two
-# rounds of messages and syncs.
+# Fraction of a replica's time slot in which its pre-vote starts at a random
+# point. The remainder separates it from the next slot: 10 ms for five
+# instances and a timeout of 500 ms, enough for two rounds of messages and
+# syncs.
 OWN_PART = 0.5
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Limits:
-    """Times in seconds, sizes in entries and bytes.
+    """Timeouts in seconds and sizes in entries and bytes.
 
-    ``wanted_voters`` above 0 lets the leader change the voters itself.
+    With ``wanted_voters`` above 0 the leader changes the voter set by
+    itself.
     """
 
     election: float
@@ -54,7 +57,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Recovered:
-    """What a data folder holds when it is opened."""
+    """State read from a data folder when it is opened."""
 
     storage_id: str
     term: int = 0
@@ -65,7 +68,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Campaign:
-    """Votes collected so far: instance to the storage id that voted."""
+    """A candidacy and its votes, mapping instance to the voting storage id."""
 
     term: int
     pre_vote: bool
@@ -75,7 +78,7 @@
 
 @dataclasses.dataclass(slots=True)
 class IncomingSnapshot:
-    """A snapshot that arrives in chunks."""
+    """A partially received snapshot."""
 
     term: int
     last_index: int
@@ -85,7 +88,7 @@
 
 
 class ReplicaState:
-    """Term, vote, log and role of one replica."""
+    """Term, vote, log, voter set and role of one replica."""
 
     def __init__(
         self,
@@ -100,7 +103,7 @@
         addresses: dict[str, str] | None = None,
     ):
         self.instance = instance
-        # The instances of the settings, until they are known to be gone.
+        # Peers from the settings or from membership, until reported gone.
         self.noted: set[str] = set(peers)
         self.addresses = dict(addresses or {})
         self.bootstrap = bootstrap
@@ -141,7 +144,7 @@
         self.refresh_peers()
 
     def note_entry(self, entry: LogEntry) -> None:
-        """Keep what the log says beside commands: voters and time."""
+        """Track the time stamp and voter configuration of a log entry."""
         self.last_stamp = max(self.last_stamp, entry.stamp_unix_ms)
         if entry.kind == KIND_CONFIGURATION:
             configuration = Configuration.decode(entry.index, entry.command)
@@ -156,11 +159,12 @@
 
     @property
     def may_vote(self) -> bool:
-        """Tell whether this storage may vote and stand for election.
+        """Return whether this storage may vote and be a candidate.
 
-        It must be named by the configuration in its own log: so a disk
-        that came back empty waits until it was replaced and has caught up
-        to that entry. An empty log votes only with ``bootstrap``.
+        The configuration in its own log must name it: an instance whose
+        disk came back empty waits until its storage was replaced and it
+        has caught up to that entry. An empty log votes only with
+        ``bootstrap``.
         """
         if self.voters.latest is None:
             return self.bootstrap and self.instance in self.voters.names
@@ -171,14 +175,14 @@
         return self.outbox.synced_ticket >= self.term_ticket
 
     def is_stalled(self, now: float) -> bool:
-        """Tell whether the own disk has answered nothing for too long."""
+        """Return whether a local write has been pending for too long."""
         return self.disk.is_stalled(now, self.limits.election)
 
     def has_quorum(self, present: dict[str, str]) -> bool:
         return self.voters.has_quorum(present)
 
     def summary(self) -> dict[str, object]:
-        """Return what a log line tells about this replica."""
+        """Return the fields that a log line reports about this replica."""
         return {
             'storage_id': self.storage_id,
             'term': self.term,
@@ -190,7 +194,7 @@
     # -- commands ---------------------------------------------------------
 
     def refresh_peers(self) -> None:
-        """Work out whom to talk to: those that count, and learners."""
+        """Recompute the peers to replicate to: voters and learners."""
         for configuration in self.voters.active:
             for name, address in configuration.addresses.items():
                 self.addresses.setdefault(name, address)
@@ -201,7 +205,7 @@
             self.leadership.follow_peers(self.peers, self.log.last_index + 1)
 
     def note_peer(self, name: str, address: str) -> None:
-        """Learn of an instance that may be added to the voters."""
+        """Add an instance that may become a voter, or update its address."""
         if name == self.instance:
             return
         self.noted.add(name)
@@ -209,23 +213,23 @@
         self.refresh_peers()
 
     def forget_peer(self, name: str) -> None:
-        """Learn that an instance is gone; one that counts stays known."""
+        """Remove an instance that is gone; a voter remains a peer."""
         self.noted.discard(name)
         self.refresh_peers()
 
     def postpone_election(self, now: float) -> None:
-        """Draw the next deadline, so that two rarely stand at once."""
+        """Set a randomized election deadline to avoid split votes."""
         wait = self.limits.election * (1.0 + self.rng.random())
         self.election_deadline = now + wait
 
     def postpone_asking(self, now: float) -> None:
-        """Draw when to ask whether an election could be won.
+        """Schedule the next pre-vote.
 
-        After a restart of all there is no leader to be heard, and until
-        there is one again nothing is served: so one who came back asks
-        soon, and again, until it hears of a leader or of an election. All
-        may have come back in the same millisecond, so each asks in a part
-        of the time that is its own, by the order of their names.
+        After a full restart there is no leader, and nothing is served until
+        one is elected. A replica that restarted with a log therefore uses a
+        shorter delay, repeatedly, until it learns of a leader or an
+        election. All instances may have restarted in the same millisecond,
+        so each has a time slot of its own, by the order of their names.
         """
         self.postpone_election(now)
         if not self.returned:
@@ -236,14 +240,14 @@
         self.election_deadline = now + wait * (1.0 + place / len(names))
 
     def persist_term(self) -> int:
-        """Write term and vote; return the ticket."""
+        """Persist term and vote; return the write's ticket."""
         ticket = self.outbox.next_ticket()
         self.term_ticket = ticket
         self.outbox.add(PersistTerm(ticket, self.term, self.voted_for))
         return ticket
 
     def append(self, entries: list[LogEntry]) -> None:
-        """Add entries to the log in memory and write them."""
+        """Append entries to the in-memory log and persist them."""
         ticket = self.outbox.next_ticket()
         self.log.append(entries, ticket)
         for entry in entries:
@@ -253,9 +257,9 @@
     def make_entry(
         self, kind: int, command: bytes, stamp: int = 0, offset: int = 1
     ) -> LogEntry:
-        """Return an entry of this term, ``offset`` after the end.
+        """Return an entry of this term, ``offset`` after the last index.
 
-        Its time stamp never lies before those in the log.
+        Its time stamp is never earlier than those already in the log.
         """
         return LogEntry(
             index=self.log.last_index + offset,
@@ -266,13 +270,13 @@
         )
 
     def append_configuration(self, configuration: Configuration) -> int:
-        """Append a configuration; return its index."""
+        """Append a configuration entry; return its index."""
         entry = self.make_entry(KIND_CONFIGURATION, configuration.encode())
         self.append([entry])
         return entry.index
 
     def follow(self, term: int, leader: str, now: float) -> None:
-        """Become a follower, in a newer term or in this one."""
+        """Become a follower in ``term``, which may be the current one."""
         if term > self.term:
             self.term = term
             self.voted_for = ''
--- a/cyclamenlift/replication/storage.py
+++ b/cyclamenlift/replication/storage.py
@@ -1,4 +1,4 @@
-"""One data folder: opened and checked at start, then written in order."""
+"""The data folder: validated when it is opened, then written in order."""
 
 import dataclasses
 import os
@@ -29,10 +29,10 @@
 
 
 class Storage:
-    """An open data folder; ``recovered`` is what it held.
+    """An open data folder; ``recovered`` is the state it held.
 
-    Writing raises OSError. After the first one nothing may be written any
-    more: what the kernel kept of a failed write is not known.
+    Write methods raise OSError. After the first one nothing more may be
+    written: it is unknown which part of a failed write the kernel kept.
     """
 
     def __init__(
@@ -52,8 +52,8 @@
     def write(self, writes: list[Persist]) -> None:
         """Make a batch of writes durable, in order.
 
-        Neighbours of one kind share a sync: entries become one record, and
-        of several terms only the last is written.
+        Consecutive writes of one kind share a sync: entries become one
+        record, and of several terms only the last is written.
         """
         position = 0
         while position < len(writes):
@@ -91,7 +91,7 @@
             self.segments.drop_older()
 
     def roll(self, **changes) -> None:
-        """Begin a segment and note that it must be there from now on."""
+        """Start a segment and record in the metadata that it must exist."""
         self.segments.roll()
         self.write_metadata(segment=self.segments.newest, **changes)
 
@@ -109,7 +109,7 @@
 def open_storage(
     folder: pathlib.Path, instance: str
 ) -> Result[Storage, Problem]:
-    """Lock and read a data folder; a Failure says how to repair it."""
+    """Lock and read a data folder; a Failure carries a repair hint."""
     locked = lock_folder(folder)
     if isinstance(locked, Failure):
         return locked
@@ -162,14 +162,14 @@
     except (OSError, SnapshotError, ValueError) as error:
         return damaged(path, str(error))
     if snapshot.index < metadata.snapshot_index:
-        return damaged(path, 'the snapshot is an older one')
+        return damaged(path, 'the snapshot is older than the metadata says')
     return Success(snapshot)
 
 
 def replay(
     folder: pathlib.Path, snapshot: Snapshot | None, written: list[LogEntry]
 ) -> Result[list[LogEntry], Problem]:
-    """Return the entries that stand after the snapshot."""
+    """Return the log entries after the snapshot."""
     base = snapshot.index if snapshot else 0
     kept: list[LogEntry] = []
     for entry in written:
@@ -186,10 +186,10 @@
 
 
 def was_replaced(snapshot: Snapshot | None, written: list[LogEntry]) -> bool:
-    """Tell whether the log is one that the snapshot came to replace.
+    """Return whether an installed snapshot replaced this log.
 
-    A crash may come between an installed snapshot and the removal of the
-    log before it: then the terms differ at its index.
+    A crash may occur after a snapshot was installed and before the old log
+    was removed. The terms then differ at the snapshot's index.
     """
     term = None
     for entry in written:
@@ -201,7 +201,7 @@
 def drop_replaced(
     storage: Storage, written: list[LogEntry]
 ) -> Result[Storage, Problem]:
-    """Finish what a crash left: remove the log that was replaced."""
+    """Remove a replaced log that a crash left behind."""
     if not was_replaced(storage.recovered.snapshot, written):
         return Success(storage)
     try:
--- a/cyclamenlift/replication/sync.py
+++ b/cyclamenlift/replication/sync.py
@@ -1,8 +1,8 @@
-"""The task that writes and syncs, on a thread of its own.
+"""The writer thread, which performs all disk writes and syncs.
 
-A sync takes milliseconds, which the event loop can not spare. Batches go
-in by a queue; everything queued during one sync shares the next. What is
-done comes back by a second queue, and a byte on a socket wakes the loop.
+A sync takes milliseconds and would block the event loop. Batches are passed
+through a queue; everything queued during one sync shares the next. Outcomes
+return through a second queue, and a byte on a socket wakes the loop.
 """
 
 from collections.abc import Callable
@@ -33,13 +33,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SyncFailed:
-    """The disk refused a write: nothing later was written."""
+    """A write failed; nothing after it was written."""
 
     problem: Problem
 
 
 class SyncTask(BaseComponent):
-    """Owns the storage while it runs; ``take`` gets each outcome."""
+    """Owns the storage while it runs and reports each outcome to ``take``."""
 
     channel = 'sync'
 
@@ -68,11 +68,11 @@
         self.thread.start()
 
     def write(self, writes: list[Persist]) -> None:
-        """Queue writes; their outcome comes to ``take``."""
+        """Queue writes; their outcome is passed to ``take``."""
         self.writes.put(writes)
 
     def stop(self) -> None:
-        """Finish what is queued and close the folder, once."""
+        """Finish the queued writes and close the folder; idempotent."""
         if self.stopped:
             return
         self.stopped = True
@@ -83,7 +83,7 @@
         self.wake_out.close()
         self.unregister()
 
-    # -- on the loop ------------------------------------------------------
+    # -- event loop -------------------------------------------------------
 
     @handler('_read')
     def _on_poll_read(self, sock) -> None:
@@ -96,7 +96,7 @@
         while not self.outcomes.empty():
             self.take(self.outcomes.get_nowait())
 
-    # -- on the thread ----------------------------------------------------
+    # -- writer thread ----------------------------------------------------
 
     def run_writes(self) -> None:
         while True:
@@ -108,7 +108,7 @@
         self.storage.close()
 
     def next_batch(self) -> tuple[list[Persist], bool]:
-        """Wait for writes, then take all that are queued."""
+        """Wait for writes; return all queued ones and whether to stop."""
         batch: list[Persist] = []
         queued = self.writes.get()
         while queued is not None:
@@ -134,5 +134,6 @@
         try:
             self.wake_out.send(WAKE)
         except OSError:
-            # Full: the loop has a wake-up waiting. Closed: it has stopped.
+            # A full socket means that a wake-up is pending, a closed one
+            # that the loop has stopped.
             return
--- a/cyclamenlift/replication/tasks.py
+++ b/cyclamenlift/replication/tasks.py
@@ -1,4 +1,4 @@
-"""The replica: a component that owns one copy of the replicated log."""
+"""The replica component, which runs one copy of the replicated log."""
 
 from collections.abc import Callable
 import random
@@ -50,8 +50,8 @@
 LOG = structlog.get_logger('replication')
 TICKS_PER_HEARTBEAT = 4
 MAX_COMMAND_BYTES = 2 * 1024 * 1024
-# When a disk that refused a write is tried again, in seconds: well within
-# the time in which a lost instance should be back (4 s).
+# Delay in seconds before storage is reopened after a failed write: well
+# within the time in which a lost instance should be back (4 s).
 REOPEN_SECONDS = 0.5
 MESSAGES = (
     AppendAnswer,
@@ -64,10 +64,10 @@
 
 
 class Replica(BaseComponent):
-    """Runs the decisions: messages and ticks in, effects out.
+    """Feeds messages and ticks to the protocol and executes its effects.
 
-    The machine is called on the loop's own thread. Every ``done`` is
-    called once, never from inside the call that took it.
+    The state machine is called on the event loop thread. Every ``done``
+    callback is called once, never from inside the call that received it.
     """
 
     channel = 'replica'
@@ -96,7 +96,7 @@
         self.waiting = Waiting()
         self.blank = b''
         self.known_leader = ''
-        # Run with the name of each new leader, '' when there is none.
+        # Called with the name of each new leader, '' if there is none.
         self.leader_hooks: list[Callable[[str], None]] = []
         self.register(root)
 
@@ -104,7 +104,7 @@
 
     @property
     def leader(self) -> str:
-        """The leader's name as known here, '' if there is none."""
+        """The name of the known leader, '' if there is none."""
         return self.state.leader if self.active else ''
 
     @property
@@ -112,7 +112,7 @@
         return self.active and self.state.role is Role.LEADER
 
     def status(self) -> ReplicaStatus:
-        """Return what this replica knows."""
+        """Return the status of this replica."""
         return make_status(
             self.settings.instance,
             self.state.peers if self.active else (),
@@ -122,7 +122,7 @@
         )
 
     def address_of(self, instance: str) -> Address | None:
-        """Return where an instance is reached, None while unknown."""
+        """Return the address of an instance, None if it is unknown."""
         known = self.settings.peers.get(instance)
         if known is not None:
             return known
@@ -139,7 +139,7 @@
     # -- commands ---------------------------------------------------------
 
     def note_peer(self, instance: str, address: Address, live: bool) -> None:
-        """Learn of another instance that could vote, or that it is gone."""
+        """Add an instance that may become a voter, or remove it."""
         if not self.active:
             return
         if live:
@@ -148,7 +148,7 @@
             self.state.forget_peer(instance)
 
     def start(self) -> Result[None, Problem]:
-        """Open the folder and take part; a Failure names what is wrong."""
+        """Open the data folder and join; a Failure describes the problem."""
         self.blank = self.machine.snapshot()
         opened = self.open()
         if isinstance(opened, Failure):
@@ -160,7 +160,7 @@
         return Success(None)
 
     def open(self) -> Result[None, Problem]:
-        """Begin with what the folder holds."""
+        """Open the data folder and start from its recovered state."""
         settings = self.settings
         opened = open_storage(settings.folder, settings.instance)
         if isinstance(opened, Failure):
@@ -187,7 +187,7 @@
         return Success(None)
 
     def stop(self) -> None:
-        """Finish the writes, close the folder and fail what waits."""
+        """Finish writes, close the folder and fail pending operations."""
         if self.sync is None:
             return
         self.active = False
@@ -196,14 +196,15 @@
         self.waiting.fail_all(self.not_leader())
 
     def propose(self, command: bytes, done: ProposalDone) -> None:
-        """Append one command; ``done`` gets the machine's answer.
+        """Append a command; ``done`` gets the state machine's answer.
 
-        Fails with NOT_LEADER when it was certainly not appended, and with
-        CHANGE_UNKNOWN when leadership was lost after that. A command too
-        large for one frame between instances fails with BODY_TOO_LARGE.
+        Fails with NOT_LEADER if the command was certainly not appended, and
+        with CHANGE_UNKNOWN if leadership was lost after it was appended. A
+        command too large for one frame between instances fails with
+        BODY_TOO_LARGE.
         """
         if len(command) > MAX_COMMAND_BYTES:
-            detail = f'a command of {len(command)} bytes'
+            detail = f'the command has {len(command)} bytes'
             problem = Problem(ResultCode.BODY_TOO_LARGE, detail)
             self.soon(lambda: done(Failure(problem)))
             return
@@ -211,10 +212,10 @@
         self.plan_flush()
 
     def read_barrier(self, done: ReadDone) -> None:
-        """Confirm leadership after now, then tell the applied index.
+        """Confirm leadership, then call ``done`` with the applied index.
 
-        What the machine holds when ``done`` is called with Success is
-        current. Fails with NOT_LEADER.
+        On Success the state machine's state is current at the time of the
+        call. Fails with NOT_LEADER.
         """
         if not self.leads:
             problem = self.not_leader()
@@ -227,7 +228,7 @@
     def replace_storage(
         self, instance: str, storage_id: str, done: ProposalDone
     ) -> None:
-        """Let ``storage_id`` count for ``instance`` after a lost disk.
+        """Make ``storage_id`` the voter of ``instance`` after a disk loss.
 
         Fails with NOT_LEADER, STORAGE_REFUSED or CHANGE_UNKNOWN.
         """
@@ -252,14 +253,15 @@
         return self.loop.scheduler.clock.now()
 
     def soon(self, callback: Callable[[], None]) -> None:
-        """Run a callback at the next round of the loop."""
+        """Run a callback in the next iteration of the event loop."""
         self.loop.scheduler.after(0.0, callback)
 
     def plan_tick(self) -> None:
         seconds = self.settings.heartbeat_ms / MILLISECONDS
         seconds /= TICKS_PER_HEARTBEAT
         if self.active and self.state.returned:
-            # Those who came back together must not ask in the same tick.
+            # Instances that restarted together must not start a pre-vote
+            # in the same tick.
             until = self.state.election_deadline - self.now()
             seconds = max(0.0, min(seconds, until))
         self.loop.scheduler.after(seconds, self.run_tick)
@@ -274,7 +276,7 @@
             self.handle_effects()
 
     def note_disk(self) -> None:
-        """Tell when the disk began to answer nothing, and when it goes on."""
+        """Log when the disk stalls and when it recovers."""
         stalled = self.state.is_stalled(self.now())
         if stalled != self.disk_stalled:
             self.disk_stalled = stalled
@@ -282,7 +284,7 @@
             LOG.warning(event, term=self.state.term, led=self.known_leader)
 
     def take_message(self, link: Link, message) -> None:
-        """Take a message of another instance, sent under its own name."""
+        """Process a message from the instance named in its hello."""
         if not self.active or link.hello is None:
             return
         try:
@@ -308,7 +310,7 @@
         self.flush()
 
     def halt(self, problem: Problem) -> None:
-        """Take no further part: this disk can not be trusted any more."""
+        """Stop taking part, since state or storage may be inconsistent."""
         LOG.error('replica_halted', code=int(problem.code), why=problem.line())
         self.active = False
         self.waiting.fail_all(self.not_leader())
@@ -317,10 +319,11 @@
         self.loop.scheduler.after(REOPEN_SECONDS, self.reopen)
 
     def reopen(self) -> None:
-        """Take part again once the disk takes writes again.
+        """Reopen the storage and rejoin once the disk accepts writes.
 
-        The write that failed is cut first: it may be read back without
-        being on the disk. The machine begins anew, as after a restart.
+        The failed write is truncated first, since it may be readable from
+        the cache without being on the disk. The state machine restarts from
+        its initial state, as after a process restart.
         """
         if self.sync is None or self.active:
             return
@@ -345,7 +348,7 @@
         LOG.info('replica_reopened')
 
     def note_not_reopened(self, problem: Problem) -> None:
-        """Try again later, unless what is on the disk is damaged."""
+        """Schedule a retry, unless the stored data is damaged."""
         if problem.code == ResultCode.STORAGE_FAILED:
             LOG.warning('disk_still_refuses', error=problem.line())
             self.plan_reopen()
@@ -365,7 +368,7 @@
         self.flush()
 
     def flush(self) -> None:
-        """Append what is queued, one batch for each sync of ours."""
+        """Append queued proposals, one batch per local sync."""
         if not self.waiting.queue:
             return
         if not self.leads:
@@ -390,10 +393,10 @@
     # -- effects ----------------------------------------------------------
 
     def handle_effects(self) -> None:
-        """Do what the decisions ask for, in order.
+        """Execute the collected effects in order.
 
-        Callbacks may come back in here; the outermost call goes on with
-        what they add, so that the order is kept.
+        Callbacks may call this recursively; the outermost call handles the
+        effects they add, so that the order is preserved.
         """
         if self.handling:
             return
--- a/cyclamenlift/replication/voters.py
+++ b/cyclamenlift/replication/voters.py
@@ -1,17 +1,19 @@
-"""Who counts: the voter set, by instance and storage id.
+"""The voter set, identified by instance and storage id.
 
-An instance's name is not enough to count its vote, since its disk may have
-come back empty and forgotten what it promised. A configuration therefore
-maps each instance to the storage id of the data folder that counts for it,
+An instance name alone does not identify a voter: its disk may have come
+back empty and lost the votes and entries it had persisted. A configuration
+therefore maps each instance to the storage id of its voting data folder,
 and is itself an entry of the log.
 
-* Founding: with no configuration in its log a candidate needs the votes of
+* Bootstrap: with no configuration in its log a candidate needs the votes of
   *every* instance, all with empty logs. Any instance that holds an entry
-  refuses, so wiped folders can not found a second cluster beside data.
-* Replacement: after a changed configuration a majority of the old *and* of
-  the new one is needed, until a final one stands in the log. That entry is
-  made only after the change was committed, so whoever holds it, also after
-  a restart, has the proof that the old storage is no longer needed.
+  refuses, so wiped folders cannot form a second cluster beside existing
+  data.
+* Reconfiguration (joint consensus): after a changed configuration a
+  majority of the old *and* of the new one is needed, until a final one is
+  in the log. That entry is appended only after the change was committed,
+  so any instance that holds it, also after a restart, knows that the old
+  storage is no longer needed.
 """
 
 from collections.abc import Mapping
@@ -20,16 +22,16 @@
 
 
 class ConfigurationError(ValueError):
-    """The bytes of a configuration can not be read."""
+    """An encoded configuration cannot be decoded."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Configuration:
-    """The storage id that counts for each instance, since ``index``.
+    """The voting storage id of each instance, from ``index`` on.
 
-    ``final`` says that those before it do not count any more.
-    ``addresses`` tells where an instance is reached, ``host:port``, so
-    that one that was added is found after a restart of all.
+    ``final`` means that earlier configurations are no longer in force.
+    ``addresses`` holds each instance's ``host:port``, so that instances
+    added later can be reached after a full restart.
     """
 
     index: int
@@ -38,7 +40,7 @@
     addresses: dict[str, str] = dataclasses.field(default_factory=dict)
 
     def has_majority(self, present: Mapping[str, str]) -> bool:
-        """Tell whether ``present`` (instance to storage id) is a majority.
+        """Return whether ``present`` (instance to storage id) is a majority.
 
         >>> configuration = Configuration(1, {'a': '1', 'b': '2', 'c': '3'})
         >>> configuration.has_majority({'a': '1', 'b': '2'})
@@ -53,7 +55,7 @@
         return held > len(self.storage_ids) // 2
 
     def replaced(self, instance: str, storage_id: str) -> 'Configuration':
-        """Return a copy, not yet in the log, with one storage replaced."""
+        """Return a non-final copy with the storage of one voter replaced."""
         storage_ids = dict(self.storage_ids)
         storage_ids[instance] = storage_id
         return Configuration(0, storage_ids, False, self.addresses)
@@ -61,7 +63,7 @@
     def joined(
         self, instance: str, storage_id: str, address: str
     ) -> 'Configuration':
-        """Return a copy, not yet in the log, with one voter more."""
+        """Return a non-final copy with a voter added."""
         storage_ids = dict(self.storage_ids)
         storage_ids[instance] = storage_id
         addresses = dict(self.addresses)
@@ -69,7 +71,7 @@
         return Configuration(0, storage_ids, False, addresses)
 
     def without(self, instance: str) -> 'Configuration':
-        """Return a copy, not yet in the log, with one voter less."""
+        """Return a non-final copy with a voter removed."""
         storage_ids = dict(self.storage_ids)
         storage_ids.pop(instance, None)
         addresses = dict(self.addresses)
@@ -77,7 +79,7 @@
         return Configuration(0, storage_ids, False, addresses)
 
     def finished(self) -> 'Configuration':
-        """Return the same voters, with those before them forgotten."""
+        """Return the same voters as a final configuration."""
         return dataclasses.replace(self, final=True)
 
     def encode(self) -> bytes:
@@ -90,7 +92,7 @@
 
     @classmethod
     def decode(cls, index: int, data: bytes) -> 'Configuration':
-        """Read a configuration; raise ConfigurationError on bad bytes."""
+        """Decode a configuration; raise ConfigurationError if it is invalid."""
         try:
             fields = json.loads(data)
             return cls(
@@ -104,7 +106,7 @@
 
 
 class Voters:
-    """The configurations of the log, and the quorums they ask for."""
+    """The configurations in the log and the quorums they require."""
 
     def __init__(self, names: tuple[str, ...]):
         self.names = names
@@ -114,15 +116,15 @@
         self.history.append(configuration)
 
     def truncate_from(self, index: int) -> None:
-        """Forget the configurations of entries that were cut."""
+        """Remove the configurations of truncated entries."""
         self.history = [c for c in self.history if c.index < index]
 
     def reset(self, configuration: Configuration | None) -> None:
-        """Forget all but the configuration of a snapshot."""
+        """Replace the history by the configuration of a snapshot."""
         self.history = [configuration] if configuration else []
 
     def restart_from(self, configuration: Configuration | None) -> None:
-        """Begin with the configuration of a snapshot, keep later ones."""
+        """Start from the configuration of a snapshot and keep later ones."""
         first = configuration.index if configuration else 0
         later = [c for c in self.history if c.index > first]
         self.reset(configuration)
@@ -138,14 +140,17 @@
         return self.history[-1] if self.history else None
 
     def known_names(self) -> set[str]:
-        """Return all that count, or shall found the cluster."""
+        """Return the current or, before bootstrap, the initial voters."""
         if not self.history:
             return set(self.names)
         return {n for c in self.active for n in c.storage_ids}
 
     @property
     def active(self) -> list[Configuration]:
-        """Return the last final configuration and those after it."""
+        """Return the configurations in force, newest first.
+
+        These are the last final configuration and all after it.
+        """
         chosen: list[Configuration] = []
         for configuration in reversed(self.history):
             chosen.append(configuration)
@@ -160,18 +165,18 @@
         )
 
     def has_quorum(self, present: Mapping[str, str]) -> bool:
-        """Tell whether ``present`` decides: elects, commits, confirms."""
+        """Return whether ``present`` is a quorum in every active one."""
         active = self.active
         if not active:
             return self.can_found(present)
         return all(c.has_majority(present) for c in active)
 
     def can_found(self, present: Mapping[str, str]) -> bool:
-        """Tell whether every instance is there to found the cluster."""
+        """Return whether every initial instance is present."""
         return all(name in present for name in self.names)
 
     def names_storage(self, instance: str, storage_id: str) -> bool:
-        """Tell whether the latest configuration names this storage."""
+        """Return whether the latest configuration names this storage."""
         latest = self.latest
         if latest is None:
             return False
--- a/cyclamenlift/replication/waiting.py
+++ b/cyclamenlift/replication/waiting.py
@@ -1,4 +1,4 @@
-"""Callers that wait: for a place in the log, a commit or a read."""
+"""Pending operations: proposals, uncommitted entries and reads."""
 
 from collections.abc import Callable
 import dataclasses
@@ -17,7 +17,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Proposal:
-    """A command that waits to be appended."""
+    """A command that is queued to be appended."""
 
     command: bytes
     done: ProposalDone
@@ -25,14 +25,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Appended:
-    """A proposal that is in the log and waits to be committed."""
+    """A proposal in the log that is not committed yet."""
 
     term: int
     done: ProposalDone
 
 
 class Waiting:
-    """Everyone who has asked and not been answered; each is, once."""
+    """The unanswered operations; each is answered exactly once."""
 
     def __init__(self):
         self.queue: list[Proposal] = []
@@ -41,13 +41,13 @@
         self.last_token = 0
 
     def add_read(self, done: ReadDone) -> int:
-        """Keep a read; return the token it goes by."""
+        """Add a pending read; return its token."""
         self.last_token += 1
         self.reads[self.last_token] = done
         return self.last_token
 
     def take_batch(self, limit: int) -> list[Proposal]:
-        """Return the oldest queued proposals and forget them."""
+        """Remove and return the oldest queued proposals."""
         batch = self.queue[:limit]
         del self.queue[:limit]
         return batch
@@ -56,7 +56,7 @@
         self.appended[index] = Appended(term, done)
 
     def finish_entry(self, entry: LogEntry, answer: bytes) -> None:
-        """Answer the proposal that became this committed entry."""
+        """Answer the proposal of a committed entry."""
         appended = self.appended.pop(entry.index, None)
         if appended is None:
             return
@@ -71,13 +71,13 @@
             done(Success(index))
 
     def fail_queue(self, problem: Problem) -> None:
-        """Answer proposals that were certainly not appended."""
+        """Fail the queued proposals, which were certainly not appended."""
         queue, self.queue = self.queue, []
         for proposal in queue:
             proposal.done(Failure(problem))
 
     def fail_all(self, problem: Problem) -> None:
-        """Answer everyone; what was appended may yet be committed."""
+        """Fail all operations; appended entries may still be committed."""
         unknown = Failure(Problem(ResultCode.CHANGE_UNKNOWN))
         appended, self.appended = self.appended, {}
         for waiting in appended.values():
--- a/tests/ledger/builders.py
+++ b/tests/ledger/builders.py
@@ -1,4 +1,4 @@
-"""Attempts, ledgers and a scripted network for tests of the ledger."""
+"""Builders, a script runner and a fake network for ledger tests."""
 
 import dataclasses
 import random
@@ -27,11 +27,11 @@
 
 
 def restarted(ledger: state.Ledger) -> state.Ledger:
-    """Return the ledger as it comes back from its encoded snapshot."""
+    """Return the ledger restored from its encoded snapshot."""
     data = ledger.encode()
     fresh = state.Ledger()
     fresh.restore(SNAPSHOT.validate_json(data))
-    # Nothing is encoded yet in the fresh one, so this finds stale parts.
+    # The fresh ledger has no cached encodings, so this detects stale ones.
     assert fresh.encode() == data
     for identity, claim in ledger.claims.items():
         assert dataclasses.replace(claim, encoded=None) == (
@@ -46,7 +46,7 @@
 
 
 class Script:
-    """A ledger driven by short steps; each returns its answer."""
+    """A ledger driven by textual steps; each step returns its answer."""
 
     def __init__(self):
         self.ledger = state.Ledger()
@@ -54,7 +54,7 @@
         self.event_end = EVENT_END
 
     def run(self, action, *words):
-        """Run one step that is given as words."""
+        """Run one step, given as words."""
         plain = [word for word in words if '=' not in word]
         fields = dict(word.split('=') for word in words if '=' in word)
         return getattr(self, action)(*plain, **fields)
@@ -83,7 +83,7 @@
 
 
 class FakeClock:
-    """A clock that tests move."""
+    """A clock that tests advance."""
 
     def __init__(self):
         self.instant = 100.0
@@ -96,7 +96,7 @@
 
 
 class FakeLink:
-    """A connection that keeps what was sent over it."""
+    """A connection that records the messages sent over it."""
 
     def __init__(self, address=None, instance='', number=1):
         self.address = address
@@ -114,7 +114,7 @@
 
 
 class FakeNetwork:
-    """Peers by address; ``sent`` holds (address, message) in order."""
+    """A fake network; ``sent`` holds (address, message) in order."""
 
     def __init__(self):
         self.links = {a: FakeLink(a, n) for a, n in NAMES.items()}
@@ -146,7 +146,7 @@
         self.given_up.append(address)
 
     def deliver(self, address, message) -> None:
-        """Let a message of the peer at ``address`` arrive."""
+        """Deliver a message from the peer at ``address``."""
         link = self.links.get(address) or FakeLink(address, str(address))
         self.receivers[FIELD_OF[type(message)]](link, message)
 
@@ -158,7 +158,7 @@
 
 
 class ClientBed:
-    """A claim client with a scripted network and a clock by hand."""
+    """A claim client with a fake network and a manual clock."""
 
     def __init__(self, control=CONTROL):
         self.clock = FakeClock()
@@ -179,18 +179,18 @@
         self.client.claim(request, deadline, self.answers.append)
 
     def pass_time(self, seconds) -> None:
-        """Move the clock in small steps and run what is due."""
+        """Advance the clock in small steps and run due timers."""
         end = self.clock.instant + seconds
         while self.clock.instant < end - 1e-9:
             self.clock.instant = min(end, self.clock.instant + 0.01)
             self.root.scheduler.run_due()
 
     def asked(self, kind) -> list[Address]:
-        """Return who was sent a message of ``kind``, in order."""
+        """Return the recipients of messages of ``kind``, in order."""
         return [a for a, m in self.network.sent if isinstance(m, kind)]
 
     def reply(self, answer, address=None) -> None:
-        """Answer the last message sent, from whom it went to."""
+        """Answer the last message sent, by default from its recipient."""
         to, message = self.network.sent[-1]
         answer.request_id = message.request_id
         self.network.deliver(address or to, answer)
--- a/tests/ledger/test_ledger_properties.py
+++ b/tests/ledger/test_ledger_properties.py
@@ -1,8 +1,8 @@
-"""The ledger under random attempts, ends, time and restarts.
+"""Property test of the ledger: random attempts, ends, time and restarts.
 
-All attempts are for one key. An attempt that is granted may run, unless it
-has released its claim, and it releases only what it has not run. The key
-may never run twice within its life, which is the latest deadline sent.
+All attempts are for one key. A granted attempt may run unless it has
+released its claim, and it releases only if it has not run. The key must
+never run twice within its lifetime, which ends at the latest deadline sent.
 """
 
 import os
@@ -28,17 +28,17 @@
 from tests.ledger.builders import restarted
 from tests.ledger.builders import START
 
-# The life of a key: the deadlines that its caller may send.
+# Deadlines that the caller may send with the key.
 DEADLINES = sampled_from([0, START + 400, START + 900])
 STEPS = sampled_from([-1_000, 1, 100, 300, 500])
 LONG_STEPS = sampled_from([RELEASED_MS, RETAINED_MS])
-# What an entry does with a grant: nothing yet, run, or run and end.
+# What follows a grant: nothing yet, a run, or a run and its end.
 NEXT_STEPS = sampled_from(['', 'RUN', 'ANSWERED', 'UNKNOWN'])
 PICK = integers(0, 20)
 
 
 class LedgerMachine(RuleBasedStateMachine):
-    """Callers, entries and targets around one ledger."""
+    """Callers and targets that use one ledger."""
 
     def __init__(self):
         super().__init__()
@@ -55,7 +55,7 @@
 
     @rule(expires=DEADLINES, left=integers(0, 300), then=NEXT_STEPS)
     def send(self, expires, left, then):
-        """A caller tries: a fresh attempt goes to the ledger."""
+        """A caller sends a new attempt."""
         name = f'a{len(self.requests)}'
         request = Attempt('booking', 'k', name, expires, b'f', left)
         self.requests.append(request)
@@ -63,7 +63,7 @@
 
     @rule(pick=PICK, then=NEXT_STEPS)
     def send_again(self, pick, then):
-        """A message comes late or twice."""
+        """A claim message arrives late or twice."""
         if self.requests:
             self.claim(self.requests[pick % len(self.requests)], then)
 
@@ -76,7 +76,7 @@
             self.end(request, Ending[then])
 
     def run(self, request):
-        """A granted attempt reaches its target, once at most."""
+        """A granted attempt runs on its target, at most once."""
         name = request.attempt_id
         if name not in self.released and name not in self.ran:
             self.ran.add(name)
@@ -84,7 +84,7 @@
 
     @rule(pick=PICK)
     def release(self, pick):
-        """An entry gives up what it has not run: early, late or twice."""
+        """An attempt that has not run is released: early, late or twice."""
         if not self.requests:
             return
         request = self.requests[pick % len(self.requests)]
@@ -106,7 +106,7 @@
 
     @rule(step=STEPS)
     def pass_time(self, step):
-        """A stamp arrives; from a leader whose clock is behind, an old one."""
+        """A stamp arrives, from a leader with a slow clock an old one."""
         self.ledger.advance(self.time_ms + step)
         self.time_ms = max(self.time_ms, self.time_ms + step)
 
--- a/tests/ledger/test_server.py
+++ b/tests/ledger/test_server.py
@@ -1,4 +1,4 @@
-"""Contract of the claim server, with a replica that tests answer for."""
+"""Contract of the claim server, with a fake replica."""
 
 import pytest
 from returns.result import Failure
@@ -24,7 +24,7 @@
 
 
 class FakeReplica:
-    """Keeps what is proposed; tests say who leads and what comes of it."""
+    """Records proposals; tests set the leader and the outcomes."""
 
     def __init__(self, leader='a'):
         self.leader = leader
@@ -70,10 +70,10 @@
     'result, expected',
     [
         (Success(GRANT), Verdict.GRANTED),
-        # It never entered the log; it may still be granted.
+        # Not appended at all, then: appended and may still be granted.
         (failure(ResultCode.NOT_LEADER), Verdict.NOT_LEADER),
         (failure(ResultCode.CHANGE_UNKNOWN), Verdict.NO_MAJORITY),
-        # No answer from the ledger, or foreign bytes.
+        # No answer from the ledger, then an answer that is not decodable.
         (Success(b''), Verdict.NO_MAJORITY),
         (Success(b'\x0b\xff'), Verdict.NO_MAJORITY),
     ],
--- a/tests/ledger/test_state.py
+++ b/tests/ledger/test_state.py
@@ -1,4 +1,4 @@
-"""The ledger's decisions, as scripts of steps and their answers.
+"""The ledger's decisions, as scripts of steps with expected answers.
 
 A step is ``claim ATTEMPT [field=value]``, ``end ATTEMPT ENDING``, ``at
 OFFSET`` (ledger time), ``event OFFSET`` (its end) or ``restart``, then
--- a/tests/ledger/test_tasks.py
+++ b/tests/ledger/test_tasks.py
@@ -1,4 +1,4 @@
-"""Contract of the claim client, with a scripted network."""
+"""Contract of the claim client, with a fake network."""
 
 import pytest
 
@@ -40,7 +40,7 @@
 
 
 def reply_once(bed, answer):
-    """Answer the last question unless that was done before."""
+    """Answer the last request unless it was answered already."""
     asked = len(bed.network.sent)
     if asked != bed.answered:
         bed.answered = asked
@@ -120,7 +120,7 @@
     return lambda bed: reply_once(bed, verdict(kind))
 
 
-# What happens until patience ends, and whether a claim may be left behind.
+# What happens until the timeout, and whether a claim may be left behind.
 @pytest.mark.parametrize(
     'step, left_behind',
     [
@@ -214,7 +214,7 @@
     assert bed.client.releases == 0
 
 
-# ``leader`` in the answer: the own name marks a decision.
+# An answer that names its sender as ``leader`` is a decision.
 @pytest.mark.parametrize(
     'committed, leader, expected',
     [
@@ -242,8 +242,8 @@
     assert not bed.answers
 
 
-# Guards against claims that know the seeds alone: once these were replaced
-# or dark, no claim found the leader though the others did.
+# Guards against a client that knows only the configured instances: after
+# these were replaced or unreachable, no claim found the leader.
 def test_an_instance_that_became_known_later_is_asked_as_well():
     bed = ClientBed()
     finder = bed.client.finder
@@ -257,7 +257,7 @@
     assert bed.asked(Request) == [later]
 
 
-# Guards against a second spent on dark instances while others are up.
+# Guards against a second spent on unreachable instances while others are up.
 def test_instances_whose_connection_is_up_are_asked_first():
     bed = ClientBed()
     up = CONTROL[1]
@@ -266,8 +266,8 @@
     assert bed.asked(Request) == [up]
 
 
-# Guards against going in circles between a leader that froze and those who
-# go on naming it until they have another one.
+# Guards against a loop between a frozen leader and followers, which name it
+# until another leader is elected.
 def test_a_hint_to_a_silent_instance_is_not_followed():
     bed = ClientBed()
     bed.claim()
@@ -279,8 +279,8 @@
     assert bed.asked(Request)[-1] != silent
 
 
-# Guards against a leader that nobody asks: its connection was lost, those to
-# the others are up, and these name it each time.
+# Guards against a leader that is never asked: its connection is lost, while
+# the followers are connected and name it in each answer.
 def test_a_leader_without_a_connection_is_asked_when_it_is_named():
     bed = ClientBed()
     leader = CONTROL[2]
@@ -291,7 +291,7 @@
     assert bed.asked(Request)[-1] == leader
 
 
-# Guards against instances that are never asked since others are up.
+# Guards against unconnected instances never being asked while others are up.
 def test_each_round_reaches_all_instances():
     bed = ClientBed()
     for address in CONTROL[1:]:
--- a/tests/replication/builders.py
+++ b/tests/replication/builders.py
@@ -1,4 +1,4 @@
-"""Replica states with disks in memory and a bag of messages."""
+"""Builders for replica states, and a simulated cluster with memory disks."""
 
 import dataclasses
 import json
@@ -33,7 +33,7 @@
 
 
 class Violation(AssertionError):
-    """A promise of the replicated log is broken."""
+    """A safety property of the replicated log is violated."""
 
 
 def make_entries(*terms: int, first: int = 1, kind: int = 1):
@@ -44,7 +44,7 @@
 
 
 def make_state(name='a', names=NAMES, bootstrap=True, **found):
-    """Build one state; ``found`` is what its disk held."""
+    """Build a replica state; ``found`` is the content of its disk."""
     recovered = Recovered(**{'storage_id': f'{name}-1', **found})
     peers = tuple(n for n in names if n != name)
     rng = random.Random(name)
@@ -52,7 +52,7 @@
 
 
 class MemoryDisk:
-    """What is synced; the same rules as the files on a disk."""
+    """Synced state in memory, with the semantics of the storage files."""
 
     def __init__(self, storage_id: str):
         self.found = Recovered(storage_id)
@@ -74,7 +74,7 @@
 
 
 class Node:
-    """One instance: its disk, its state and what it has applied."""
+    """One instance: its disk, replica state and applied commands."""
 
     def __init__(self, name: str, names: tuple[str, ...], number: int):
         self.name = name
@@ -84,7 +84,7 @@
         self.boot()
 
     def boot(self) -> None:
-        """Start from what the disk holds."""
+        """Start from the content of the disk."""
         found = dataclasses.asdict(self.disk.found)
         found['snapshot'] = self.disk.found.snapshot
         found['entries'] = self.disk.found.entries
@@ -97,9 +97,9 @@
 
 
 class Cluster:
-    """Nodes, messages on their way, and the promises that are checked.
+    """Simulated nodes and messages, with safety checks after each step.
 
-    Raises Violation as soon as a promise is broken.
+    Raises Violation as soon as a safety property is violated.
     """
 
     def __init__(self, names: tuple[str, ...] = NAMES):
@@ -118,7 +118,7 @@
     # -- steps ------------------------------------------------------------
 
     def time_out(self, name: str) -> None:
-        """Let an election timeout pass; only ``name`` notices."""
+        """Advance time by an election timeout, but tick only ``name``."""
         self.now += 3 * ELECTION
         tick(self.nodes[name].state, self.now)
         self.pump(name)
@@ -143,7 +143,7 @@
             self.pump(name)
 
     def sync(self, name: str, count: int | None = None) -> None:
-        """Make the first ``count`` writes durable (default all)."""
+        """Make the first ``count`` pending writes durable (default all)."""
         node = self.nodes[name]
         done = node.unsynced[:count]
         del node.unsynced[: len(done)]
@@ -154,7 +154,7 @@
             self.pump(name)
 
     def crash(self, name: str, kept: int = 0) -> None:
-        """Restart; ``kept`` writes reached the disk without an answer."""
+        """Restart; ``kept`` pending writes had still reached the disk."""
         node = self.nodes[name]
         for effect in node.unsynced[:kept]:
             node.disk.write(effect)
@@ -162,7 +162,7 @@
         node.boot()
 
     def wipe(self, name: str) -> None:
-        """Lose a disk, unless another loss is not repaired yet."""
+        """Lose a disk, unless an earlier loss is not repaired yet."""
         if not self.repairing:
             self.repairing = name
             self.number += 1
@@ -171,7 +171,7 @@
             self.crash(name)
 
     def swap_disks(self) -> None:
-        """Bring back the disk that was thought lost, or its successor."""
+        """Swap the lost disk and its replacement."""
         name, disk = self.spare
         if self.repairing in ('', name):
             self.repairing = name
@@ -180,7 +180,7 @@
             self.crash(name)
 
     def replace(self, name: str) -> None:
-        """Ask leader ``name`` to let the new disk count."""
+        """Ask leader ``name`` to make the new disk a voter."""
         if self.leads(name) and self.repairing:
             node = self.nodes[self.repairing]
             storage_id = node.state.storage_id
@@ -196,13 +196,16 @@
         self.pump(to)
 
     def deliver_where(self, chosen, keep: bool = False) -> None:
-        """Deliver the messages that are chosen now, perhaps twice."""
+        """Deliver the pending messages that match ``chosen``.
+
+        With ``keep`` they stay pending and may be delivered again.
+        """
         for entry in [m for m in self.messages if chosen(m)]:
             if entry in self.messages:
                 self.deliver(self.messages.index(entry), keep)
 
     def settle(self, names, rounds, lazy='', prefix: str = '') -> None:
-        """Exchange within ``names``, and sync all but ``lazy``."""
+        """Exchange messages among ``names``; all but ``lazy`` sync."""
 
         def chosen(message) -> bool:
             kind = type(message[2]).__name__
@@ -216,7 +219,7 @@
             self.deliver_where(chosen)
 
     def stand(self, name: str, names) -> None:
-        """Let ``name`` stand; leaders within ``names`` notice the cut."""
+        """Make ``name`` a candidate; leaders in ``names`` time out first."""
         for leader in [n for n in names if self.leads(n)]:
             self.time_out(leader)
         self.time_out(name)
@@ -226,7 +229,7 @@
         self.stand(name, names)
         self.settle(names, 4, prefix='Vote')
 
-    # -- effects and promises ---------------------------------------------
+    # -- effects and safety checks ----------------------------------------
 
     def leads(self, name: str) -> bool:
         return self.nodes[name].state.role is Role.LEADER
@@ -258,7 +261,7 @@
             node.unsynced.append(effect)
 
     def apply(self, node: Node, entries) -> None:
-        """Committed entries are the same everywhere, for good."""
+        """Check that committed entries are equal on all nodes."""
         for entry in entries:
             if entry.index != len(node.applied) + 1:
                 raise Violation(f'{node.name} skipped to {entry.index}')
@@ -269,7 +272,7 @@
                 raise Violation(f'entry {entry.index} was changed')
 
     def check_leader(self, node: Node) -> None:
-        """One leader a term; it holds every committed entry."""
+        """Check for one leader per term that holds all committed entries."""
         state = node.state
         if self.leaders.setdefault(state.term, node.name) != node.name:
             raise Violation(f'two leaders in term {state.term}')
--- a/tests/replication/growth_explorer.py
+++ b/tests/replication/growth_explorer.py
@@ -1,9 +1,9 @@
-"""A seeded explorer of a cluster that grows, repairs and replaces itself.
+"""Seeded random simulation of automatic voter set changes.
 
-Three instances found the cluster, others join, and whatever a network and
-disks can do happens meanwhile: messages are lost, doubled and reordered,
-processes crash with torn writes, disks are lost (never more than a majority
-of any voter set that stands in a log can bear), links are cut.
+Three instances bootstrap the cluster and others join. Meanwhile messages
+are lost, duplicated and reordered, processes crash with torn writes, links
+are cut and disks are lost, though never so many that a voter set in some
+log loses its majority.
 """
 
 import dataclasses
@@ -24,14 +24,14 @@
 
 
 class GrowingNode(Node):
-    """An instance that is told of the founders alone."""
+    """A node that initially knows only the founders."""
 
     def boot(self) -> None:
         super().boot()
         found = self.disk.found
         founders = tuple(n for n in FOUNDERS if n != self.name)
-        # ``self.names`` tells whether the whole system starts for the first
-        # time: a disk that came back empty must not found a second one.
+        # ``self.names`` is empty after a disk loss: an instance with an
+        # empty disk must not bootstrap a second cluster.
         self.state = ReplicaState(
             self.name,
             founders,
@@ -45,7 +45,7 @@
 
 
 class GrowingCluster(Cluster):
-    """Takes random steps; raises Violation when a promise breaks."""
+    """Takes random steps; raises Violation on a safety violation."""
 
     def __init__(self, seed: int):
         super().__init__(ALL)
@@ -114,7 +114,7 @@
             self.split()
 
     def split(self) -> None:
-        """Cut all ways between two halves of the instances."""
+        """Partition the instances into two halves."""
         half = set(self.rng.sample(ALL, len(ALL) // 2))
         pairs = itertools.permutations(ALL, 2)
         self.cut = {(a, b) for a, b in pairs if (a in half) != (b in half)}
@@ -143,7 +143,7 @@
         self.down.add(name)
 
     def is_borne(self, lost: set[str]) -> bool:
-        """Tell whether each voter set in a log keeps its majority."""
+        """Return whether each voter set in a log keeps a majority."""
         found = False
         for node in self.nodes.values():
             for voters in node.state.voters.history:
@@ -171,7 +171,7 @@
         return latest.storage_ids if latest else {}
 
     def calm(self, steps: int = 400) -> None:
-        """Heal everything and let the cluster repair itself."""
+        """Remove all faults and let the cluster recover."""
         self.cut.clear()
         for name in sorted(self.down):
             self.start(name)
--- a/tests/replication/model.py
+++ b/tests/replication/model.py
@@ -1,4 +1,4 @@
-"""A model of three instances under loss, reordering, crashes, lost disks."""
+"""Stateful model: three instances with message, process and disk faults."""
 
 import itertools
 
@@ -19,10 +19,10 @@
 
 
 class Model(stateful.RuleBasedStateMachine):
-    """Rules are single steps, and runs as a cut network would allow.
+    """Rules are single steps, or exchanges between partitioned instances.
 
-    In a run between two instances one may be ``slow``: it does not sync,
-    and crashes after the run.
+    In an exchange between two instances one may be ``slow``: it does not
+    sync, and crashes after the exchange.
     """
 
     def __init__(self):
@@ -48,7 +48,7 @@
 
     @stateful.rule(pair=PAIRS, slow=SLOW, rounds=ROUNDS, cut=FLAGS)
     def elect_and_write(self, pair, slow, rounds, cut):
-        """Cut off the third one, perhaps one way only at first."""
+        """Partition the third instance; with ``cut`` it can still send."""
         third = next(n for n in NAMES if n not in pair)
         if cut:
             self.cluster.heartbeat(third)
@@ -77,7 +77,7 @@
 
     @stateful.rule(cut=FLAGS)
     def read(self, cut):
-        """Ask all that think they lead; a cut lets old answers through."""
+        """Read on every leader; with ``cut`` only answers are delivered."""
         for name in NAMES:
             self.cluster.read(name)
         self.cluster.settle(NAMES, 3, prefix='AppendAnswer' if cut else '')
@@ -112,7 +112,7 @@
     @stateful.precondition(lambda self: self.cluster.repairing)
     @stateful.rule(names=PAIRS | strategies.permutations(NAMES))
     def replace_disk(self, names):
-        """The first one leads, perhaps, and the others are caught up."""
+        """Catch up the others from the first one if it is the leader."""
         self.cluster.heartbeat(names[0])
         self.cluster.settle(names, CATCH_UP_ROUNDS)
         self.cluster.replace(names[0])
--- a/tests/replication/test_growth.py
+++ b/tests/replication/test_growth.py
@@ -1,4 +1,4 @@
-"""Voters that the leader adds, repairs and takes out by itself."""
+"""Voters that the leader adds, replaces and removes automatically."""
 
 import pytest
 
@@ -33,7 +33,7 @@
 
 
 def pass_time(cluster: GrowingCluster) -> None:
-    """Let ten seconds pass without trouble for those that are up."""
+    """Simulate ten seconds without faults for the running nodes."""
     for _ in range(200):
         cluster.now += 0.05
         for name in ALL:
--- a/tests/replication/test_model.py
+++ b/tests/replication/test_model.py
@@ -1,8 +1,8 @@
-"""The decisions under loss, duplication, reordering, crashes, lost disks.
+"""Safety under lost, duplicated and reordered messages, crashes, disk loss.
 
-One model drives them; a second test breaks one rule at a time and must see
-the model notice. Steps that have nothing to do with the broken rule are
-left out there: it takes fewer examples.
+The first test runs the stateful model. The second one breaks one rule of
+the protocol at a time and checks that the model detects it; steps unrelated
+to the broken rule are omitted there, so that it takes fewer examples.
 """
 
 import dataclasses
@@ -90,7 +90,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class BrokenRule:
-    """A rule to break, and the steps of the model that may be left out."""
+    """A protocol rule to break, and the model steps to omit."""
 
     owner: object
     name: str
--- a/tests/replication/test_processes.py
+++ b/tests/replication/test_processes.py
@@ -1,4 +1,4 @@
-"""Real processes that are killed, frozen, restarted or lose their disk."""
+"""Replica processes that are killed, frozen, restarted or lose a disk."""
 
 import shutil
 import signal
--- a/tests/replication/test_state.py
+++ b/tests/replication/test_state.py
@@ -1,4 +1,4 @@
-"""Single decisions, each with the fault cases around it in a table."""
+"""Unit tests of single protocol decisions and their fault cases."""
 
 import itertools
 import random
@@ -41,7 +41,7 @@
 
 
 def configured(storage_id='a-1'):
-    """Return an entry that names the voters."""
+    """Return a configuration entry."""
     entry = make_entries(1, kind=2)[0]
     ids = {'a': storage_id, 'b': 'b-1', 'c': 'c-1'}
     entry.command = Configuration(0, ids).encode()
@@ -68,7 +68,9 @@
     receive(state, 'b', request, 0.0)
     held = [send.message for _, send in state.outbox.held]
     assert [a.granted for a in held + sent(state)] == [granted]
-    assert bool(held) == (term > found.get('term', 0)), 'synced first'
+    assert bool(held) == (term > found.get('term', 0)), (
+        'must be synced before it is sent'
+    )
 
 
 @pytest.mark.parametrize(
@@ -141,8 +143,8 @@
 
 
 def test_one_that_came_back_with_a_log_asks_for_votes_soon_and_again():
-    # The load: all instances were killed at once, and nothing is served
-    # until there is a leader.
+    # Guards against a long outage after a full restart: until there is a
+    # leader, nothing is served.
     state = make_state('a', entries=(configured(),))
     now = 0.0
     for _ in range(3):
@@ -155,8 +157,9 @@
 
 
 def test_those_who_came_back_at_once_ask_one_after_the_other():
-    # Regression: all were back within a millisecond, two stood at the same
-    # tick, and the split vote took a whole election timeout to end.
+    # Regression: instances that restarted within a millisecond became
+    # candidates in the same tick, and the split vote was resolved only
+    # after a whole election timeout.
     states = [make_state(n, entries=(configured(),)) for n in NAMES]
     rng = random.Random(1)
     for _ in range(50):
@@ -197,16 +200,18 @@
         cluster.settle(('a', 'c'), 4)
     cluster.wipe('b')
     cluster.elect('c', ('b', 'c'))
-    assert not cluster.leads('c'), 'an empty disk does not vote'
+    assert not cluster.leads('c'), 'an empty disk must not vote'
     cluster.messages.clear()
     cluster.elect('a', ('a', 'c'))
     cluster.heartbeat('a')
     cluster.settle(NAMES, 40)
-    assert cluster.nodes['b'].state.snapshot_index > 0, 'caught up by it'
-    assert cluster.repairing == 'b', 'caught up, but it does not count'
+    assert cluster.nodes['b'].state.snapshot_index > 0, (
+        'must catch up by a snapshot'
+    )
+    assert cluster.repairing == 'b', 'must not count before the replacement'
     cluster.replace('a')
     cluster.settle(NAMES, 8)
-    assert cluster.repairing == '', 'status shows the end of the repair'
+    assert cluster.repairing == '', 'the status must show the repair'
     done = len(cluster.committed)
     cluster.wipe('c')
     cluster.crash('a')
@@ -261,7 +266,7 @@
 
 
 def pass_time_without_disk(cluster, name, elections):
-    """Let heartbeats and ticks go on while one disk answers nothing."""
+    """Run heartbeats and ticks while the disk of ``name`` hangs."""
     end = cluster.now + elections * ELECTION
     while cluster.now < end:
         cluster.now += LIMITS.heartbeat
@@ -271,12 +276,12 @@
 
 
 def test_a_leader_whose_disk_answers_nothing_gives_its_place_up():
-    """Operators waited as long as the leader's disk hung.
+    """Guards against changes that wait as long as the leader's disk hangs.
 
-    Seen: a change sent 6 s after the leader's disk had begun to hang was
-    acknowledged 3 s later, in the millisecond in which the disk went on. A
-    leader appends one batch for each sync of its own, and its heartbeats
-    need no disk, so the others, with sound disks, went on following it.
+    Seen: a change sent 6 s after the leader's disk began to hang was
+    acknowledged 3 s later, in the millisecond in which the disk recovered.
+    A leader appends one batch for each sync of its own, but its heartbeats
+    need no disk, so the peers, whose disks work, kept following it.
     """
     cluster = founded()
     cluster.propose('a')
@@ -284,7 +289,7 @@
     assert cluster.leads('a')
     pass_time_without_disk(cluster, 'a', 2.0)
     assert not cluster.leads('a')
-    # It asks nobody for votes before its disk goes on.
+    # It does not become a candidate before its disk recovers.
     term = cluster.nodes['a'].state.term
     pass_time_without_disk(cluster, 'a', 9.0)
     assert cluster.nodes['a'].state.term == term
--- a/tests/replication/test_storage.py
+++ b/tests/replication/test_storage.py
@@ -1,4 +1,4 @@
-"""The data folder under crashes, damage, strangers and failing disks."""
+"""The data folder: crashes, damage, foreign folders and failing disks."""
 
 import errno
 import os
@@ -23,7 +23,7 @@
 
 
 def write(folder, *writes):
-    """Open, make each write a sync of its own, and close."""
+    """Open a folder, sync each write separately, and close it."""
     storage = open_storage(folder, 'a').unwrap()
     for effect in writes:
         storage.write([effect])
@@ -220,7 +220,7 @@
 def test_a_torn_tail_on_a_disk_that_refuses_is_told_as_such(
     tmp_path, monkeypatch
 ):
-    """Guards against an opening that ends without a word."""
+    """Guards against an exception instead of a failure with its cause."""
     (tmp_path / 'log-000000000001').write_bytes(b'torn')
 
     def refuse(*_arguments):
--- a/tests/replication/test_tasks.py
+++ b/tests/replication/test_tasks.py
@@ -1,4 +1,4 @@
-"""The replica as a component: answers, restart, a failing disk."""
+"""The replica component: answers, restarts and failing disks."""
 
 import errno
 import os
@@ -25,7 +25,7 @@
 
 
 class Alone:
-    """One replica on a loop that the test turns."""
+    """A single replica on an event loop that the test runs."""
 
     def __init__(self, folder, peers=None, machine=None):
         self.loop = build_root()
@@ -49,13 +49,13 @@
     def turn_until(self, condition):
         end = time.monotonic() + SECONDS
         while not condition():
-            assert time.monotonic() < end, 'not in time'
+            assert time.monotonic() < end, 'the condition was not met in time'
             self.loop.tick(0.01)
 
     def ask(self, command, *arguments):
         answers = []
         getattr(self.replica, command)(*arguments, answers.append)
-        assert answers == [], 'never answered from inside the call'
+        assert answers == [], 'must not be answered from inside the call'
         self.turn_until(lambda: answers)
         return answers[0]
 
@@ -122,7 +122,7 @@
 def test_a_disk_that_takes_writes_again_brings_the_replica_back(
     tmp_path, monkeypatch
 ):
-    """Regression: after a full disk an instance was lost until a restart."""
+    """Regression: a full disk stopped an instance until its restart."""
     alone = Alone(tmp_path).lead()
     assert alone.ask('propose', b'x') == Success(b'1')
     with monkeypatch.context() as patch:
@@ -130,7 +130,7 @@
         assert isinstance(alone.ask('propose', b'y'), Failure)
         assert alone.replica.status().role is Role.STOPPED
     alone.turn_until(lambda: alone.replica.leads)
-    # What failed was cut: only the first command stands.
+    # The failed write was truncated: only the first command is in the log.
     assert alone.ask('propose', b'z') == Success(b'2')
     alone.replica.stop()
 
@@ -138,7 +138,7 @@
 def test_what_a_killed_process_had_only_written_is_synced_at_the_start(
     tmp_path, monkeypatch
 ):
-    """Regression: entries that were never synced counted as held here."""
+    """Regression: entries that were never synced were treated as durable."""
     alone = Alone(tmp_path).lead()
     assert alone.ask('propose', b'x') == Success(b'1')
     alone.replica.stop()
@@ -160,7 +160,7 @@
 def test_a_disk_that_refuses_to_be_opened_is_tried_again(
     tmp_path, monkeypatch
 ):
-    """Guards against an instance that one failed opening ends for good."""
+    """Guards against giving up after a single failed reopening."""
     alone = Alone(tmp_path).lead()
     assert alone.ask('propose', b'x') == Success(b'1')
     with monkeypatch.context() as patch:
