--- a/bench/claim_load.py
+++ b/bench/claim_load.py
@@ -64,7 +64,7 @@
             self.network,
             addresses,
             random.Random(seed),
-            patience_seconds=CLAIM_SECONDS,
+            claim_timeout_seconds=CLAIM_SECONDS,
         )
         self.numbers = itertools.count(1)
         self.with_end = False
--- a/cyclamenlift/events/carrying.py
+++ b/cyclamenlift/events/carrying.py
@@ -13,9 +13,9 @@
 from cyclamenlift.events.orders import Order
 from cyclamenlift.events.orders import OrderDone
 from cyclamenlift.events.reports import PublishReport
-from cyclamenlift.ledger.errands import Errand
-from cyclamenlift.ledger.errands import LeaderErrands
 from cyclamenlift.ledger.finder import LeaderFinder
+from cyclamenlift.ledger.leader_client import LeaderClient
+from cyclamenlift.ledger.leader_client import LeaderRequest
 from cyclamenlift.wire.gen.protocol.ttypes import OrderAnswer
 from cyclamenlift.wire.gen.protocol.ttypes import OrderRequest
 from cyclamenlift.wire.tasks import Link
@@ -31,14 +31,14 @@
 LOG = structlog.get_logger('orders')
 
 
-class OrderCarrier(LeaderErrands):
+class OrderCarrier(LeaderClient):
     """Carries orders to the leader, for a daemon or another instance.
 
     An order that comes to the leader twice is carried out once: its change
     id is in the log.
     """
 
-    max_spacing_seconds = 0.1
+    max_backoff_seconds = 0.1
 
     def __init__(
         self,
@@ -62,16 +62,16 @@
         order: Order,
         give_up_at: float,
         done: OrderDone,
-        was_taken: bool = False,
+        maybe_appended: bool = False,
     ) -> None:
         """Ask for an outcome until ``give_up_at``; ``done`` runs once.
 
-        With too many under way an order is refused at once. ``was_taken``
+        With too many under way an order is refused at once. ``maybe_appended``
         says that it may be in the log already.
         """
-        if len(self.errands) >= MOST_CARRIED:
+        if len(self.pending_requests) >= MOST_CARRIED:
             LOG.warning('order_not_carried', order=order.change.shown_id)
-            done(PublishReport(open_code(was_taken), self.instance))
+            done(PublishReport(open_code(maybe_appended), self.instance))
             return
         change = order.change
         request = OrderRequest(
@@ -81,79 +81,79 @@
             chosen_version=change.chosen_version,
             body=order.body,
         )
-        self.begin(request, give_up_at, give_up_at, done, was_taken)
+        self.submit(request, give_up_at, give_up_at, done, maybe_appended)
 
     def note_leader(self, address: Address) -> None:
         """Ask the leader, now that it is known, for all that waits."""
         self.finder.note_leader(address)
-        for errand in list(self.errands.values()):
-            errand.silent.discard(address)
-            errand.asked = None
-            self.ask(errand)
+        for pending in list(self.pending_requests.values()):
+            pending.silent.discard(address)
+            pending.asked = None
+            self.ask(pending)
 
-    def take_back(self) -> list[Errand]:
+    def take_back(self) -> list[LeaderRequest]:
         """Ask nobody any more; return what was under way."""
-        errands = list(self.errands.values())
-        self.errands.clear()
-        for errand in errands:
-            if errand.timer is not None:
-                errand.timer.cancel()
-        return errands
-
-    def next_place(self, errand: Errand) -> Address | None:
+        pending_requests = list(self.pending_requests.values())
+        self.pending_requests.clear()
+        for pending in pending_requests:
+            if pending.timer is not None:
+                pending.timer.cancel()
+        return pending_requests
+
+    def next_address(self, pending: LeaderRequest) -> Address | None:
         """Return whom to ask; at each other time a daemon, if none leads.
 
         Control instances may be cut off from each other and be reached by
         daemons all the same.
         """
-        errand.message.relayed = False
+        pending.message.relayed = False
         relay = None
-        if errand.hinted is None and errand.hops % RELAY_EACH:
+        if pending.hinted is None and pending.attempt_count % RELAY_EACH:
             relay = self.find_relay()
         if relay is None:
-            return super().next_place(errand)
-        errand.message.relayed = True
+            return super().next_address(pending)
+        pending.message.relayed = True
         return relay
 
-    def ask_next(self, errand: Errand) -> None:
+    def ask_next(self, pending: LeaderRequest) -> None:
         """Give up at once when all were asked and none can be reached."""
         control = self.finder.control
         reached = any(self.network.is_up(address) for address in control)
-        if reached or errand.hops < len(control):
-            super().ask_next(errand)
+        if reached or pending.attempt_count < len(control):
+            super().ask_next(pending)
         else:
-            self.plan(errand, self.now(), self.give_up)
+            self.schedule(pending, self.now(), self.give_up)
 
-    def give_up(self, errand: Errand) -> None:
-        code = open_code(errand.maybe_taken())
-        self.conclude(errand, PublishReport(code, self.instance))
+    def give_up(self, pending: LeaderRequest) -> None:
+        code = open_code(pending.is_maybe_appended())
+        self.conclude(pending, PublishReport(code, self.instance))
 
-    def conclude(self, errand: Errand, report: PublishReport) -> None:
+    def conclude(self, pending: LeaderRequest, report: PublishReport) -> None:
         """Hand over an outcome, and tell how it was got."""
         LOG.info(
             'order_carried',
-            order=errand.message.change_id[:SHOWN_ID],
+            order=pending.message.change_id[:SHOWN_ID],
             code=int(report.code),
-            via=str(errand.asked or ''),
-            asked=errand.hops,
-            seconds=round(self.now() - errand.began_at, 3),
+            via=str(pending.asked or ''),
+            asked=pending.attempt_count,
+            seconds=round(self.now() - pending.began_at, 3),
         )
-        self.finish(errand, report)
+        self.finish(pending, report)
 
     # -- answers ----------------------------------------------------------
 
     def on_answer(self, link: Link, answer: OrderAnswer) -> None:
-        errand = self.errands.get(answer.request_id)
-        if errand is None or link.address is None:
+        pending = self.pending_requests.get(answer.request_id)
+        if pending is None or link.address is None:
             return
         if answer.code == ResultCode.NOT_LEADER:
-            self.on_not_leader(errand, link, self.hinted(answer))
+            self.on_not_leader(pending, link, self.hinted(answer))
         elif answer.code in FINAL_CODES:
-            if not errand.message.relayed:
+            if not pending.message.relayed:
                 self.finder.note_leader(link.address)
-            self.conclude(errand, report_of(answer, self.instance))
+            self.conclude(pending, report_of(answer, self.instance))
         else:
-            self.on_lost_leader(errand, link)
+            self.on_no_quorum(pending, link)
 
     def hinted(self, answer: OrderAnswer) -> Address | None:
         """Return where the leader is by an answer, if not here."""
@@ -164,9 +164,9 @@
         return None if address == self.own_address else address
 
 
-def open_code(maybe_taken: bool) -> ResultCode:
+def open_code(is_maybe_appended: bool) -> ResultCode:
     """Return what is answered of an order that got no outcome."""
-    if maybe_taken:
+    if is_maybe_appended:
         return ResultCode.CHANGE_UNKNOWN
     return ResultCode.NOT_LEADER
 
--- a/cyclamenlift/events/desk.py
+++ b/cyclamenlift/events/desk.py
@@ -44,11 +44,11 @@
         order: Order,
         give_up_at: float,
         done: OrderDone,
-        was_taken: bool,
+        maybe_appended: bool,
     ):
         self.carrier = carrier
         self.order = order
-        self.was_taken = was_taken
+        self.maybe_appended = maybe_appended
         self.give_up_at = give_up_at
         self.done = done
         self.over = False
@@ -64,9 +64,9 @@
             self.done(report)
             return
         if report.code == ResultCode.CHANGE_UNKNOWN:
-            self.was_taken = True
+            self.maybe_appended = True
         self.carrier.carry(
-            self.order, self.give_up_at, self.done, self.was_taken
+            self.order, self.give_up_at, self.done, self.maybe_appended
         )
 
     def give_up(self) -> None:
@@ -102,7 +102,7 @@
     @property
     def busy(self) -> bool:
         """Whether an order has no answer yet."""
-        return bool(self.under_way or self.carrier.errands)
+        return bool(self.under_way or self.carrier.pending_requests)
 
     def takes(self, body_length: int | None) -> bool:
         """Tell whether an order of this size is taken."""
@@ -136,22 +136,22 @@
         order: Order,
         give_up_at: float,
         done: OrderDone,
-        was_taken: bool = False,
+        maybe_appended: bool = False,
     ) -> None:
         """Answer from the log, carry the order out, or have it carried.
 
-        ``was_taken`` says that it may be in the log already.
+        ``maybe_appended`` says that it may be in the log already.
         """
         known = self.known(order.change)
         if known is not None:
             done(known)
         elif self.context.leads():
             wait = OutcomeWait(
-                self.carrier, order, give_up_at, done, was_taken
+                self.carrier, order, give_up_at, done, maybe_appended
             )
             self.carry_out(order, wait.take)
         else:
-            self.carrier.carry(order, give_up_at, done, was_taken)
+            self.carrier.carry(order, give_up_at, done, maybe_appended)
 
     def carry_out(self, order: Order, done: OrderDone) -> None:
         """Carry an order out as the leader, once for all who wait."""
@@ -201,12 +201,12 @@
     def on_leader(self, leader: str) -> None:
         """Go on with what waited for a leader."""
         if leader == self.context.instance:
-            for errand in self.carrier.take_back():
+            for pending in self.carrier.take_back():
                 self.see_through(
-                    order_of(errand.message),
-                    errand.give_up_at,
-                    errand.done,
-                    errand.maybe_taken(),
+                    order_of(pending.message),
+                    pending.give_up_at,
+                    pending.done,
+                    pending.is_maybe_appended(),
                 )
             return
         place = self.place()
--- a/cyclamenlift/ledger/tasks.py
+++ b/cyclamenlift/ledger/tasks.py
@@ -9,9 +9,9 @@
 from cyclamenlift.core.codes import ResultCode
 from cyclamenlift.core.streams import Address
 from cyclamenlift.core.tasks import Root
-from cyclamenlift.ledger.errands import Errand
-from cyclamenlift.ledger.errands import LeaderErrands
 from cyclamenlift.ledger.finder import LeaderFinder
+from cyclamenlift.ledger.leader_client import LeaderClient
+from cyclamenlift.ledger.leader_client import LeaderRequest
 from cyclamenlift.ledger.messages import no_majority
 from cyclamenlift.wire.gen.protocol.ttypes import ClaimAnswer
 from cyclamenlift.wire.gen.protocol.ttypes import ClaimEnd
@@ -22,20 +22,21 @@
 from cyclamenlift.wire.tasks import Link
 from cyclamenlift.wire.tasks import PeerNetwork
 
-PATIENCE_SECONDS = 1.0
+CLAIM_TIMEOUT_SECONDS = 1.0
 MAX_RELEASES = 1_000
 RELEASE_SECONDS = 30.0
 LOG = structlog.get_logger('ledger')
 
 
-class ClaimClient(LeaderErrands):
+class ClaimClient(LeaderClient):
     """Requests claims from the control instances on behalf of a daemon.
 
     An attempt is retried with the same attempt id, which the ledger answers
-    with the same grant. If no majority answers within ``patience_seconds``,
-    the answer is NO_MAJORITY, and a claim that may have been granted
-    nevertheless is released. If the release is lost too, the key stays
-    held: later attempts get an unknown outcome and none of them runs.
+    with the same grant. If no majority answers within
+    ``claim_timeout_seconds``, the answer is NO_MAJORITY, and a claim that
+    may have been granted nevertheless is released. If the release is lost
+    too, the key stays held: later attempts get an unknown outcome and none
+    of them runs.
     """
 
     channel = 'claims'
@@ -46,11 +47,11 @@
         network: PeerNetwork,
         control: list[Address],
         rng: random.Random,
-        patience_seconds: float = PATIENCE_SECONDS,
+        claim_timeout_seconds: float = CLAIM_TIMEOUT_SECONDS,
     ):
         finder = LeaderFinder(control, rng)
         super().__init__(root, network, finder, channel='claims')
-        self.patience_seconds = patience_seconds
+        self.claim_timeout_seconds = claim_timeout_seconds
         self.releases = 0
         network.subscribe(ClaimAnswer, self.on_claim_answer)
         network.subscribe(ClaimEndAnswer, self.on_end_answer)
@@ -68,8 +69,8 @@
         The attempt id must be unique for each call. The request id and the
         time left are filled in here.
         """
-        patience_ends = self.now() + self.patience_seconds
-        self.begin(request, deadline, min(deadline, patience_ends), done)
+        times_out_at = self.now() + self.claim_timeout_seconds
+        self.submit(request, deadline, min(deadline, times_out_at), done)
 
     def end(
         self,
@@ -82,24 +83,24 @@
         ``done`` gets False if the deadline passed first, or if another
         ending of this attempt is already recorded.
         """
-        self.begin(ending, deadline, deadline, done)
+        self.submit(ending, deadline, deadline, done)
 
     # -- attempts ---------------------------------------------------------
 
-    def prepare(self, errand: Errand, now: float) -> None:
+    def prepare(self, pending: LeaderRequest, now: float) -> None:
         """Fill in the time that the call has left."""
-        if is_claim(errand):
-            left = max(0.0, errand.deadline - now)
-            errand.message.time_left_ms = int(left * MILLISECONDS)
+        if is_claim(pending):
+            left = max(0.0, pending.deadline - now)
+            pending.message.time_left_ms = int(left * MILLISECONDS)
 
-    def give_up(self, errand: Errand) -> None:
+    def give_up(self, pending: LeaderRequest) -> None:
         """End without an answer and release a claim that may be granted."""
-        if not is_claim(errand):
-            self.finish(errand, False)
+        if not is_claim(pending):
+            self.finish(pending, False)
             return
-        self.finish(errand, no_majority(errand.message.request_id))
-        if errand.maybe_taken():
-            self.release(errand.message)
+        self.finish(pending, no_majority(pending.message.request_id))
+        if pending.is_maybe_appended():
+            self.release(pending.message)
 
     def release(self, request: ClaimRequest) -> None:
         """Release a claim that will not be used.
@@ -129,35 +130,35 @@
 
     def on_claim_answer(self, link: Link, answer: ClaimAnswer) -> None:
         self.record_instance_address(link)
-        errand = self.errands.get(answer.request_id)
-        if errand is None or not is_claim(errand):
+        pending = self.pending_requests.get(answer.request_id)
+        if pending is None or not is_claim(pending):
             return
         if answer.verdict == ClaimVerdict.NOT_LEADER:
-            self.refused(errand, link, answer.leader)
+            self.refused(pending, link, answer.leader)
         elif answer.verdict == ClaimVerdict.NO_MAJORITY:
-            self.on_lost_leader(errand, link)
+            self.on_no_quorum(pending, link)
         else:
-            self.on_decision(errand, link, answer)
+            self.on_decision(pending, link, answer)
 
     def on_decision(
-        self, errand: Errand, link: Link, answer: ClaimAnswer
+        self, pending: LeaderRequest, link: Link, answer: ClaimAnswer
     ) -> None:
         """Pass on the ledger's decision, unless it is too late."""
         if link.address is not None:
             self.finder.note_leader(link.address)
-        if self.now() >= errand.give_up_at:
-            self.give_up(errand)
+        if self.now() >= pending.give_up_at:
+            self.give_up(pending)
             return
-        self.finish(errand, answer)
-        if answer.code == ResultCode.LEDGER_FULL and errand.hops > 1:
+        self.finish(pending, answer)
+        if answer.code == ResultCode.LEDGER_FULL and pending.attempt_count > 1:
             # This refusal was not made by the ledger itself: an earlier
             # attempt may still be granted.
-            self.release(errand.message)
+            self.release(pending.message)
 
     def on_end_answer(self, link: Link, answer: ClaimEndAnswer) -> None:
         self.record_instance_address(link)
-        errand = self.errands.get(answer.request_id)
-        if errand is None or is_claim(errand):
+        pending = self.pending_requests.get(answer.request_id)
+        if pending is None or is_claim(pending):
             return
         decided = link.hello is not None and (
             answer.leader == link.hello.instance
@@ -165,16 +166,16 @@
         if answer.committed or decided:
             if link.address is not None:
                 self.finder.note_leader(link.address)
-            self.finish(errand, bool(answer.committed))
+            self.finish(pending, bool(answer.committed))
             return
-        self.refused(errand, link, answer.leader)
+        self.refused(pending, link, answer.leader)
 
-    def refused(self, errand: Errand, link: Link, hint: str) -> None:
+    def refused(self, pending: LeaderRequest, link: Link, hint: str) -> None:
         """Ask the next instance, following a leader hint if there is one."""
         hinted = self.finder.address_by_name(hint or '')
-        self.on_not_leader(errand, link, hinted)
+        self.on_not_leader(pending, link, hinted)
 
 
-def is_claim(errand: Errand) -> bool:
+def is_claim(pending: LeaderRequest) -> bool:
     """Return whether the request is a claim, not the end of one."""
-    return isinstance(errand.message, ClaimRequest)
+    return isinstance(pending.message, ClaimRequest)
--- a/tests/events/test_carrying.py
+++ b/tests/events/test_carrying.py
@@ -12,18 +12,18 @@
 from cyclamenlift.events.orders import MOST_CARRIED_BYTES
 from cyclamenlift.events.orders import order_from
 from cyclamenlift.events.orders import PATIENCE_SECONDS
-from cyclamenlift.ledger.errands import SILENCE_SECONDS
 from cyclamenlift.ledger.finder import LeaderFinder
+from cyclamenlift.ledger.leader_client import ANSWER_TIMEOUT_SECONDS
 from cyclamenlift.wire.gen.protocol.ttypes import OrderAnswer
 from cyclamenlift.wire.gen.protocol.ttypes import OrderRequest
-from tests.ledger.builders import ClientBed
+from tests.ledger.builders import ClaimClientHarness
 from tests.ledger.builders import CONTROL
 
 OPERATOR = Address('127.0.0.9', 9)
 ORDER = order_from('whole', 1, 2, b'{}')
 
 
-class CarrierBed(ClientBed):
+class CarrierBed(ClaimClientHarness):
     """The door of a daemon on a scripted network, with a clock by hand."""
 
     def __init__(self):
@@ -83,7 +83,7 @@
 def test_a_silent_instance_costs_a_quarter_of_a_second():
     bed = CarrierBed()
     bed.take()
-    bed.pass_time(SILENCE_SECONDS)
+    bed.pass_time(ANSWER_TIMEOUT_SECONDS)
     first, second = bed.places
     assert first != second
     bed.accept()
@@ -96,7 +96,7 @@
     bed = CarrierBed()
     bed.take()
     frozen = bed.places[0]
-    bed.pass_time(SILENCE_SECONDS)
+    bed.pass_time(ANSWER_TIMEOUT_SECONDS)
     while bed.carrier.now() < 100.0 + 0.6:
         bed.refuse(frozen)
         bed.pass_time(0.1)
@@ -117,7 +117,7 @@
         bed.pass_time(0.05)
     assert bed.codes == [code]
     assert bed.carrier.now() - 100.0 <= PATIENCE_SECONDS + 0.05
-    assert not bed.carrier.errands
+    assert not bed.carrier.pending_requests
 
 
 # Guards against holding callers where nobody can be reached.
@@ -153,7 +153,7 @@
 def test_what_waits_is_asked_again_when_the_leader_becomes_known():
     bed = CarrierBed()
     bed.take()
-    bed.pass_time(SILENCE_SECONDS)
+    bed.pass_time(ANSWER_TIMEOUT_SECONDS)
     leader = next(a for a in CONTROL if a not in bed.places)
     bed.carrier.note_leader(leader)
     assert bed.places[-1] == leader
@@ -165,7 +165,7 @@
     for _ in range(MOST_CARRIED + 1):
         bed.take()
     assert bed.codes == [ResultCode.NOT_LEADER]
-    assert len(bed.carrier.errands) == MOST_CARRIED
+    assert len(bed.carrier.pending_requests) == MOST_CARRIED
 
 
 @pytest.mark.parametrize(
--- a/tests/events/test_desk.py
+++ b/tests/events/test_desk.py
@@ -154,7 +154,7 @@
     assert not bed.reports
     bed.context.replica.elect('a')
     assert bed.codes == [ACCEPTED]
-    assert not bed.carrier.errands
+    assert not bed.carrier.pending_requests
 
 
 def test_an_order_whose_leader_lost_its_place_is_carried_to_the_next_one():
--- a/tests/ledger/builders.py
+++ b/tests/ledger/builders.py
@@ -157,7 +157,7 @@
             hook(link)
 
 
-class ClientBed:
+class ClaimClientHarness:
     """A claim client with a fake network and a manual clock."""
 
     def __init__(self, control=CONTROL):
--- a/tests/ledger/test_tasks.py
+++ b/tests/ledger/test_tasks.py
@@ -3,12 +3,12 @@
 import pytest
 
 from cyclamenlift.core.streams import Address
-from cyclamenlift.ledger.errands import SILENCE_SECONDS
+from cyclamenlift.ledger.leader_client import ANSWER_TIMEOUT_SECONDS
+from cyclamenlift.ledger.tasks import CLAIM_TIMEOUT_SECONDS
 from cyclamenlift.ledger.tasks import MAX_RELEASES
-from cyclamenlift.ledger.tasks import PATIENCE_SECONDS
 from cyclamenlift.ledger.tasks import RELEASE_SECONDS
 from cyclamenlift.wire.gen.protocol import ttypes
-from tests.ledger.builders import ClientBed
+from tests.ledger.builders import ClaimClientHarness
 from tests.ledger.builders import CONTROL
 from tests.ledger.builders import NAMES
 
@@ -51,20 +51,20 @@
 
 @pytest.mark.parametrize('kind', [GRANTED, RECORDED, Verdict.REFUSED])
 def test_decision_is_delivered_once(kind):
-    harness = ClientBed()
+    harness = ClaimClientHarness()
     harness.claim()
     harness.reply(verdict(kind))
     harness.reply(verdict(kind))
     assert [a.verdict for a in harness.answers] == [kind]
     harness.pass_time(10)
     assert not releases(harness)
-    assert not harness.client.errands
+    assert not harness.client.pending_requests
 
 
 def test_next_instance_gets_the_same_attempt_after_a_timeout():
-    harness = ClientBed()
+    harness = ClaimClientHarness()
     harness.claim()
-    harness.pass_time(SILENCE_SECONDS)
+    harness.pass_time(ANSWER_TIMEOUT_SECONDS)
     first, second = harness.asked(Request)
     assert first != second
     assert {m.attempt_id for _, m in harness.network.sent} == {'a1'}
@@ -73,7 +73,7 @@
 
 
 def test_the_leader_is_remembered():
-    harness = ClientBed()
+    harness = ClaimClientHarness()
     for _ in range(5):
         harness.claim()
         harness.reply(verdict(GRANTED))
@@ -81,7 +81,7 @@
 
 
 def test_a_hint_is_followed_once_names_are_known():
-    harness = ClientBed()
+    harness = ClaimClientHarness()
     harness.claim()
     (first,) = harness.asked(Request)
     second, third = others_than(first)
@@ -93,7 +93,7 @@
 
 
 def test_without_a_hint_every_instance_is_asked():
-    harness = ClientBed()
+    harness = ClaimClientHarness()
     harness.claim()
     for _ in range(2):
         harness.reply(verdict(NOT_LEADER))
@@ -103,7 +103,7 @@
 
 
 def test_refused_connection_is_retried_at_once_elsewhere():
-    harness = ClientBed()
+    harness = ClaimClientHarness()
     harness.claim()
     harness.network.lose(harness.asked(Request)[0], was_up=False)
     harness.root.scheduler.run_due()
@@ -134,9 +134,9 @@
     ],
 )
 def test_missing_majority_is_answered_within_the_timeout(step, left_behind):
-    harness = ClientBed()
+    harness = ClaimClientHarness()
     harness.claim(seconds=60)
-    for _ in range(int(PATIENCE_SECONDS / 0.01) - 1):
+    for _ in range(int(CLAIM_TIMEOUT_SECONDS / 0.01) - 1):
         assert not harness.answers
         step(harness)
         harness.pass_time(0.01)
@@ -149,7 +149,7 @@
 
 
 def test_no_control_instance_at_all_is_no_majority():
-    harness = ClientBed(control=())
+    harness = ClaimClientHarness(control=())
     harness.claim()
     assert not harness.answers
     harness.root.scheduler.run_due()
@@ -158,7 +158,7 @@
 
 @pytest.mark.parametrize('late_by', [0.0, 0.2])
 def test_a_grant_after_the_deadline_is_not_used(late_by):
-    harness = ClientBed()
+    harness = ClaimClientHarness()
     harness.claim(seconds=0.2)
     number = harness.network.sent[0][1].request_id
     first = harness.asked(Request)[0]
@@ -172,45 +172,45 @@
 
 
 def test_time_left_decreases_with_each_attempt():
-    harness = ClientBed()
+    harness = ClaimClientHarness()
     harness.claim(seconds=2)
     assert harness.network.sent[0][1].time_left_ms == 2000
-    harness.pass_time(SILENCE_SECONDS)
+    harness.pass_time(ANSWER_TIMEOUT_SECONDS)
     assert harness.network.sent[1][1].time_left_ms == 1750
 
 
 def test_full_ledger_after_an_unanswered_attempt_releases():
-    harness = ClientBed()
+    harness = ClaimClientHarness()
     harness.claim()
-    harness.pass_time(SILENCE_SECONDS)
+    harness.pass_time(ANSWER_TIMEOUT_SECONDS)
     harness.reply(verdict(Verdict.REFUSED, code=LEDGER_FULL))
     assert harness.answers[0].code == LEDGER_FULL
     assert len(releases(harness)) == 1
 
 
 def test_a_release_is_repeated_until_it_is_confirmed():
-    harness = ClientBed()
+    harness = ClaimClientHarness()
     harness.claim()
-    harness.pass_time(PATIENCE_SECONDS + 3)
+    harness.pass_time(CLAIM_TIMEOUT_SECONDS + 3)
     assert len(releases(harness)) > 2
     harness.reply(EndAnswer(None, True, ''))
     before = len(releases(harness))
     harness.pass_time(RELEASE_SECONDS)
     assert len(releases(harness)) == before
-    assert not harness.client.errands
+    assert not harness.client.pending_requests
 
 
 def test_releases_during_an_outage_are_bounded_and_end():
-    harness = ClientBed()
+    harness = ClaimClientHarness()
     for number in range(MAX_RELEASES + 50):
         harness.claim(attempt=str(number))
-    harness.clock.instant += PATIENCE_SECONDS
+    harness.clock.instant += CLAIM_TIMEOUT_SECONDS
     harness.root.scheduler.run_due()
     assert len(harness.answers) == MAX_RELEASES + 50
-    assert len(harness.client.errands) == MAX_RELEASES
+    assert len(harness.client.pending_requests) == MAX_RELEASES
     harness.clock.instant += RELEASE_SECONDS
     harness.root.scheduler.run_due()
-    assert not harness.client.errands
+    assert not harness.client.pending_requests
     assert harness.client.releases == 0
 
 
@@ -225,7 +225,7 @@
     ],
 )
 def test_an_end_is_sent_until_it_is_decided(committed, leader, expected):
-    harness = ClientBed()
+    harness = ClaimClientHarness()
     harness.client.end(
         ending(), harness.clock.instant + 5, harness.ended.append
     )
@@ -237,7 +237,7 @@
 
 
 def test_answers_to_unknown_numbers_are_ignored():
-    harness = ClientBed()
+    harness = ClaimClientHarness()
     for message in (verdict(GRANTED), EndAnswer(None, True, 'a')):
         message.request_id = 77
         harness.network.deliver(CONTROL[0], message)
@@ -247,7 +247,7 @@
 # Guards against a client that knows only the configured instances: after
 # these were replaced or unreachable, no claim found the leader.
 def test_instance_that_is_added_later_is_asked():
-    harness = ClientBed()
+    harness = ClaimClientHarness()
     finder = harness.client.finder
     later = Address('127.0.0.1', 9)
     finder.note_control(later, live=True)
@@ -261,7 +261,7 @@
 
 # Guards against a second spent on unreachable instances while others are up.
 def test_instances_whose_connection_is_up_are_asked_first():
-    harness = ClientBed()
+    harness = ClaimClientHarness()
     up = CONTROL[1]
     harness.network.links = {up: harness.network.links[up]}
     harness.claim()
@@ -271,11 +271,11 @@
 # Guards against a loop between a frozen leader and followers, which name it
 # until another leader is elected.
 def test_a_hint_to_a_silent_instance_is_not_followed():
-    harness = ClientBed()
+    harness = ClaimClientHarness()
     harness.claim()
     silent, _ = harness.network.sent[-1]
     harness.client.finder.record_address('gone', silent)
-    harness.pass_time(SILENCE_SECONDS)
+    harness.pass_time(ANSWER_TIMEOUT_SECONDS)
     harness.reply(verdict(NOT_LEADER, 'gone'))
     harness.pass_time(0.01)
     assert harness.asked(Request)[-1] != silent
@@ -284,7 +284,7 @@
 # Guards against a leader that is never asked: its connection is lost, while
 # the followers are connected and name it in each answer.
 def test_hinted_leader_without_a_connection_is_asked():
-    harness = ClientBed()
+    harness = ClaimClientHarness()
     leader = CONTROL[2]
     del harness.network.links[leader]
     harness.client.finder.record_address('leads', leader)
@@ -295,10 +295,10 @@
 
 # Guards against unconnected instances never being asked while others are up.
 def test_each_round_reaches_all_instances():
-    harness = ClientBed()
+    harness = ClaimClientHarness()
     for address in CONTROL[1:]:
         del harness.network.links[address]
     harness.claim()
     for _ in CONTROL[1:]:
-        harness.pass_time(SILENCE_SECONDS)
+        harness.pass_time(ANSWER_TIMEOUT_SECONDS)
     assert sorted(harness.asked(Request)) == sorted(CONTROL)
--- a/tests/runtime/test_stopping.py
+++ b/tests/runtime/test_stopping.py
@@ -65,8 +65,8 @@
         self.entry = self.server
         self.calls = idle
         self.gate = None
-        self.claims = SimpleNamespace(errands=())
-        self.carrier = SimpleNamespace(errands=())
+        self.claims = SimpleNamespace(pending_requests=())
+        self.carrier = SimpleNamespace(pending_requests=())
         self.settings = SimpleNamespace(
             drain_seconds=GRACE, farewell_seconds=FAREWELL
         )
--- a/tools/mutants_control.py
+++ b/tools/mutants_control.py
@@ -86,14 +86,14 @@
     Mutant(
         'a grant that comes too late is used',
         CLAIM_CLIENT,
-        'if self.now() >= errand.give_up_at:',
+        'if self.now() >= pending.give_up_at:',
         'if False:',
         CLIENT_TESTS,
     ),
     Mutant(
         'a claim left behind is not released',
         CLAIM_CLIENT,
-        'if errand.maybe_taken():',
+        'if pending.is_maybe_appended():',
         'if False:',
         CLIENT_TESTS,
     ),
