--- a/cyclamenlift/ledger/records.py
+++ b/cyclamenlift/ledger/records.py
@@ -65,8 +65,8 @@
 class Claim:
     """A held key. Times are ledger time in milliseconds.
 
-    ``encoded`` caches the JSON between two snapshots; call ``touch`` after
-    every change of a claim.
+    ``encoded`` caches the JSON between two snapshots; call ``mark_changed``
+    after every change of a claim.
     """
 
     __pydantic_config__: ClassVar = BYTES_AS_BASE64
--- a/cyclamenlift/replication/handling.py
+++ b/cyclamenlift/replication/effect_handlers.py
@@ -19,17 +19,17 @@
     from cyclamenlift.replication.tasks import Replica
 
 LOG = structlog.get_logger('replication')
-EFFECTS: Registry = Registry('effect')
+EFFECT_HANDLERS: Registry = Registry('effect')
 
 
-@EFFECTS.register('Send')
+@EFFECT_HANDLERS.register('Send')
 def send(replica: 'Replica', effect: Send) -> None:
     address = replica.address_of(effect.to)
     if address is not None:
         replica.network.send(address, effect.message)
 
 
-@EFFECTS.register('Apply')
+@EFFECT_HANDLERS.register('Apply')
 def apply(replica: 'Replica', effect: Apply) -> None:
     """Apply committed commands and answer their proposers."""
     for entry in effect.entries:
@@ -42,13 +42,13 @@
         replica.waiting.finish_entry(entry, answer)
 
 
-@EFFECTS.register('TakeSnapshot')
+@EFFECT_HANDLERS.register('TakeSnapshot')
 def take_snapshot(replica: 'Replica', effect: TakeSnapshot) -> None:
     data = replica.machine.snapshot()
     snapshot_taken(replica.state, effect.index, data)
 
 
-@EFFECTS.register('RestoreMachine')
+@EFFECT_HANDLERS.register('RestoreMachine')
 def restore(replica: 'Replica', effect: RestoreMachine) -> None:
     restore_machine(replica, effect.snapshot)
 
@@ -59,12 +59,12 @@
     replica.applied_index = snapshot.index
 
 
-@EFFECTS.register('ReadReady')
+@EFFECT_HANDLERS.register('ReadReady')
 def finish_read(replica: 'Replica', effect: ReadReady) -> None:
     replica.waiting.finish_read(effect.token, effect.index)
 
 
-@EFFECTS.register('LeadershipLost')
+@EFFECT_HANDLERS.register('LeadershipLost')
 def lose_leadership(replica: 'Replica', _effect: LeadershipLost) -> None:
     LOG.info('leadership_lost', term=replica.state.term)
     replica.waiting.fail_all(replica.not_leader())
--- a/cyclamenlift/replication/elections.py
+++ b/cyclamenlift/replication/elections.py
@@ -1,8 +1,8 @@
 """Leader election: a pre-vote without side effects, then a durable vote."""
 
 from cyclamenlift.replication.leading import start_leading
+from cyclamenlift.replication.message_handlers import MESSAGE_HANDLERS
 from cyclamenlift.replication.queries import Role
-from cyclamenlift.replication.receivers import RECEIVERS
 from cyclamenlift.replication.state import Campaign
 from cyclamenlift.replication.state import ReplicaState
 from cyclamenlift.wire.gen.protocol.ttypes import VoteAnswer
@@ -96,7 +96,7 @@
     return now - state.leader_contact_at < state.limits.election
 
 
-@RECEIVERS.register('VoteRequest')
+@MESSAGE_HANDLERS.register('VoteRequest')
 def receive_request(
     state: ReplicaState, sender: str, request: VoteRequest, now: float
 ) -> None:
@@ -157,7 +157,7 @@
     )
 
 
-@RECEIVERS.register('VoteAnswer')
+@MESSAGE_HANDLERS.register('VoteAnswer')
 def receive_answer(
     state: ReplicaState, sender: str, answer: VoteAnswer, now: float
 ) -> None:
--- a/cyclamenlift/replication/folder.py
+++ b/cyclamenlift/replication/folder.py
@@ -21,7 +21,7 @@
 SNAPSHOT_NAME = 'snapshot'
 LOG_PREFIX = 'log-'
 NEW_SUFFIX = '.new'
-REPAIR = (
+REPAIR_HINT = (
     'Stop this instance, move the folder away, start with an empty one, '
     'then replace the storage of this instance on the leader.'
 )
@@ -58,7 +58,7 @@
 
 def damaged_failure(path: pathlib.Path, detail: str) -> Failure:
     problem = Problem(
-        ResultCode.STORAGE_DAMAGED, detail, str(path), hint=REPAIR
+        ResultCode.STORAGE_DAMAGED, detail, str(path), hint=REPAIR_HINT
     )
     return Failure(problem)
 
--- a/cyclamenlift/replication/following.py
+++ b/cyclamenlift/replication/following.py
@@ -1,9 +1,9 @@
 """Follower role: append the leader's entries and acknowledge them."""
 
 from cyclamenlift.replication.commits import commit_to
+from cyclamenlift.replication.message_handlers import InvariantError
+from cyclamenlift.replication.message_handlers import MESSAGE_HANDLERS
 from cyclamenlift.replication.queries import Role
-from cyclamenlift.replication.receivers import InvariantError
-from cyclamenlift.replication.receivers import RECEIVERS
 from cyclamenlift.replication.state import ReplicaState
 from cyclamenlift.wire.gen.protocol.ttypes import AppendAnswer
 from cyclamenlift.wire.gen.protocol.ttypes import AppendRequest
@@ -25,7 +25,7 @@
     state.reset_election_deadline(now)
 
 
-@RECEIVERS.register('AppendRequest')
+@MESSAGE_HANDLERS.register('AppendRequest')
 def receive_request(
     state: ReplicaState, sender: str, request: AppendRequest, now: float
 ) -> None:
--- a/cyclamenlift/replication/inputs.py
+++ b/cyclamenlift/replication/inputs.py
@@ -8,15 +8,17 @@
 import cyclamenlift.replication.installing  # noqa: F401 (registers)
 from cyclamenlift.replication.leading import continue_leading
 from cyclamenlift.replication.leading import tick_leader
+from cyclamenlift.replication.message_handlers import MESSAGE_HANDLERS
 from cyclamenlift.replication.queries import Role
-from cyclamenlift.replication.receivers import RECEIVERS
 from cyclamenlift.replication.state import ReplicaState
 
 
 def receive(state: ReplicaState, sender: str, message, now: float) -> None:
     """Process a message from the instance ``sender``."""
     if sender in state.peers:
-        RECEIVERS.get(type(message).__name__)(state, sender, message, now)
+        MESSAGE_HANDLERS.get(type(message).__name__)(
+            state, sender, message, now
+        )
 
 
 def tick(state: ReplicaState, now: float) -> None:
--- a/cyclamenlift/replication/installing.py
+++ b/cyclamenlift/replication/installing.py
@@ -3,7 +3,7 @@
 from cyclamenlift.replication.effects import PersistSnapshot
 from cyclamenlift.replication.effects import RestoreMachine
 from cyclamenlift.replication.following import accept_leader
-from cyclamenlift.replication.receivers import RECEIVERS
+from cyclamenlift.replication.message_handlers import MESSAGE_HANDLERS
 from cyclamenlift.replication.snapshots import Snapshot
 from cyclamenlift.replication.snapshots import SnapshotError
 from cyclamenlift.replication.state import IncomingSnapshot
@@ -12,7 +12,7 @@
 from cyclamenlift.wire.gen.protocol.ttypes import SnapshotChunk
 
 
-@RECEIVERS.register('SnapshotChunk')
+@MESSAGE_HANDLERS.register('SnapshotChunk')
 def receive_chunk(
     state: ReplicaState, sender: str, chunk: SnapshotChunk, now: float
 ) -> None:
--- a/cyclamenlift/replication/leading.py
+++ b/cyclamenlift/replication/leading.py
@@ -1,17 +1,17 @@
 """Leader role: replicate entries, process answers, verify the quorum."""
 
 from cyclamenlift.replication.commits import advance_commit
-from cyclamenlift.replication.growth import change_voters
 from cyclamenlift.replication.log import KIND_NO_OP
+from cyclamenlift.replication.message_handlers import MESSAGE_HANDLERS
 from cyclamenlift.replication.progress import Leadership
 from cyclamenlift.replication.progress import Progress
 from cyclamenlift.replication.queries import Role
 from cyclamenlift.replication.reads import confirm_reads
 from cyclamenlift.replication.reads import start_read_round
-from cyclamenlift.replication.receivers import RECEIVERS
 from cyclamenlift.replication.sending import replicate
 from cyclamenlift.replication.sending import start_round
 from cyclamenlift.replication.state import ReplicaState
+from cyclamenlift.replication.voter_changes import change_voters
 from cyclamenlift.replication.voters import Configuration
 from cyclamenlift.wire.gen.protocol.ttypes import AppendAnswer
 from cyclamenlift.wire.gen.protocol.ttypes import SnapshotAnswer
@@ -75,7 +75,7 @@
     return state.has_quorum(present)
 
 
-@RECEIVERS.register('AppendAnswer')
+@MESSAGE_HANDLERS.register('AppendAnswer')
 def receive_append_answer(
     state: ReplicaState, sender: str, answer: AppendAnswer, now: float
 ) -> None:
@@ -90,7 +90,7 @@
     continue_leading(state, now)
 
 
-@RECEIVERS.register('SnapshotAnswer')
+@MESSAGE_HANDLERS.register('SnapshotAnswer')
 def receive_snapshot_answer(
     state: ReplicaState, sender: str, answer: SnapshotAnswer, now: float
 ) -> None:
--- a/cyclamenlift/replication/receivers.py
+++ b/cyclamenlift/replication/message_handlers.py
@@ -3,7 +3,7 @@
 from cyclamenlift.core.registry import Registry
 
 # Filled by elections, leading, following and installing.
-RECEIVERS: Registry = Registry('message')
+MESSAGE_HANDLERS: Registry = Registry('message')
 
 
 class InvariantError(Exception):
--- a/cyclamenlift/replication/state.py
+++ b/cyclamenlift/replication/state.py
@@ -10,6 +10,7 @@
 import dataclasses
 import random
 
+from cyclamenlift.replication.disk_stalls import DiskStallDetector
 from cyclamenlift.replication.effects import LeadershipLost
 from cyclamenlift.replication.effects import Outbox
 from cyclamenlift.replication.effects import PersistEntries
@@ -19,7 +20,6 @@
 from cyclamenlift.replication.progress import Leadership
 from cyclamenlift.replication.queries import Role
 from cyclamenlift.replication.snapshots import Snapshot
-from cyclamenlift.replication.stalls import DiskStallDetector
 from cyclamenlift.replication.voters import Configuration
 from cyclamenlift.replication.voters import Voters
 from cyclamenlift.wire.gen.protocol.ttypes import LogEntry
@@ -56,7 +56,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Recovered:
+class RecoveredState:
     """State read from a data folder when it is opened."""
 
     storage_id: str
@@ -96,7 +96,7 @@
         peers: tuple[str, ...],
         bootstrap: bool,
         limits: Limits,
-        recovered: Recovered,
+        recovered: RecoveredState,
         rng: random.Random,
         now: float,
         founder: bool = True,
@@ -131,7 +131,7 @@
         self.returned = self.log.last_index > 0
         self.schedule_pre_vote(now)
 
-    def load(self, recovered: Recovered) -> None:
+    def load(self, recovered: RecoveredState) -> None:
         snapshot = recovered.snapshot
         index = snapshot.index if snapshot else 0
         term = snapshot.term if snapshot else 0
--- a/cyclamenlift/replication/storage.py
+++ b/cyclamenlift/replication/storage.py
@@ -24,7 +24,7 @@
 from cyclamenlift.replication.segments import Segments
 from cyclamenlift.replication.snapshots import Snapshot
 from cyclamenlift.replication.snapshots import SnapshotError
-from cyclamenlift.replication.state import Recovered
+from cyclamenlift.replication.state import RecoveredState
 from cyclamenlift.wire.gen.protocol.ttypes import LogEntry
 
 
@@ -41,7 +41,7 @@
         lock: int,
         metadata: Metadata,
         segments: Segments,
-        recovered: Recovered,
+        recovered: RecoveredState,
     ):
         self.folder = folder
         self.lock = lock
@@ -138,7 +138,7 @@
     replayed = replay(folder, snapshot, written.unwrap())
     if isinstance(replayed, Failure):
         return replayed
-    recovered = Recovered(
+    recovered = RecoveredState(
         storage_id=metadata.storage_id,
         term=metadata.term,
         voted_for=metadata.voted_for,
--- a/cyclamenlift/replication/tasks.py
+++ b/cyclamenlift/replication/tasks.py
@@ -15,18 +15,22 @@
 from cyclamenlift.core.streams import Address
 from cyclamenlift.replication.commands import append_commands
 from cyclamenlift.replication.commands import replace_storage
-from cyclamenlift.replication.handling import EFFECTS
-from cyclamenlift.replication.handling import restore_machine
+from cyclamenlift.replication.effect_handlers import EFFECT_HANDLERS
+from cyclamenlift.replication.effect_handlers import restore_machine
 from cyclamenlift.replication.inputs import connection_lost
 from cyclamenlift.replication.inputs import receive
 from cyclamenlift.replication.inputs import synced
 from cyclamenlift.replication.inputs import tick
 from cyclamenlift.replication.machine import StateMachine
+from cyclamenlift.replication.message_handlers import InvariantError
+from cyclamenlift.replication.pending_operations import PendingOperations
+from cyclamenlift.replication.pending_operations import Proposal
+from cyclamenlift.replication.pending_operations import ProposalDone
+from cyclamenlift.replication.pending_operations import ReadDone
 from cyclamenlift.replication.queries import make_status
 from cyclamenlift.replication.queries import ReplicaStatus
 from cyclamenlift.replication.queries import Role
 from cyclamenlift.replication.reads import request_read
-from cyclamenlift.replication.receivers import InvariantError
 from cyclamenlift.replication.settings import ReplicaSettings
 from cyclamenlift.replication.state import Limits
 from cyclamenlift.replication.state import ReplicaState
@@ -34,10 +38,6 @@
 from cyclamenlift.replication.sync import SyncDone
 from cyclamenlift.replication.sync import SyncFailed
 from cyclamenlift.replication.sync import SyncTask
-from cyclamenlift.replication.waiting import PendingOperations
-from cyclamenlift.replication.waiting import Proposal
-from cyclamenlift.replication.waiting import ProposalDone
-from cyclamenlift.replication.waiting import ReadDone
 from cyclamenlift.wire.gen.protocol.ttypes import AppendAnswer
 from cyclamenlift.wire.gen.protocol.ttypes import AppendRequest
 from cyclamenlift.wire.gen.protocol.ttypes import SnapshotAnswer
@@ -138,7 +138,7 @@
 
     # -- commands ---------------------------------------------------------
 
-    def note_peer(self, instance: str, address: Address, live: bool) -> None:
+    def update_peer(self, instance: str, address: Address, live: bool) -> None:
         """Add an instance that may become a voter, or remove it."""
         if not self.active:
             return
@@ -424,7 +424,7 @@
             self.sync.write(writes)
         for effect in effects:
             if not hasattr(effect, 'ticket'):
-                EFFECTS.get(type(effect).__name__)(self, effect)
+                EFFECT_HANDLERS.get(type(effect).__name__)(self, effect)
 
 
 def make_limits(settings: ReplicaSettings) -> Limits:
--- a/cyclamenlift/runtime/control.py
+++ b/cyclamenlift/runtime/control.py
@@ -183,7 +183,7 @@
             return
         address = Address.parse(record.peer_address)
         live = is_control and is_live(record)
-        self.replica.note_peer(record.instance, address, live)
+        self.replica.update_peer(record.instance, address, live)
         self.carrier.finder.note_control(address, live)
 
     def make_claim_server(self) -> ClaimServer:
--- a/tests/replication/builders.py
+++ b/tests/replication/builders.py
@@ -22,7 +22,7 @@
 from cyclamenlift.replication.reads import request_read
 from cyclamenlift.replication.sending import start_round
 from cyclamenlift.replication.state import Limits
-from cyclamenlift.replication.state import Recovered
+from cyclamenlift.replication.state import RecoveredState
 from cyclamenlift.replication.state import ReplicaState
 from cyclamenlift.wire.gen.protocol.ttypes import LogEntry
 
@@ -45,7 +45,7 @@
 
 def make_state(name='a', names=NAMES, bootstrap=True, **found):
     """Build a replica state; ``found`` is the content of its disk."""
-    recovered = Recovered(**{'storage_id': f'{name}-1', **found})
+    recovered = RecoveredState(**{'storage_id': f'{name}-1', **found})
     peers = tuple(n for n in names if n != name)
     rng = random.Random(name)
     return ReplicaState(name, peers, bootstrap, LIMITS, recovered, rng, 0.0)
@@ -55,7 +55,7 @@
     """Synced state in memory, with the semantics of the storage files."""
 
     def __init__(self, storage_id: str):
-        self.found = Recovered(storage_id)
+        self.found = RecoveredState(storage_id)
 
     def write(self, effect) -> None:
         found = self.found
@@ -99,7 +99,7 @@
 class Cluster:
     """Simulated nodes and messages, with safety checks after each step.
 
-    Raises Violation as soon as a safety property is violated.
+    Raises SafetyViolation as soon as a safety property is violated.
     """
 
     def __init__(self, names: tuple[str, ...] = NAMES):
@@ -205,7 +205,7 @@
                 self.deliver(self.messages.index(entry), keep)
 
     def settle(self, names, rounds, not_syncing='', prefix: str = '') -> None:
-        """Exchange messages among ``names``; all but ``lazy`` sync."""
+        """Exchange messages among ``names``; all but one sync."""
 
         def chosen(message) -> bool:
             kind = type(message[2]).__name__
--- a/tests/replication/growth_explorer.py
+++ b/tests/replication/growth_explorer.py
@@ -45,7 +45,7 @@
 
 
 class GrowingCluster(Cluster):
-    """Takes random steps; raises Violation on a safety violation."""
+    """Takes random steps; raises SafetyViolation on a safety violation."""
 
     def __init__(self, seed: int):
         super().__init__(ALL)
--- a/tests/replication/test_model.py
+++ b/tests/replication/test_model.py
@@ -13,8 +13,8 @@
 import cyclamenlift.replication.elections as elections
 import cyclamenlift.replication.following as following
 from cyclamenlift.replication.log import Log
+from cyclamenlift.replication.message_handlers import InvariantError
 from cyclamenlift.replication.progress import Leadership
-from cyclamenlift.replication.receivers import InvariantError
 from cyclamenlift.replication.voters import Configuration
 from cyclamenlift.replication.voters import Voters
 from tests.replication.builders import SafetyViolation
--- a/tests/replication/test_state.py
+++ b/tests/replication/test_state.py
@@ -76,10 +76,12 @@
 @pytest.mark.parametrize(
     ('bootstrap', 'stands'), [(True, True), (False, False)]
 )
-def test_empty_folder_stands_only_with_bootstrap(bootstrap, stands):
+def test_empty_folder_is_a_candidate_only_with_bootstrap(
+    bootstrap, is_candidate
+):
     state = make_state('a', bootstrap=bootstrap)
     tick(state, 9 * ELECTION)
-    assert bool(sent(state)) == stands
+    assert bool(sent(state)) == is_candidate
 
 
 def test_pre_vote_is_refused_while_a_leader_is_heard():
--- a/tests/replication/test_growth.py
+++ b/tests/replication/test_voter_changes.py
@@ -3,7 +3,7 @@
 import pytest
 
 from cyclamenlift.replication.inputs import tick
-from cyclamenlift.replication.receivers import InvariantError
+from cyclamenlift.replication.message_handlers import InvariantError
 from cyclamenlift.replication.voters import Configuration
 from tests.replication.builders import SafetyViolation
 from tests.replication.growth_explorer import ALL
--- a/tools/mutants_control.py
+++ b/tools/mutants_control.py
@@ -127,7 +127,7 @@
     ),
     Mutant(
         'a leader keeps its place while its disk hangs',
-        'cyclamenlift/replication/stalls.py',
+        'cyclamenlift/replication/disk_stalls.py',
         'return now - self.last_progress_at >= STALLED_ELECTIONS * election',
         'return False',
         'tests/replication/test_state.py',
