--- a/cyclamenlift/ledger/tasks.py
+++ b/cyclamenlift/ledger/tasks.py
@@ -119,9 +119,9 @@
             key_expires_unix_ms=request.key_expires_unix_ms,
         )
         deadline = self.now() + RELEASE_SECONDS
-        self.end(ending, deadline, self.note_release)
+        self.end(ending, deadline, self.on_release_finished)
 
-    def note_release(self, released: bool) -> None:
+    def on_release_finished(self, released: bool) -> None:
         self.releases -= 1
         if not released:
             LOG.warning('claim_not_released')
--- a/cyclamenlift/replication/elections.py
+++ b/cyclamenlift/replication/elections.py
@@ -41,7 +41,7 @@
     that log and the own vote are synced: the statement must still be true
     after a crash.
     """
-    state.returned = False
+    state.restarted_with_log = False
     state.term += 1
     state.voted_for = state.instance
     ticket = state.persist_term()
@@ -132,7 +132,7 @@
         and is_log_up_to_date(state, request)
     )
     if granted:
-        state.returned = False
+        state.restarted_with_log = False
         state.reset_election_deadline(now)
     if granted and not state.voted_for:
         state.voted_for = sender
--- a/cyclamenlift/replication/following.py
+++ b/cyclamenlift/replication/following.py
@@ -21,7 +21,7 @@
         raise InvariantError(f'{leader} also claims to lead term {term}')
     state.follow(term, leader, now)
     state.leader_contact_at = now
-    state.returned = False
+    state.restarted_with_log = False
     state.reset_election_deadline(now)
 
 
--- a/cyclamenlift/replication/pending_operations.py
+++ b/cyclamenlift/replication/pending_operations.py
@@ -52,7 +52,9 @@
         del self.queue[:limit]
         return batch
 
-    def note_appended(self, index: int, term: int, done: ProposalDone) -> None:
+    def record_appended(
+        self, index: int, term: int, done: ProposalDone
+    ) -> None:
         self.appended[index] = Appended(term, done)
 
     def finish_entry(self, entry: LogEntry, answer: bytes) -> None:
--- a/cyclamenlift/replication/segments.py
+++ b/cyclamenlift/replication/segments.py
@@ -185,13 +185,13 @@
         self.open_newest()
         sync_folder(self.folder)
 
-    def drop_covered(self, index: int) -> None:
+    def remove_covered(self, index: int) -> None:
         """Remove the oldest segments that a snapshot covers fully."""
         while len(self.segments) > 1 and self.segments[0].last_index <= index:
             self.segments.pop(0).path.unlink(missing_ok=True)
         sync_folder(self.folder)
 
-    def drop_older(self) -> None:
+    def remove_older(self) -> None:
         """Remove all but the newest segment."""
         while len(self.segments) > 1:
             self.segments.pop(0).path.unlink(missing_ok=True)
--- a/cyclamenlift/replication/state.py
+++ b/cyclamenlift/replication/state.py
@@ -128,7 +128,7 @@
         self.leader_contact_at = float('-inf')
         self.election_deadline = 0.0
         self.load(recovered)
-        self.returned = self.log.last_index > 0
+        self.restarted_with_log = self.log.last_index > 0
         self.schedule_pre_vote(now)
 
     def load(self, recovered: RecoveredState) -> None:
@@ -148,7 +148,7 @@
         self.last_stamp = max(self.last_stamp, entry.stamp_unix_ms)
         if entry.kind == KIND_CONFIGURATION:
             configuration = Configuration.decode(entry.index, entry.command)
-            self.voters.note_appended(configuration)
+            self.voters.record_appended(configuration)
             self.refresh_peers()
 
     # -- queries ----------------------------------------------------------
@@ -232,7 +232,7 @@
         so each has a time slot of its own, by the order of their names.
         """
         self.reset_election_deadline(now)
-        if not self.returned:
+        if not self.restarted_with_log:
             return
         names = sorted({self.instance, *self.peers})
         place = (
--- a/cyclamenlift/replication/storage.py
+++ b/cyclamenlift/replication/storage.py
@@ -86,9 +86,9 @@
         replace_file(self.folder / SNAPSHOT_NAME, snapshot.encode())
         self.roll(snapshot_index=snapshot.index)
         if write.keep_log:
-            self.segments.drop_covered(snapshot.index)
+            self.segments.remove_covered(snapshot.index)
         else:
-            self.segments.drop_older()
+            self.segments.remove_older()
 
     def roll(self, **changes) -> None:
         """Start a segment and record in the metadata that it must exist."""
@@ -146,7 +146,7 @@
         entries=tuple(replayed.unwrap()),
     )
     storage = Storage(folder, lock, metadata, segments, recovered)
-    return drop_replaced(storage, written.unwrap())
+    return remove_replaced_log(storage, written.unwrap())
 
 
 def read_snapshot(
@@ -184,10 +184,12 @@
             return damaged_failure(folder, detail)
         del kept[entry.index - base - 1 :]
         kept.append(entry)
-    return Success([] if was_replaced(snapshot, written) else kept)
+    return Success([] if log_was_replaced(snapshot, written) else kept)
 
 
-def was_replaced(snapshot: Snapshot | None, written: list[LogEntry]) -> bool:
+def log_was_replaced(
+    snapshot: Snapshot | None, written: list[LogEntry]
+) -> bool:
     """Return whether an installed snapshot replaced this log.
 
     A crash may occur after a snapshot was installed and before the old log
@@ -200,15 +202,15 @@
     return term is not None and term != snapshot.term
 
 
-def drop_replaced(
+def remove_replaced_log(
     storage: Storage, written: list[LogEntry]
 ) -> Result[Storage, Problem]:
     """Remove a replaced log that a crash left behind."""
-    if not was_replaced(storage.recovered.snapshot, written):
+    if not log_was_replaced(storage.recovered.snapshot, written):
         return Success(storage)
     try:
         storage.roll()
-        storage.segments.drop_older()
+        storage.segments.remove_older()
     except OSError as error:
         return io_failure(storage.folder, error)
     return Success(storage)
--- a/cyclamenlift/replication/tasks.py
+++ b/cyclamenlift/replication/tasks.py
@@ -242,7 +242,7 @@
             return
         index = asked.unwrap()
         if index:
-            self.waiting.note_appended(index, self.state.term, done)
+            self.waiting.record_appended(index, self.state.term, done)
         else:
             self.call_soon(lambda: done(Success(b'')))
         self.call_soon(self.handle_effects)
@@ -259,7 +259,7 @@
     def schedule_tick(self) -> None:
         seconds = self.settings.heartbeat_ms / MILLISECONDS
         seconds /= TICKS_PER_HEARTBEAT
-        if self.active and self.state.returned:
+        if self.active and self.state.restarted_with_log:
             # Instances that restarted together must not start a pre-vote
             # in the same tick.
             until = self.state.election_deadline - self.now()
@@ -384,7 +384,7 @@
             self.now(),
         )
         for index, proposal in enumerate(batch, start=first):
-            self.waiting.note_appended(index, self.state.term, proposal.done)
+            self.waiting.record_appended(index, self.state.term, proposal.done)
         self.handle_effects()
 
     def not_leader(self) -> Problem:
--- a/cyclamenlift/replication/voters.py
+++ b/cyclamenlift/replication/voters.py
@@ -112,7 +112,7 @@
         self.names = names
         self.history: list[Configuration] = []
 
-    def note_appended(self, configuration: Configuration) -> None:
+    def record_appended(self, configuration: Configuration) -> None:
         self.history.append(configuration)
 
     def truncate_from(self, index: int) -> None:
--- a/tests/replication/builders.py
+++ b/tests/replication/builders.py
@@ -282,9 +282,9 @@
             if state.term == newest and not known:
                 if state.log.term_at(index) != term:
                     raise SafetyViolation(f'{node.name} leads without {index}')
-        self.note_repair(state)
+        self.check_repair(state)
 
-    def note_repair(self, state: ReplicaState) -> None:
+    def check_repair(self, state: ReplicaState) -> None:
         if not self.repairing:
             return
         peers = state.peers
--- a/tests/replication/test_state.py
+++ b/tests/replication/test_state.py
@@ -40,7 +40,7 @@
     return [e.message for e in state.outbox.take() if isinstance(e, Send)]
 
 
-def configured(storage_id='a-1'):
+def configuration_entry(storage_id='a-1'):
     """Return a configuration entry."""
     entry = make_entries(1, kind=2)[0]
     ids = {'a': storage_id, 'b': 'b-1', 'c': 'c-1'}
@@ -62,7 +62,7 @@
 @pytest.mark.parametrize('case', VOTES)
 def test_vote(case):
     found, (term, index, last_term), granted = VOTES[case]
-    entries = (configured(), *make_entries(2, first=2))
+    entries = (configuration_entry(), *make_entries(2, first=2))
     state = make_state('a', entries=entries, **found)
     request = VoteRequest(term, 'b', 'b-1', index, last_term, False)
     receive(state, 'b', request, 0.0)
@@ -84,7 +84,7 @@
     assert bool(sent(state)) == is_candidate
 
 
-def test_pre_vote_is_refused_while_a_leader_is_heard():
+def test_pre_vote_is_refused_while_a_leader_is_active():
     cluster = bootstrapped_cluster()
     cluster.heartbeat('a')
     cluster.settle(NAMES, 2)
@@ -132,7 +132,7 @@
     assert LeadershipLost() in effects
 
 
-def test_instance_that_was_cut_off_does_not_depose_the_leader():
+def test_partitioned_instance_does_not_depose_the_leader():
     cluster = bootstrapped_cluster()
     term = cluster.nodes['a'].state.term
     for _ in range(5):
@@ -147,7 +147,7 @@
 def test_restarted_replica_starts_pre_votes_early_and_repeatedly():
     # Guards against a long outage after a full restart: until there is a
     # leader, nothing is served.
-    state = make_state('a', entries=(configured(),))
+    state = make_state('a', entries=(configuration_entry(),))
     now = 0.0
     for _ in range(3):
         assert (
@@ -165,7 +165,7 @@
     # Regression: instances that restarted within a millisecond became
     # candidates in the same tick, and the split vote was resolved only
     # after a whole election timeout.
-    states = [make_state(n, entries=(configured(),)) for n in NAMES]
+    states = [make_state(n, entries=(configuration_entry(),)) for n in NAMES]
     rng = random.Random(1)
     for _ in range(50):
         for state in states:
@@ -183,7 +183,7 @@
 
 
 def test_restarted_replica_waits_a_full_timeout_after_granting_a_vote():
-    state = make_state('a', entries=(configured(),))
+    state = make_state('a', entries=(configuration_entry(),))
     receive(state, 'b', VoteRequest(5, 'b', 'b-1', 1, 1, False), 0.0)
     assert state.election_deadline >= ELECTION
 
@@ -268,9 +268,9 @@
 def test_quorum_while_a_storage_is_replaced(case):
     present, expected = QUORUMS[case]
     voters = Voters(NAMES)
-    voters.note_appended(Configuration(1, {n: f'{n}-1' for n in NAMES}))
+    voters.record_appended(Configuration(1, {n: f'{n}-1' for n in NAMES}))
     changed = voters.latest.replaced('b', 'b-2')
-    voters.note_appended(changed)
+    voters.record_appended(changed)
     storage_ids = {storage_id[0]: storage_id for storage_id in present}
     assert voters.has_quorum(storage_ids) is expected
 
--- a/tests/replication/test_storage.py
+++ b/tests/replication/test_storage.py
@@ -116,7 +116,7 @@
 
 
 @pytest.mark.parametrize('lost', [1, 5, 12, 13, 40])
-def test_torn_tail_is_cut_and_the_log_goes_on(tmp_path, lost):
+def test_torn_tail_is_truncated_and_the_log_continues(tmp_path, lost):
     write(tmp_path, entries(1, 1), entries(1, first=3))
     log = newest_log(tmp_path)
     os.truncate(log, log.stat().st_size - lost)
@@ -198,7 +198,7 @@
     assert len(ids) == 2
 
 
-def test_folder_that_can_not_be_made_is_a_failure(tmp_path):
+def test_folder_that_cannot_be_created_is_a_failure(tmp_path):
     (tmp_path / 'file').write_text('')
     opened = open_storage(tmp_path / 'file' / 'data', 'a')
     assert isinstance(opened, Failure)
--- a/tests/replication/test_voter_changes.py
+++ b/tests/replication/test_voter_changes.py
@@ -6,9 +6,9 @@
 from cyclamenlift.replication.message_handlers import InvariantError
 from cyclamenlift.replication.voters import Configuration
 from tests.replication.builders import SafetyViolation
-from tests.replication.growth_explorer import ALL
-from tests.replication.growth_explorer import GrowingCluster
-from tests.replication.growth_explorer import JOINERS
+from tests.replication.voter_change_explorer import ALL
+from tests.replication.voter_change_explorer import GrowingCluster
+from tests.replication.voter_change_explorer import JOINERS
 
 SEEDS = range(25)
 STEPS = 500
