--- a/cyclamenlift/events/tasks.py
+++ b/cyclamenlift/events/tasks.py
@@ -131,7 +131,7 @@
         self.fall_back_at = self.now() + FALL_BACK_SECONDS
         self.poll()
 
-    def note_control(self, address: Address, live: bool) -> None:
+    def update_control_address(self, address: Address, live: bool) -> None:
         """Learn of a control instance, or that one is gone.
 
         One that tells of itself while nothing is confirmed here has just
@@ -145,9 +145,9 @@
                 self.network.give_up_connecting(address)
                 self.ask(address, with_document=False)
         elif len(self.control) > 1:
-            self.note_other(address)
+            self.remove_control_address(address)
 
-    def note_other(self, address: Address) -> None:
+    def remove_control_address(self, address: Address) -> None:
         """Learn that an address is not one of a control instance."""
         if address in self.control:
             self.control.remove(address)
@@ -289,7 +289,7 @@
         if address in self.control:
             self.ask(address, with_document=False)
         else:
-            self.note_control(address, True)
+            self.update_control_address(address, True)
 
     def on_request(self, link: Link, request: DocumentRequest) -> None:
         """Give a peer what it lacks, or send it on while others get theirs."""
--- a/cyclamenlift/ledger/finder.py
+++ b/cyclamenlift/ledger/finder.py
@@ -29,7 +29,7 @@
         """Record that ``address`` answered as leader."""
         self.leader = address
 
-    def note_control(self, address: Address, live: bool) -> None:
+    def update_control_address(self, address: Address, live: bool) -> None:
         """Add or remove a control instance.
 
         The last one is kept, so that there is always one to ask.
@@ -38,9 +38,9 @@
             if address not in self.control:
                 self.control.append(address)
         elif len(self.control) > 1:
-            self.note_other(address)
+            self.remove_control_address(address)
 
-    def note_other(self, address: Address) -> None:
+    def remove_control_address(self, address: Address) -> None:
         """Remove an address that is not one of a control instance."""
         if address in self.control:
             self.control.remove(address)
--- a/cyclamenlift/runtime/control.py
+++ b/cyclamenlift/runtime/control.py
@@ -184,7 +184,7 @@
         address = Address.parse(record.peer_address)
         live = is_control and is_live(record)
         self.replica.update_peer(record.instance, address, live)
-        self.carrier.finder.note_control(address, live)
+        self.carrier.finder.update_control_address(address, live)
 
     def make_claim_server(self) -> ClaimServer:
         return ClaimServer(
--- a/cyclamenlift/runtime/daemon.py
+++ b/cyclamenlift/runtime/daemon.py
@@ -335,8 +335,8 @@
         """Ask no daemon as a control instance, though it may be a seed."""
         address = parse_place(record.peer_address)
         if address is not None:
-            self.follower.note_other(address)
-            self.claims.finder.note_other(address)
+            self.follower.remove_control_address(address)
+            self.claims.finder.remove_control_address(address)
 
     def on_control_instance(self, record: MemberRecord) -> None:
         """Ask a control instance that became known, or no longer."""
@@ -344,8 +344,8 @@
         if address is None:
             return
         live = is_live(record)
-        self.follower.note_control(address, live)
-        self.claims.finder.note_control(address, live)
+        self.follower.update_control_address(address, live)
+        self.claims.finder.update_control_address(address, live)
 
     def on_slots(self, slots: int) -> None:
         self.membership.announce(slots=slots)
--- a/tests/events/test_carrying.py
+++ b/tests/events/test_carrying.py
@@ -228,8 +228,8 @@
     bed = CarrierBed()
     finder = bed.carrier.finder
     for address in CONTROL:
-        finder.note_other(address)
+        finder.remove_control_address(address)
     later = Address('127.0.0.1', 9)
-    finder.note_control(later, live=True)
+    finder.update_control_address(later, live=True)
     bed.take()
     assert bed.places == [later]
--- a/tests/events/test_tasks.py
+++ b/tests/events/test_tasks.py
@@ -171,11 +171,11 @@
     bed = FollowerBed()
     bed.follower.start()
     bed.asked()
-    bed.follower.note_control(CONTROL[1], True)
+    bed.follower.update_control_address(CONTROL[1], True)
     assert bed.asked() == [CONTROL[1]]
     assert bed.network.given_up == [CONTROL[1]]
     bed.give(CONTROL[1], 4, committed=True)
-    bed.follower.note_control(CONTROL[1], True)
+    bed.follower.update_control_address(CONTROL[1], True)
     assert bed.asked() == []
 
 
--- a/tests/ledger/test_tasks.py
+++ b/tests/ledger/test_tasks.py
@@ -250,11 +250,11 @@
     harness = ClaimClientHarness()
     finder = harness.client.finder
     later = Address('127.0.0.1', 9)
-    finder.note_control(later, live=True)
+    finder.update_control_address(later, live=True)
     for address in CONTROL:
-        finder.note_control(address, live=False)
+        finder.update_control_address(address, live=False)
     assert finder.control == [later]
-    finder.note_control(later, live=False)
+    finder.update_control_address(later, live=False)
     harness.claim()
     assert harness.asked(Request) == [later]
 
