--- a/tests/replication/test_state.py
+++ b/tests/replication/test_state.py
@@ -74,7 +74,7 @@
 
 
 @pytest.mark.parametrize(
-    ('bootstrap', 'stands'), [(True, True), (False, False)]
+    ('bootstrap', 'is_candidate'), [(True, True), (False, False)]
 )
 def test_empty_folder_is_a_candidate_only_with_bootstrap(
     bootstrap, is_candidate
