--- a/tests/ledger/test_state.py
+++ b/tests/ledger/test_state.py
@@ -42,10 +42,10 @@
         claim a > granted; end a ANSWERED kept=0 > yes; claim b > large""",
     'a release frees the key for another attempt': """
         claim a > granted; end a RELEASED > yes; claim b mark=2 > granted""",
-    'a late copy of a released claim takes nothing': """
+    'a late copy of a released claim has no effect': """
         claim a > granted; end a RELEASED > yes; claim a > cancelled;
         claim b > granted""",
-    'a release that overtakes its claim stops it': """
+    'a release that arrives before its claim prevents it': """
         end a RELEASED > yes; claim a > cancelled""",
     'a late release frees no newer claim': """
         claim a > granted; end a RELEASED > yes; claim b > granted;
@@ -56,7 +56,7 @@
     'an unknown attempt is never released': """
         claim a > granted; end a UNKNOWN > yes; end a RELEASED > no;
         claim b > unknown; claim b > unknown""",
-    'an answer that comes after all settles the unknown': """
+    'a late answer replaces an unknown outcome': """
         claim a > granted; end a UNKNOWN > yes; end a ANSWERED > yes;
         end a UNKNOWN > yes; claim b > recorded""",
     'only the holder ends a claim': """
@@ -71,7 +71,7 @@
         claim a expires=END+DAY > granted""",
     'a key without a deadline ends with the event': """
         at END; claim a > expired""",
-    'another deadline for a held key never runs it again': """
+    'another deadline for a held key causes no second run': """
         claim a expires=50 > granted; claim b expires=900 > open;
         at 899+DAY; claim b expires=900 > unknown""",
     'a key is still known a day after its deadline': """
@@ -83,11 +83,11 @@
     'a released attempt is forgotten after a minute': """
         end a RELEASED > yes; at MIN-1; claim a > cancelled; at MIN;
         event DAY; claim a > granted""",
-    'ledger time never falls': """
+    'ledger time never decreases': """
         at 600; at 0; claim a expires=600 > expired""",
     'nothing is granted without a document': """
         event 0; claim a > no document""",
-    'a claim that names nothing is refused': """
+    'a malformed claim is refused': """
         claim a key= > bad; claim a key=LONG > bad;
         claim LONG > bad; claim a expires=-2*DAY > bad""",
 }
