--- a/cyclamenlift/ledger/state.py
+++ b/cyclamenlift/ledger/state.py
@@ -1,11 +1,12 @@
-"""The ledger of claims: at most one run for each key, a pure state machine.
+"""The claim ledger: a deterministic state machine, one run for each key.
 
-Every control instance applies the same log, so every decision here depends
-on the log alone: no settings, no local clock. Ledger time is the largest
-stamp applied so far; it never falls, whichever leader wrote the stamps.
+Every control instance applies the same log, so every decision depends on
+the log alone and not on settings or the local clock. Ledger time is the
+largest time stamp applied so far; it never decreases, whichever leader wrote
+the stamps.
 
-A claim is forgotten only after its key's deadline by ledger time, and a key
-whose deadline has passed is never granted, so forgetting can not bring a
+A claim is removed only after its key's deadline by ledger time, and a key
+whose deadline has passed is never granted, so removal cannot lead to a
 second run.
 """
 
@@ -29,20 +30,20 @@
 DAY_MS = 24 * 3600 * 1000
 HORIZON_MS = DAY_MS
 RETAINED_MS = DAY_MS
-RETAINED_KEPT = 100_000
+MAX_RETAINED = 100_000
 RELEASED_MS = 60_000
-RELEASED_KEPT = 100_000
+MAX_RELEASED = 100_000
 HEAP_SLACK = 1_000
 RETRY_MS = 500
 MAX_KEY_LENGTH = 512
 MAX_NAME_LENGTH = 256
-MAX_FINGERPRINT = 64
+MAX_FINGERPRINT_LENGTH = 64
 CLAIM = pydantic.TypeAdapter(Claim)
 RELEASED = pydantic.TypeAdapter(list[ReleasedAttempt])
 
 
 class Ledger:
-    """Grants each key to one attempt and remembers how it ended."""
+    """Grants each key to one attempt and records how it ended."""
 
     def __init__(self) -> None:
         self.time_ms = 0
@@ -54,24 +55,24 @@
     # -- commands ---------------------------------------------------------
 
     def advance(self, stamp_unix_ms: int) -> None:
-        """Move ledger time forward and forget what is due."""
+        """Advance ledger time and remove expired claims."""
         if stamp_unix_ms > self.time_ms:
             self.time_ms = stamp_unix_ms
-            self.forget_due()
+            self.remove_expired()
 
     def claim(self, attempt: Attempt, event_ends_ms: int) -> ClaimOutcome:
-        """Decide on one attempt; the event's end is 0 without a document."""
-        if not self.well_formed(attempt):
+        """Process an attempt; ``event_ends_ms`` is 0 without a document."""
+        if not self.is_well_formed(attempt):
             return refused(ResultCode.BAD_REQUEST)
         held = self.claims.get(ClaimKey(attempt.service_name, attempt.key))
         if held is not None:
-            return self.claim_held(held, attempt, event_ends_ms)
+            return self.answer_held_key(held, attempt, event_ends_ms)
         if self.is_released(attempt):
             return refused(ResultCode.CANCELLED_NOT_RUN)
         if not event_ends_ms:
             return refused(ResultCode.NO_CONFIGURATION)
         expires_ms = attempt.key_expires_ms or event_ends_ms
-        if not self.in_horizon(expires_ms, event_ends_ms):
+        if not self.is_grantable(expires_ms, event_ends_ms):
             return refused(ResultCode.KEY_EXPIRED)
         self.grant(attempt, expires_ms)
         return ClaimOutcome(Verdict.GRANTED)
@@ -83,10 +84,10 @@
         ending: Ending,
         answer: AnswerRecord | None = None,
     ) -> bool:
-        """End an attempt; True when this ending is now in effect.
+        """End an attempt; return whether this ending is now in effect.
 
-        Only the attempt that holds the key may end it, and an attempt that
-        has ended never turns into a released one.
+        Only the attempt that holds the key may end the claim, and an ended
+        attempt is never released.
         """
         held = self.claims.get(identity)
         holds = held is not None and held.attempt_id == attempt_id
@@ -98,11 +99,11 @@
             return self.record(held, answer)
         if held.state is ClaimState.OPEN:
             held.state = ClaimState.UNKNOWN
-            held.touch()
+            held.mark_changed()
         return True
 
     def grant(self, attempt: Attempt, expires_ms: int) -> None:
-        """Give a free key to ``attempt``."""
+        """Grant an unclaimed key to ``attempt``."""
         claim = Claim(
             attempt.service_name,
             attempt.key,
@@ -117,10 +118,10 @@
         if len(self.expiry) > 2 * len(self.claims) + HEAP_SLACK:
             self.rebuild_expiry()
 
-    def claim_held(
+    def answer_held_key(
         self, held: Claim, attempt: Attempt, event_ends_ms: int
     ) -> ClaimOutcome:
-        """Answer an attempt for a key that is held; never a second run."""
+        """Answer an attempt for a held key, without a second run."""
         if held.fingerprint != attempt.fingerprint:
             return refused(ResultCode.KEY_REUSED)
         self.extend(held, attempt.key_expires_ms, event_ends_ms)
@@ -137,47 +138,47 @@
         )
 
     def extend(self, held: Claim, expires_ms: int, event_ends_ms: int) -> None:
-        """Keep a key until the latest deadline that it was sent with."""
+        """Extend a claim to the latest deadline sent for its key."""
         later = expires_ms or event_ends_ms
         if held.retained or later <= held.expires_ms:
             return
-        if self.in_horizon(later, event_ends_ms):
+        if self.is_grantable(later, event_ends_ms):
             held.expires_ms = later
-            held.touch()
+            held.mark_changed()
             heapq.heappush(self.expiry, (later, held.identity()))
 
     def release(
         self, identity: ClaimKey, attempt_id: str, held: Claim | None
     ) -> bool:
-        """Free the key that ``held`` holds for the attempt, if any."""
+        """Release the attempt and the claim that it holds, if any."""
         if held is not None and held.state is not ClaimState.OPEN:
             return False
         if held is not None:
-            self.drop(held)
+            self.remove(held)
         attempt = ReleasedAttempt(
             *identity, attempt_id, self.time_ms + RELEASED_MS
         )
         self.released.setdefault(attempt.identity(), attempt)
-        while len(self.released) > RELEASED_KEPT:
+        while len(self.released) > MAX_RELEASED:
             del self.released[next(iter(self.released))]
         return True
 
     def record(self, held: Claim, answer: AnswerRecord | None) -> bool:
-        """Keep the first answer of the attempt that holds the key."""
+        """Record the first answer of the attempt that holds the key."""
         if held.state is not ClaimState.ANSWERED:
             held.state = ClaimState.ANSWERED
             held.answer = answer
-            held.touch()
+            held.mark_changed()
         return True
 
-    # -- forgetting -------------------------------------------------------
+    # -- expiry -----------------------------------------------------------
 
-    def forget_due(self) -> None:
-        """Forget by ledger time: claims, then attempts that were released.
+    def remove_expired(self) -> None:
+        """Remove claims and released attempts that have expired.
 
-        Past its deadline a claim is retained for another day, as far as
-        there is room: a key without a deadline of its own that is sent
-        again under the next event is then still known.
+        After its deadline a claim is retained for another day, within a
+        limit on their number, so that a key without a deadline of its own
+        that is sent again during the next event is still known.
         """
         while self.expiry and self.expiry[0][0] <= self.time_ms:
             expires_ms, identity = heapq.heappop(self.expiry)
@@ -186,9 +187,9 @@
                 continue
             if claim.expires_ms == expires_ms:
                 claim.retained = True
-                claim.touch()
+                claim.mark_changed()
                 self.retained.append(identity)
-        while self.retained and self.oldest_retained_is_due():
+        while self.retained and self.oldest_retained_has_expired():
             del self.claims[self.retained.popleft()]
         while self.released:
             oldest = next(iter(self.released.values()))
@@ -196,21 +197,21 @@
                 break
             del self.released[oldest.identity()]
 
-    def oldest_retained_is_due(self) -> bool:
-        if len(self.retained) > RETAINED_KEPT:
+    def oldest_retained_has_expired(self) -> bool:
+        if len(self.retained) > MAX_RETAINED:
             return True
         oldest = self.claims[self.retained[0]]
         return oldest.expires_ms + RETAINED_MS <= self.time_ms
 
-    def drop(self, claim: Claim) -> None:
-        """Take one claim out; its entry in the heap is skipped later."""
+    def remove(self, claim: Claim) -> None:
+        """Remove a claim; its heap entry is skipped later."""
         identity = claim.identity()
         del self.claims[identity]
         if claim.retained:
             self.retained.remove(identity)
 
     def rebuild_expiry(self) -> None:
-        """Rid the heap of entries whose claims were released."""
+        """Rebuild the heap without the entries of removed claims."""
         self.expiry = [
             (claim.expires_ms, identity)
             for identity, claim in self.claims.items()
@@ -220,18 +221,18 @@
 
     # -- queries ----------------------------------------------------------
 
-    def well_formed(self, attempt: Attempt) -> bool:
-        """Tell whether the attempt names what it is for, within limits."""
+    def is_well_formed(self, attempt: Attempt) -> bool:
+        """Return whether required fields are set and within limits."""
         return (
             0 < len(attempt.service_name) <= MAX_NAME_LENGTH
             and 0 < len(attempt.key) <= MAX_KEY_LENGTH
-            and len(attempt.fingerprint) <= MAX_FINGERPRINT
+            and len(attempt.fingerprint) <= MAX_FINGERPRINT_LENGTH
             and 0 < len(attempt.attempt_id) <= MAX_KEY_LENGTH
             and attempt.key_expires_ms >= 0
         )
 
-    def in_horizon(self, expires_ms: int, event_ends_ms: int) -> bool:
-        """Tell whether a key with this deadline may be granted now."""
+    def is_grantable(self, expires_ms: int, event_ends_ms: int) -> bool:
+        """Return whether a key with this deadline may be granted now."""
         latest_ms = event_ends_ms + HORIZON_MS
         return self.time_ms < expires_ms <= latest_ms
 
@@ -240,20 +241,20 @@
         return identity in self.released
 
     def holds(self, service_name: str, key: str) -> bool:
-        """Tell whether the key is held now."""
+        """Return whether the key is held."""
         return ClaimKey(service_name, key) in self.claims
 
     def __len__(self) -> int:
-        """Return the number of keys held."""
+        """Return the number of held keys."""
         return len(self.claims)
 
     # -- snapshots --------------------------------------------------------
 
     def encode(self) -> bytes:
-        """Return the whole state as the JSON of a ``LedgerSnapshot``.
+        """Return the state as the JSON of a ``LedgerSnapshot``.
 
-        Only claims that changed since the last time are encoded anew:
-        this runs on the event loop, with all keys that are held.
+        Only claims changed since the last call are encoded again: this runs
+        on the event loop and covers all held keys.
         """
         self.encode_changed()
         claims = b','.join([c.encoded for c in self.claims.values()])
@@ -265,13 +266,13 @@
         )
 
     def encode_changed(self) -> None:
-        """Encode each claim that changed since it was encoded."""
+        """Encode the claims whose cached encoding is invalid."""
         for claim in self.claims.values():
             if claim.encoded is None:
                 claim.encoded = CLAIM.dump_json(claim)
 
     def restore(self, state: LedgerSnapshot) -> None:
-        """Replace the state with a decoded one."""
+        """Replace the state with that of a snapshot."""
         self.time_ms = state.time_ms
         self.claims = {c.identity(): c for c in state.claims}
         self.encode_changed()
@@ -283,12 +284,12 @@
 
 
 def refused(code: ResultCode) -> ClaimOutcome:
-    """Return a refusal: this attempt was not run and holds nothing."""
+    """Return a refusal; the attempt did not run and holds no key."""
     return ClaimOutcome(Verdict.REFUSED, int(code))
 
 
 def recorded(answer: AnswerRecord | None) -> ClaimOutcome:
-    """Return the recorded answer, or that its body was too large to keep."""
+    """Return the recorded answer; the code tells if its body was dropped."""
     if answer is None or not answer.body_kept:
         code = ResultCode.RECORD_TOO_LARGE
     else:
--- a/cyclamenlift/ledger/tasks.py
+++ b/cyclamenlift/ledger/tasks.py
@@ -1,4 +1,4 @@
-"""The ledger's client: claims and their ends, sent to whoever leads."""
+"""The claim client, which sends claims and their ends to the leader."""
 
 from collections.abc import Callable
 import random
@@ -9,9 +9,9 @@
 from cyclamenlift.core.codes import ResultCode
 from cyclamenlift.core.streams import Address
 from cyclamenlift.core.tasks import Root
-from cyclamenlift.ledger.errands import Errand
-from cyclamenlift.ledger.errands import LeaderErrands
 from cyclamenlift.ledger.finder import LeaderFinder
+from cyclamenlift.ledger.leader_client import LeaderClient
+from cyclamenlift.ledger.leader_client import LeaderRequest
 from cyclamenlift.ledger.messages import no_majority
 from cyclamenlift.wire.gen.protocol.ttypes import ClaimAnswer
 from cyclamenlift.wire.gen.protocol.ttypes import ClaimEnd
@@ -22,21 +22,21 @@
 from cyclamenlift.wire.tasks import Link
 from cyclamenlift.wire.tasks import PeerNetwork
 
-PATIENCE_SECONDS = 1.0
+CLAIM_TIMEOUT_SECONDS = 1.0
 MAX_RELEASES = 1_000
 RELEASE_SECONDS = 30.0
 LOG = structlog.get_logger('ledger')
 
 
-class ClaimClient(LeaderErrands):
-    """Asks the control instances for claims on behalf of one daemon.
+class ClaimClient(LeaderClient):
+    """Requests claims from the control instances on behalf of a daemon.
 
-    An attempt is sent again with the same attempt id, which the ledger
-    answers with the same grant. When no majority is found within
-    ``patience_seconds`` the answer is NO_MAJORITY; a claim that may have
-    been taken nevertheless is then released. If the release is lost too,
-    the key stays taken: later attempts learn that the outcome is unknown,
-    and none runs.
+    An attempt is retried with the same attempt id, which the ledger answers
+    with the same grant. If no majority answers within
+    ``claim_timeout_seconds``, the answer is NO_MAJORITY, and a claim that
+    may have been granted nevertheless is released. If the release is lost
+    too, the key stays held: later attempts get an unknown outcome and none
+    of them runs.
     """
 
     channel = 'claims'
@@ -47,11 +47,11 @@
         network: PeerNetwork,
         control: list[Address],
         rng: random.Random,
-        patience_seconds: float = PATIENCE_SECONDS,
+        claim_timeout_seconds: float = CLAIM_TIMEOUT_SECONDS,
     ):
         finder = LeaderFinder(control, rng)
         super().__init__(root, network, finder, channel='claims')
-        self.patience_seconds = patience_seconds
+        self.claim_timeout_seconds = claim_timeout_seconds
         self.releases = 0
         network.subscribe(ClaimAnswer, self.on_claim_answer)
         network.subscribe(ClaimEndAnswer, self.on_end_answer)
@@ -64,13 +64,13 @@
         deadline: float,
         done: Callable[[ClaimAnswer], None],
     ) -> None:
-        """Ask for a claim; ``done`` runs once, by ``deadline`` at latest.
+        """Request a claim; ``done`` is called once, by ``deadline``.
 
-        The attempt id must be fresh for each call. The request's number
-        and time left are filled in here.
+        The attempt id must be unique for each call. The request id and the
+        time left are filled in here.
         """
-        patience_ends = self.now() + self.patience_seconds
-        self.begin(request, deadline, min(deadline, patience_ends), done)
+        times_out_at = self.now() + self.claim_timeout_seconds
+        self.submit(request, deadline, min(deadline, times_out_at), done)
 
     def end(
         self,
@@ -78,34 +78,35 @@
         deadline: float,
         done: Callable[[bool], None],
     ) -> None:
-        """Report the end of an attempt until a majority holds it.
+        """Report the end of an attempt until it is committed.
 
-        ``done`` gets False when the deadline came first, or when another
-        ending of this attempt stands already.
+        ``done`` gets False if the deadline passed first, or if another
+        ending of this attempt is already recorded.
         """
-        self.begin(ending, deadline, deadline, done)
+        self.submit(ending, deadline, deadline, done)
 
-    # -- asking -----------------------------------------------------------
+    # -- attempts ---------------------------------------------------------
 
-    def prepare(self, errand: Errand, now: float) -> None:
-        """Tell how much time the call has left."""
-        if is_claim(errand):
-            left = max(0.0, errand.deadline - now)
-            errand.message.time_left_ms = int(left * MILLISECONDS)
+    def prepare(self, pending: LeaderRequest, now: float) -> None:
+        """Fill in the time that the call has left."""
+        if is_claim(pending):
+            left = max(0.0, pending.deadline - now)
+            pending.message.time_left_ms = int(left * MILLISECONDS)
 
-    def give_up(self, errand: Errand) -> None:
-        """End without an answer; free what may have been taken."""
-        if not is_claim(errand):
-            self.finish(errand, False)
+    def give_up(self, pending: LeaderRequest) -> None:
+        """End without an answer and release a claim that may be granted."""
+        if not is_claim(pending):
+            self.finish(pending, False)
             return
-        self.finish(errand, no_majority(errand.message.request_id))
-        if errand.maybe_taken():
-            self.release(errand.message)
+        self.finish(pending, no_majority(pending.message.request_id))
+        if pending.is_maybe_appended():
+            self.release(pending.message)
 
     def release(self, request: ClaimRequest) -> None:
-        """Free a claim that nobody will use.
+        """Release a claim that will not be used.
 
-        Releases are limited in number: an outage must not grow a backlog.
+        The number of pending releases is limited, so that no backlog grows
+        during an outage.
         """
         if self.releases >= MAX_RELEASES:
             return
@@ -118,9 +119,9 @@
             key_expires_unix_ms=request.key_expires_unix_ms,
         )
         deadline = self.now() + RELEASE_SECONDS
-        self.end(ending, deadline, self.note_release)
+        self.end(ending, deadline, self.on_release_finished)
 
-    def note_release(self, released: bool) -> None:
+    def on_release_finished(self, released: bool) -> None:
         self.releases -= 1
         if not released:
             LOG.warning('claim_not_released')
@@ -128,36 +129,36 @@
     # -- answers ----------------------------------------------------------
 
     def on_claim_answer(self, link: Link, answer: ClaimAnswer) -> None:
-        self.learn_name(link)
-        errand = self.errands.get(answer.request_id)
-        if errand is None or not is_claim(errand):
+        self.record_instance_address(link)
+        pending = self.pending_requests.get(answer.request_id)
+        if pending is None or not is_claim(pending):
             return
         if answer.verdict == ClaimVerdict.NOT_LEADER:
-            self.refused(errand, link, answer.leader)
+            self.refused(pending, link, answer.leader)
         elif answer.verdict == ClaimVerdict.NO_MAJORITY:
-            self.on_lost_leader(errand, link)
+            self.on_no_quorum(pending, link)
         else:
-            self.on_decision(errand, link, answer)
+            self.on_decision(pending, link, answer)
 
     def on_decision(
-        self, errand: Errand, link: Link, answer: ClaimAnswer
+        self, pending: LeaderRequest, link: Link, answer: ClaimAnswer
     ) -> None:
-        """Hand over what the ledger decided, unless it comes too late."""
+        """Pass on the ledger's decision, unless it is too late."""
         if link.address is not None:
             self.finder.note_leader(link.address)
-        if self.now() >= errand.give_up_at:
-            self.give_up(errand)
+        if self.now() >= pending.give_up_at:
+            self.give_up(pending)
             return
-        self.finish(errand, answer)
-        if answer.code == ResultCode.LEDGER_FULL and errand.hops > 1:
-            # This answer comes from outside the log: an earlier question
-            # may still be granted.
-            self.release(errand.message)
+        self.finish(pending, answer)
+        if answer.code == ResultCode.LEDGER_FULL and pending.attempt_count > 1:
+            # This refusal was not made by the ledger itself: an earlier
+            # attempt may still be granted.
+            self.release(pending.message)
 
     def on_end_answer(self, link: Link, answer: ClaimEndAnswer) -> None:
-        self.learn_name(link)
-        errand = self.errands.get(answer.request_id)
-        if errand is None or is_claim(errand):
+        self.record_instance_address(link)
+        pending = self.pending_requests.get(answer.request_id)
+        if pending is None or is_claim(pending):
             return
         decided = link.hello is not None and (
             answer.leader == link.hello.instance
@@ -165,16 +166,16 @@
         if answer.committed or decided:
             if link.address is not None:
                 self.finder.note_leader(link.address)
-            self.finish(errand, bool(answer.committed))
+            self.finish(pending, bool(answer.committed))
             return
-        self.refused(errand, link, answer.leader)
+        self.refused(pending, link, answer.leader)
 
-    def refused(self, errand: Errand, link: Link, hint: str) -> None:
-        """Ask on: the instance does not lead, and may know who does."""
-        hinted = self.finder.place_of(hint or '')
-        self.on_not_leader(errand, link, hinted)
+    def refused(self, pending: LeaderRequest, link: Link, hint: str) -> None:
+        """Ask the next instance, following a leader hint if there is one."""
+        hinted = self.finder.address_by_name(hint or '')
+        self.on_not_leader(pending, link, hinted)
 
 
-def is_claim(errand: Errand) -> bool:
-    """Tell a claim from the end of one."""
-    return isinstance(errand.message, ClaimRequest)
+def is_claim(pending: LeaderRequest) -> bool:
+    """Return whether the request is a claim, not the end of one."""
+    return isinstance(pending.message, ClaimRequest)
--- a/cyclamenlift/replication/elections.py
+++ b/cyclamenlift/replication/elections.py
@@ -1,8 +1,8 @@
-"""Elections: a pre-vote that changes nothing, then votes that are synced."""
+"""Leader election: a pre-vote without side effects, then a durable vote."""
 
 from cyclamenlift.replication.leading import start_leading
+from cyclamenlift.replication.message_handlers import MESSAGE_HANDLERS
 from cyclamenlift.replication.queries import Role
-from cyclamenlift.replication.receivers import RECEIVERS
 from cyclamenlift.replication.state import Campaign
 from cyclamenlift.replication.state import ReplicaState
 from cyclamenlift.wire.gen.protocol.ttypes import VoteAnswer
@@ -10,19 +10,19 @@
 
 
 def tick_election(state: ReplicaState, now: float) -> None:
-    """Ask for votes once no leader was heard until the deadline."""
+    """Start a pre-vote when the election deadline has passed."""
     if now < state.election_deadline:
         return
-    state.postpone_asking(now)
+    state.schedule_pre_vote(now)
     if state.may_vote and not state.is_stalled(now):
         start_pre_vote(state, now)
 
 
 def start_pre_vote(state: ReplicaState, now: float) -> None:
-    """Ask whether an election could be won, without a new term.
+    """Ask peers whether they would grant a vote, keeping the term.
 
-    An instance that was cut off would otherwise return with a high term
-    and depose a working leader.
+    Without a pre-vote, an instance that was partitioned away would return
+    with a higher term and depose a working leader.
     """
     state.role = Role.CANDIDATE
     state.leader = ''
@@ -35,18 +35,19 @@
 
 
 def start_vote(state: ReplicaState, now: float) -> None:
-    """Stand for election in a new term.
+    """Become a candidate in a new term.
 
-    The requests name the end of our log, so they wait until that log and
-    our own vote are synced: after a crash the claim must still be true.
+    The requests state the end of the local log, so they are sent only after
+    that log and the own vote are synced: the statement must still be true
+    after a crash.
     """
-    state.returned = False
+    state.restarted_with_log = False
     state.term += 1
     state.voted_for = state.instance
     ticket = state.persist_term()
     campaign = Campaign(state.term, pre_vote=False, own_ticket=ticket)
     state.campaign = campaign
-    state.postpone_election(now)
+    state.reset_election_deadline(now)
     request = make_request(state, campaign)
     for peer in state.peers:
         state.outbox.send_synced(peer, request)
@@ -64,7 +65,7 @@
 
 
 def vote_synced(state: ReplicaState, ticket: int, now: float) -> None:
-    """Count our own vote, once it is synced."""
+    """Count the candidate's own vote once it is durable."""
     campaign = state.campaign
     if campaign is None or campaign.pre_vote:
         return
@@ -83,19 +84,19 @@
         start_leading(state, campaign.votes, now)
 
 
-def is_current(state: ReplicaState, request: VoteRequest) -> bool:
-    """Tell whether the candidate's log holds at least what ours does."""
+def is_log_up_to_date(state: ReplicaState, request: VoteRequest) -> bool:
+    """Return whether the candidate's log is at least as up to date."""
     theirs = (request.last_term, request.last_index)
     return theirs >= (state.log.last_term, state.log.last_index)
 
 
-def hears_leader(state: ReplicaState, now: float) -> bool:
+def has_active_leader(state: ReplicaState, now: float) -> bool:
     if state.role is Role.LEADER:
         return True
-    return now - state.leader_heard_at < state.limits.election
+    return now - state.leader_contact_at < state.limits.election
 
 
-@RECEIVERS.register('VoteRequest')
+@MESSAGE_HANDLERS.register('VoteRequest')
 def receive_request(
     state: ReplicaState, sender: str, request: VoteRequest, now: float
 ) -> None:
@@ -111,8 +112,8 @@
     granted = (
         request.term > state.term
         and state.may_vote
-        and is_current(state, request)
-        and not hears_leader(state, now)
+        and is_log_up_to_date(state, request)
+        and not has_active_leader(state, now)
     )
     term = request.term if granted else state.term
     state.outbox.send(sender, make_answer(state, term, granted, True))
@@ -121,18 +122,18 @@
 def answer_vote(
     state: ReplicaState, sender: str, request: VoteRequest, now: float
 ) -> None:
-    """Vote at most once in a term, for a log that lacks nothing of ours."""
+    """Grant at most one vote a term, to a log at least as up to date."""
     if request.term > state.term:
         state.follow(request.term, '', now)
     granted = (
         request.term == state.term
         and state.may_vote
         and state.voted_for in ('', sender)
-        and is_current(state, request)
+        and is_log_up_to_date(state, request)
     )
     if granted:
-        state.returned = False
-        state.postpone_election(now)
+        state.restarted_with_log = False
+        state.reset_election_deadline(now)
     if granted and not state.voted_for:
         state.voted_for = sender
         state.persist_term()
@@ -140,7 +141,7 @@
 
 
 def send_vote(state: ReplicaState, to: str, answer: VoteAnswer) -> None:
-    """Answer only after the vote is synced: a crash must not undo it."""
+    """Send the answer after the vote is synced, so no crash undoes it."""
     state.outbox.send_synced(to, answer)
 
 
@@ -156,11 +157,11 @@
     )
 
 
-@RECEIVERS.register('VoteAnswer')
+@MESSAGE_HANDLERS.register('VoteAnswer')
 def receive_answer(
     state: ReplicaState, sender: str, answer: VoteAnswer, now: float
 ) -> None:
-    """Count a vote for the storage that gave it."""
+    """Count a granted vote under the voter's storage id."""
     if answer.term > state.term and not answer.granted:
         state.follow(answer.term, '', now)
         return
--- a/cyclamenlift/replication/installing.py
+++ b/cyclamenlift/replication/installing.py
@@ -1,9 +1,9 @@
-"""Taking a snapshot that a leader sends in chunks."""
+"""Receiving and installing a snapshot that a leader sends in chunks."""
 
 from cyclamenlift.replication.effects import PersistSnapshot
 from cyclamenlift.replication.effects import RestoreMachine
-from cyclamenlift.replication.following import hear_leader
-from cyclamenlift.replication.receivers import RECEIVERS
+from cyclamenlift.replication.following import accept_leader
+from cyclamenlift.replication.message_handlers import MESSAGE_HANDLERS
 from cyclamenlift.replication.snapshots import Snapshot
 from cyclamenlift.replication.snapshots import SnapshotError
 from cyclamenlift.replication.state import IncomingSnapshot
@@ -12,14 +12,14 @@
 from cyclamenlift.wire.gen.protocol.ttypes import SnapshotChunk
 
 
-@RECEIVERS.register('SnapshotChunk')
+@MESSAGE_HANDLERS.register('SnapshotChunk')
 def receive_chunk(
     state: ReplicaState, sender: str, chunk: SnapshotChunk, now: float
 ) -> None:
     if chunk.term < state.term:
         state.outbox.send(sender, make_answer(state, chunk, 0, False))
         return
-    hear_leader(state, chunk.term, sender, now)
+    accept_leader(state, chunk.term, sender, now)
     if chunk.last_index <= state.commit_index:
         state.incoming = None
         state.outbox.send_synced(sender, make_answer(state, chunk, 0, True))
@@ -35,7 +35,7 @@
 
 
 def take_chunk(state: ReplicaState, chunk: SnapshotChunk) -> IncomingSnapshot:
-    """Keep a chunk that comes in order; any other changes nothing."""
+    """Store the next chunk in order and ignore any other."""
     incoming = state.incoming
     known = incoming is not None and (
         (incoming.term, incoming.last_index) == (chunk.term, chunk.last_index)
@@ -51,7 +51,7 @@
 
 
 def install(state: ReplicaState, payload: bytes, chunk: SnapshotChunk) -> bool:
-    """Replace log and machine by a whole snapshot; False if it is not."""
+    """Replace log and state machine; return False for a bad snapshot."""
     try:
         snapshot = Snapshot.decode(payload)
     except SnapshotError:
--- a/cyclamenlift/replication/leading.py
+++ b/cyclamenlift/replication/leading.py
@@ -1,17 +1,17 @@
-"""What a leader does: send entries, count answers, check its majority."""
+"""Leader role: replicate entries, process answers, verify the quorum."""
 
 from cyclamenlift.replication.commits import advance_commit
-from cyclamenlift.replication.growth import change_voters
 from cyclamenlift.replication.log import KIND_NO_OP
+from cyclamenlift.replication.message_handlers import MESSAGE_HANDLERS
 from cyclamenlift.replication.progress import Leadership
 from cyclamenlift.replication.progress import Progress
 from cyclamenlift.replication.queries import Role
 from cyclamenlift.replication.reads import confirm_reads
-from cyclamenlift.replication.reads import start_waiting_reads
-from cyclamenlift.replication.receivers import RECEIVERS
+from cyclamenlift.replication.reads import start_read_round
 from cyclamenlift.replication.sending import replicate
 from cyclamenlift.replication.sending import start_round
 from cyclamenlift.replication.state import ReplicaState
+from cyclamenlift.replication.voter_changes import change_voters
 from cyclamenlift.replication.voters import Configuration
 from cyclamenlift.wire.gen.protocol.ttypes import AppendAnswer
 from cyclamenlift.wire.gen.protocol.ttypes import SnapshotAnswer
@@ -20,9 +20,9 @@
 def start_leading(
     state: ReplicaState, votes: dict[str, str], now: float
 ) -> None:
-    """Lead this term, beginning with an entry of its own.
+    """Become leader of this term and append a first entry.
 
-    It is a no-op, or the configuration that founds the cluster.
+    The entry is a no-op, or the initial configuration of a new cluster.
     """
     state.role = Role.LEADER
     state.leader = state.instance
@@ -53,8 +53,8 @@
 
 
 def tick_leader(state: ReplicaState, now: float) -> None:
-    """Step down without a majority or a disk, or send what is due."""
-    if not has_contact(state, now) or state.is_stalled(now):
+    """Step down without a quorum or with a stalled disk, else heartbeat."""
+    if not has_quorum_contact(state, now) or state.is_stalled(now):
         state.follow(state.term, '', now)
         return
     if now >= state.leadership.heartbeat_at:
@@ -63,8 +63,8 @@
         change_voters(state, now)
 
 
-def has_contact(state: ReplicaState, now: float) -> bool:
-    """Tell whether a quorum answered within an election timeout."""
+def has_quorum_contact(state: ReplicaState, now: float) -> bool:
+    """Return whether a quorum answered within an election timeout."""
     oldest = now - state.limits.election
     present = {
         name: progress.storage_id
@@ -75,56 +75,56 @@
     return state.has_quorum(present)
 
 
-@RECEIVERS.register('AppendAnswer')
+@MESSAGE_HANDLERS.register('AppendAnswer')
 def receive_append_answer(
     state: ReplicaState, sender: str, answer: AppendAnswer, now: float
 ) -> None:
-    if not hear_answer(state, sender, answer, now):
+    if not accept_answer(state, sender, answer, now):
         return
     progress = state.leadership.progress[sender]
     if answer.accepted:
-        progress.accepted(answer.match_index)
+        progress.record_accepted(answer.match_index)
         advance_commit(state)
     else:
-        progress.rejected(answer.hint_index)
+        progress.record_rejected(answer.hint_index)
     continue_leading(state, now)
 
 
-@RECEIVERS.register('SnapshotAnswer')
+@MESSAGE_HANDLERS.register('SnapshotAnswer')
 def receive_snapshot_answer(
     state: ReplicaState, sender: str, answer: SnapshotAnswer, now: float
 ) -> None:
-    if not hear_answer(state, sender, answer, now):
+    if not accept_answer(state, sender, answer, now):
         return
     progress = state.leadership.progress[sender]
     if answer.installed:
-        progress.accepted(answer.last_index)
-    elif progress.sends(answer.last_index):
+        progress.record_accepted(answer.last_index)
+    elif progress.is_sending(answer.last_index):
         progress.transfer.offset = answer.next_offset
         progress.retry_at = None
         progress.probing = False
     continue_leading(state, now)
 
 
-def hear_answer(
+def accept_answer(
     state: ReplicaState,
     sender: str,
     answer: AppendAnswer | SnapshotAnswer,
     now: float,
 ) -> bool:
-    """Note who answered which round; False if it is not for this term."""
+    """Record an answer; return False if it belongs to another term."""
     if answer.term > state.term:
         state.follow(answer.term, '', now)
     if state.leadership is None or answer.term != state.term:
         return False
     progress = state.leadership.progress[sender]
-    progress.heard_from(answer.storage_id, state.log.last_index + 1)
-    state.leadership.note_answer(progress, answer.round_id)
+    progress.reset_on_new_storage(answer.storage_id, state.log.last_index + 1)
+    state.leadership.record_answer(progress, answer.round_id)
     return True
 
 
 def continue_leading(state: ReplicaState, now: float) -> None:
-    """Release reads, then send the next entries or chunks."""
+    """Complete confirmed reads, then send the next entries or chunks."""
     confirm_reads(state)
     replicate(state, now)
-    start_waiting_reads(state, now)
+    start_read_round(state, now)
--- a/cyclamenlift/replication/progress.py
+++ b/cyclamenlift/replication/progress.py
@@ -1,4 +1,4 @@
-"""What a leader keeps: how far each instance is, rounds and reads."""
+"""Leader state: replication progress, heartbeat rounds, pending reads."""
 
 import dataclasses
 
@@ -7,7 +7,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Transfer:
-    """A snapshot under way to one instance."""
+    """A snapshot transfer to one instance."""
 
     snapshot: Snapshot
     payload: bytes = dataclasses.field(repr=False)
@@ -16,11 +16,12 @@
 
 @dataclasses.dataclass(slots=True)
 class Progress:
-    """How far one instance is, by its own answers.
+    """Replication progress of one instance, according to its answers.
 
-    ``retry_at`` is the deadline of what is in flight, None if nothing is.
-    While ``probing`` it gets heartbeats only, until it answers.
-    ``contact_at`` is when the newest round that it answered was started.
+    ``retry_at`` is the answer deadline of the request in flight, None
+    without one. While ``probing``, only heartbeats are sent until the
+    instance answers. ``contact_at`` is the start of the newest round that
+    it answered.
     """
 
     storage_id: str = ''
@@ -34,11 +35,11 @@
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether it may be sent entries or a chunk now."""
+        """Return whether entries or a snapshot chunk may be sent now."""
         return self.retry_at is None and not self.probing
 
-    def heard_from(self, storage_id: str, next_index: int) -> None:
-        """Start anew when another storage answers under the name."""
+    def reset_on_new_storage(self, storage_id: str, next_index: int) -> None:
+        """Reset the progress if the instance has a different storage."""
         if storage_id == self.storage_id:
             return
         self.storage_id = storage_id
@@ -49,8 +50,8 @@
         self.acked_round = 0
         self.transfer = None
 
-    def accepted(self, match_index: int) -> None:
-        """Note what it has synced."""
+    def record_accepted(self, match_index: int) -> None:
+        """Record that the instance has synced up to ``match_index``."""
         self.match_index = max(self.match_index, match_index)
         self.next_index = max(self.next_index, self.match_index + 1)
         transfer = self.transfer
@@ -60,28 +61,28 @@
             self.retry_at = None
         self.probing = False
 
-    def rejected(self, hint_index: int) -> None:
-        """Go back to where the logs may agree."""
+    def record_rejected(self, hint_index: int) -> None:
+        """Move back to the last index where the logs may match."""
         if self.transfer is None and hint_index + 1 < self.next_index:
             self.next_index = max(self.match_index, hint_index) + 1
             self.retry_at = None
         self.probing = False
 
-    def probe(self) -> None:
-        """Go back to what is known, since an answer is overdue."""
+    def start_probing(self) -> None:
+        """Move back to the acknowledged index after a missed answer."""
         self.next_index = self.match_index + 1
         self.retry_at = None
         self.probing = True
 
-    def sends(self, last_index: int) -> bool:
-        """Tell whether the snapshot at ``last_index`` is under way."""
+    def is_sending(self, last_index: int) -> bool:
+        """Return whether the snapshot at ``last_index`` is being sent."""
         transfer = self.transfer
         return transfer is not None and transfer.snapshot.index == last_index
 
 
 @dataclasses.dataclass(slots=True)
 class Read:
-    """A read that waits; ``round_id`` 0 until a round started after it."""
+    """A pending read; ``round_id`` is 0 until a later round has started."""
 
     token: int
     round_id: int = 0
@@ -91,8 +92,8 @@
 class Leadership:
     """State of a leader in one term.
 
-    ``start_index`` is its first own entry: once that is committed, all
-    entries of earlier terms are known to be.
+    ``start_index`` is its first own entry. Once that is committed, all
+    entries of earlier terms are committed as well.
     """
 
     start_index: int
@@ -102,32 +103,32 @@
     round_started: dict[int, float] = dataclasses.field(default_factory=dict)
     reads: list[Read] = dataclasses.field(default_factory=list)
 
-    def open_round(self, now: float, kept: float) -> None:
-        """Number a new round; the reads asked so far wait for it.
+    def open_round(self, now: float, retention: float) -> None:
+        """Start a new round and assign it to reads that have none.
 
-        Starts of rounds are kept for ``2 * kept`` seconds.
+        Start times of rounds are kept for ``2 * retention`` seconds.
         """
         self.round_id += 1
-        oldest = now - 2 * kept
+        oldest = now - 2 * retention
         for old in [r for r, at in self.round_started.items() if at < oldest]:
             del self.round_started[old]
         self.round_started[self.round_id] = now
         for read in self.reads:
             read.round_id = read.round_id or self.round_id
 
-    def follow_peers(self, peers: tuple[str, ...], next_index: int) -> None:
-        """Keep progress for just these instances."""
+    def track_peers(self, peers: tuple[str, ...], next_index: int) -> None:
+        """Track progress of exactly these instances."""
         for peer in peers:
             if peer not in self.progress:
                 self.progress[peer] = Progress(next_index=next_index)
         for name in set(self.progress) - set(peers):
             del self.progress[name]
 
-    def note_answer(self, progress: Progress, round_id: int) -> None:
-        """Note that an instance answered a round.
+    def record_answer(self, progress: Progress, round_id: int) -> None:
+        """Record that an instance answered a round.
 
-        The contact dates from the start of that round: an answer that lay
-        in a buffer while this process was frozen is no fresh contact.
+        The contact time is the start of that round: an answer that was
+        buffered while this process was frozen does not prove contact now.
         """
         progress.acked_round = max(progress.acked_round, round_id)
         started = self.round_started.get(round_id, progress.contact_at)
--- a/cyclamenlift/replication/storage.py
+++ b/cyclamenlift/replication/storage.py
@@ -1,4 +1,4 @@
-"""One data folder: opened and checked at start, then written in order."""
+"""The data folder: validated when it is opened, then written in order."""
 
 import dataclasses
 import os
@@ -13,8 +13,8 @@
 from cyclamenlift.replication.effects import PersistEntries
 from cyclamenlift.replication.effects import PersistSnapshot
 from cyclamenlift.replication.effects import PersistTerm
-from cyclamenlift.replication.folder import damaged
-from cyclamenlift.replication.folder import failed
+from cyclamenlift.replication.folder import damaged_failure
+from cyclamenlift.replication.folder import io_failure
 from cyclamenlift.replication.folder import lock_folder
 from cyclamenlift.replication.folder import Metadata
 from cyclamenlift.replication.folder import METADATA_NAME
@@ -24,15 +24,15 @@
 from cyclamenlift.replication.segments import Segments
 from cyclamenlift.replication.snapshots import Snapshot
 from cyclamenlift.replication.snapshots import SnapshotError
-from cyclamenlift.replication.state import Recovered
+from cyclamenlift.replication.state import RecoveredState
 from cyclamenlift.wire.gen.protocol.ttypes import LogEntry
 
 
 class Storage:
-    """An open data folder; ``recovered`` is what it held.
+    """An open data folder; ``recovered`` is the state it held.
 
-    Writing raises OSError. After the first one nothing may be written any
-    more: what the kernel kept of a failed write is not known.
+    Write methods raise OSError. After the first one nothing more may be
+    written: it is unknown which part of a failed write the kernel kept.
     """
 
     def __init__(
@@ -41,7 +41,7 @@
         lock: int,
         metadata: Metadata,
         segments: Segments,
-        recovered: Recovered,
+        recovered: RecoveredState,
     ):
         self.folder = folder
         self.lock = lock
@@ -52,8 +52,8 @@
     def write(self, writes: list[Persist]) -> None:
         """Make a batch of writes durable, in order.
 
-        Neighbours of one kind share a sync: entries become one record, and
-        of several terms only the last is written.
+        Consecutive writes of one kind share a sync: entries become one
+        record, and of several terms only the last is written.
         """
         position = 0
         while position < len(writes):
@@ -86,12 +86,12 @@
         replace_file(self.folder / SNAPSHOT_NAME, snapshot.encode())
         self.roll(snapshot_index=snapshot.index)
         if write.keep_log:
-            self.segments.drop_covered(snapshot.index)
+            self.segments.remove_covered(snapshot.index)
         else:
-            self.segments.drop_older()
+            self.segments.remove_older()
 
     def roll(self, **changes) -> None:
-        """Begin a segment and note that it must be there from now on."""
+        """Start a segment and record in the metadata that it must exist."""
         self.segments.roll()
         self.write_metadata(segment=self.segments.newest, **changes)
 
@@ -109,7 +109,7 @@
 def open_storage(
     folder: pathlib.Path, instance: str
 ) -> Result[Storage, Problem]:
-    """Lock and read a data folder; a Failure says how to repair it."""
+    """Lock and read a data folder; a Failure carries a repair hint."""
     locked = lock_folder(folder)
     if isinstance(locked, Failure):
         return locked
@@ -138,7 +138,7 @@
     replayed = replay(folder, snapshot, written.unwrap())
     if isinstance(replayed, Failure):
         return replayed
-    recovered = Recovered(
+    recovered = RecoveredState(
         storage_id=metadata.storage_id,
         term=metadata.term,
         voted_for=metadata.voted_for,
@@ -146,7 +146,7 @@
         entries=tuple(replayed.unwrap()),
     )
     storage = Storage(folder, lock, metadata, segments, recovered)
-    return drop_replaced(storage, written.unwrap())
+    return remove_replaced_log(storage, written.unwrap())
 
 
 def read_snapshot(
@@ -155,21 +155,23 @@
     path = folder / SNAPSHOT_NAME
     if not path.exists():
         if metadata.snapshot_index:
-            return damaged(path, 'the snapshot is missing')
+            return damaged_failure(path, 'the snapshot is missing')
         return Success(None)
     try:
         snapshot = Snapshot.decode(path.read_bytes())
     except (OSError, SnapshotError, ValueError) as error:
-        return damaged(path, str(error))
+        return damaged_failure(path, str(error))
     if snapshot.index < metadata.snapshot_index:
-        return damaged(path, 'the snapshot is an older one')
+        return damaged_failure(
+            path, 'the snapshot is older than the metadata says'
+        )
     return Success(snapshot)
 
 
 def replay(
     folder: pathlib.Path, snapshot: Snapshot | None, written: list[LogEntry]
 ) -> Result[list[LogEntry], Problem]:
-    """Return the entries that stand after the snapshot."""
+    """Return the log entries after the snapshot."""
     base = snapshot.index if snapshot else 0
     kept: list[LogEntry] = []
     for entry in written:
@@ -179,17 +181,19 @@
         last = kept[-1].index if kept else base
         if entry.index > last + 1:
             detail = f'entry {entry.index} follows entry {last}'
-            return damaged(folder, detail)
+            return damaged_failure(folder, detail)
         del kept[entry.index - base - 1 :]
         kept.append(entry)
-    return Success([] if was_replaced(snapshot, written) else kept)
+    return Success([] if log_was_replaced(snapshot, written) else kept)
 
 
-def was_replaced(snapshot: Snapshot | None, written: list[LogEntry]) -> bool:
-    """Tell whether the log is one that the snapshot came to replace.
+def log_was_replaced(
+    snapshot: Snapshot | None, written: list[LogEntry]
+) -> bool:
+    """Return whether an installed snapshot replaced this log.
 
-    A crash may come between an installed snapshot and the removal of the
-    log before it: then the terms differ at its index.
+    A crash may occur after a snapshot was installed and before the old log
+    was removed. The terms then differ at the snapshot's index.
     """
     term = None
     for entry in written:
@@ -198,15 +202,15 @@
     return term is not None and term != snapshot.term
 
 
-def drop_replaced(
+def remove_replaced_log(
     storage: Storage, written: list[LogEntry]
 ) -> Result[Storage, Problem]:
-    """Finish what a crash left: remove the log that was replaced."""
-    if not was_replaced(storage.recovered.snapshot, written):
+    """Remove a replaced log that a crash left behind."""
+    if not log_was_replaced(storage.recovered.snapshot, written):
         return Success(storage)
     try:
         storage.roll()
-        storage.segments.drop_older()
+        storage.segments.remove_older()
     except OSError as error:
-        return failed(storage.folder, error)
+        return io_failure(storage.folder, error)
     return Success(storage)
--- a/cyclamenlift/replication/tasks.py
+++ b/cyclamenlift/replication/tasks.py
@@ -1,4 +1,4 @@
-"""The replica: a component that owns one copy of the replicated log."""
+"""The replica component, which runs one copy of the replicated log."""
 
 from collections.abc import Callable
 import random
@@ -15,18 +15,22 @@
 from cyclamenlift.core.streams import Address
 from cyclamenlift.replication.commands import append_commands
 from cyclamenlift.replication.commands import replace_storage
-from cyclamenlift.replication.handling import EFFECTS
-from cyclamenlift.replication.handling import restore_machine
+from cyclamenlift.replication.effect_handlers import EFFECT_HANDLERS
+from cyclamenlift.replication.effect_handlers import restore_machine
 from cyclamenlift.replication.inputs import connection_lost
 from cyclamenlift.replication.inputs import receive
 from cyclamenlift.replication.inputs import synced
 from cyclamenlift.replication.inputs import tick
 from cyclamenlift.replication.machine import StateMachine
+from cyclamenlift.replication.message_handlers import InvariantError
+from cyclamenlift.replication.pending_operations import PendingOperations
+from cyclamenlift.replication.pending_operations import Proposal
+from cyclamenlift.replication.pending_operations import ProposalDone
+from cyclamenlift.replication.pending_operations import ReadDone
 from cyclamenlift.replication.queries import make_status
 from cyclamenlift.replication.queries import ReplicaStatus
 from cyclamenlift.replication.queries import Role
-from cyclamenlift.replication.reads import ask_read
-from cyclamenlift.replication.receivers import InvariantError
+from cyclamenlift.replication.reads import request_read
 from cyclamenlift.replication.settings import ReplicaSettings
 from cyclamenlift.replication.state import Limits
 from cyclamenlift.replication.state import ReplicaState
@@ -34,10 +38,6 @@
 from cyclamenlift.replication.sync import SyncDone
 from cyclamenlift.replication.sync import SyncFailed
 from cyclamenlift.replication.sync import SyncTask
-from cyclamenlift.replication.waiting import Proposal
-from cyclamenlift.replication.waiting import ProposalDone
-from cyclamenlift.replication.waiting import ReadDone
-from cyclamenlift.replication.waiting import Waiting
 from cyclamenlift.wire.gen.protocol.ttypes import AppendAnswer
 from cyclamenlift.wire.gen.protocol.ttypes import AppendRequest
 from cyclamenlift.wire.gen.protocol.ttypes import SnapshotAnswer
@@ -50,8 +50,8 @@
 LOG = structlog.get_logger('replication')
 TICKS_PER_HEARTBEAT = 4
 MAX_COMMAND_BYTES = 2 * 1024 * 1024
-# When a disk that refused a write is tried again, in seconds: well within
-# the time in which a lost instance should be back (4 s).
+# Delay in seconds before storage is reopened after a failed write: well
+# within the time in which a lost instance should be back (4 s).
 REOPEN_SECONDS = 0.5
 MESSAGES = (
     AppendAnswer,
@@ -64,10 +64,10 @@
 
 
 class Replica(BaseComponent):
-    """Runs the decisions: messages and ticks in, effects out.
+    """Feeds messages and ticks to the protocol and executes its effects.
 
-    The machine is called on the loop's own thread. Every ``done`` is
-    called once, never from inside the call that took it.
+    The state machine is called on the event loop thread. Every ``done``
+    callback is called once, never from inside the call that received it.
     """
 
     channel = 'replica'
@@ -91,12 +91,12 @@
         self.applied_index = 0
         self.active = False
         self.handling = False
-        self.flush_planned = False
+        self.flush_scheduled = False
         self.disk_stalled = False
-        self.waiting = Waiting()
-        self.blank = b''
-        self.known_leader = ''
-        # Run with the name of each new leader, '' when there is none.
+        self.waiting = PendingOperations()
+        self.initial_machine_state = b''
+        self.reported_leader = ''
+        # Called with the name of each new leader, '' if there is none.
         self.leader_hooks: list[Callable[[str], None]] = []
         self.register(root)
 
@@ -104,7 +104,7 @@
 
     @property
     def leader(self) -> str:
-        """The leader's name as known here, '' if there is none."""
+        """The name of the known leader, '' if there is none."""
         return self.state.leader if self.active else ''
 
     @property
@@ -112,7 +112,7 @@
         return self.active and self.state.role is Role.LEADER
 
     def status(self) -> ReplicaStatus:
-        """Return what this replica knows."""
+        """Return the status of this replica."""
         return make_status(
             self.settings.instance,
             self.state.peers if self.active else (),
@@ -122,14 +122,14 @@
         )
 
     def address_of(self, instance: str) -> Address | None:
-        """Return where an instance is reached, None while unknown."""
+        """Return the address of an instance, None if it is unknown."""
         known = self.settings.peers.get(instance)
         if known is not None:
             return known
         text = self.state.addresses.get(instance)
         return Address.parse(text) if text else None
 
-    def first_addresses(self) -> dict[str, str]:
+    def initial_addresses(self) -> dict[str, str]:
         settings = self.settings
         found = {name: str(place) for name, place in settings.peers.items()}
         if settings.own_address:
@@ -138,29 +138,29 @@
 
     # -- commands ---------------------------------------------------------
 
-    def note_peer(self, instance: str, address: Address, live: bool) -> None:
-        """Learn of another instance that could vote, or that it is gone."""
+    def update_peer(self, instance: str, address: Address, live: bool) -> None:
+        """Add an instance that may become a voter, or remove it."""
         if not self.active:
             return
         if live:
-            self.state.note_peer(instance, str(address))
+            self.state.add_peer(instance, str(address))
         else:
-            self.state.forget_peer(instance)
+            self.state.remove_peer(instance)
 
     def start(self) -> Result[None, Problem]:
-        """Open the folder and take part; a Failure names what is wrong."""
-        self.blank = self.machine.snapshot()
+        """Open the data folder and join; a Failure describes the problem."""
+        self.initial_machine_state = self.machine.snapshot()
         opened = self.open()
         if isinstance(opened, Failure):
             return opened
         for kind in MESSAGES:
-            self.network.subscribe(kind, self.take_message)
-        self.network.subscribe_lost(self.take_lost_link)
-        self.plan_tick()
+            self.network.subscribe(kind, self.on_message)
+        self.network.subscribe_lost(self.on_link_lost)
+        self.schedule_tick()
         return Success(None)
 
     def open(self) -> Result[None, Problem]:
-        """Begin with what the folder holds."""
+        """Open the data folder and start from its recovered state."""
         settings = self.settings
         opened = open_storage(settings.folder, settings.instance)
         if isinstance(opened, Failure):
@@ -175,11 +175,11 @@
             rng=self.rng,
             now=self.now(),
             founder=settings.founder,
-            addresses=self.first_addresses(),
+            addresses=self.initial_addresses(),
         )
         if storage.recovered.snapshot is not None:
             restore_machine(self, storage.recovered.snapshot)
-        self.sync = SyncTask(self.loop.poller, storage, self.take_outcome)
+        self.sync = SyncTask(self.loop.poller, storage, self.on_sync_outcome)
         self.sync.register(self.loop)
         self.sync.start()
         self.active = True
@@ -187,7 +187,7 @@
         return Success(None)
 
     def stop(self) -> None:
-        """Finish the writes, close the folder and fail what waits."""
+        """Finish writes, close the folder and fail pending operations."""
         if self.sync is None:
             return
         self.active = False
@@ -196,70 +196,72 @@
         self.waiting.fail_all(self.not_leader())
 
     def propose(self, command: bytes, done: ProposalDone) -> None:
-        """Append one command; ``done`` gets the machine's answer.
+        """Append a command; ``done`` gets the state machine's answer.
 
-        Fails with NOT_LEADER when it was certainly not appended, and with
-        CHANGE_UNKNOWN when leadership was lost after that. A command too
-        large for one frame between instances fails with BODY_TOO_LARGE.
+        Fails with NOT_LEADER if the command was certainly not appended, and
+        with CHANGE_UNKNOWN if leadership was lost after it was appended. A
+        command too large for one frame between instances fails with
+        BODY_TOO_LARGE.
         """
         if len(command) > MAX_COMMAND_BYTES:
-            detail = f'a command of {len(command)} bytes'
+            detail = f'the command has {len(command)} bytes'
             problem = Problem(ResultCode.BODY_TOO_LARGE, detail)
-            self.soon(lambda: done(Failure(problem)))
+            self.call_soon(lambda: done(Failure(problem)))
             return
         self.waiting.queue.append(Proposal(command, done))
-        self.plan_flush()
+        self.schedule_flush()
 
     def read_barrier(self, done: ReadDone) -> None:
-        """Confirm leadership after now, then tell the applied index.
+        """Confirm leadership, then call ``done`` with the applied index.
 
-        What the machine holds when ``done`` is called with Success is
-        current. Fails with NOT_LEADER.
+        On Success the state machine's state is current at the time of the
+        call. Fails with NOT_LEADER.
         """
         if not self.leads:
             problem = self.not_leader()
-            self.soon(lambda: done(Failure(problem)))
+            self.call_soon(lambda: done(Failure(problem)))
             return
         token = self.waiting.add_read(done)
-        ask_read(self.state, token, self.now())
-        self.soon(self.handle_effects)
+        request_read(self.state, token, self.now())
+        self.call_soon(self.handle_effects)
 
     def replace_storage(
         self, instance: str, storage_id: str, done: ProposalDone
     ) -> None:
-        """Let ``storage_id`` count for ``instance`` after a lost disk.
+        """Make ``storage_id`` the voter of ``instance`` after a disk loss.
 
         Fails with NOT_LEADER, STORAGE_REFUSED or CHANGE_UNKNOWN.
         """
         if not self.leads:
             problem = self.not_leader()
-            self.soon(lambda: done(Failure(problem)))
+            self.call_soon(lambda: done(Failure(problem)))
             return
         asked = replace_storage(self.state, instance, storage_id, self.now())
         if isinstance(asked, Failure):
-            self.soon(lambda: done(asked))
+            self.call_soon(lambda: done(asked))
             return
         index = asked.unwrap()
         if index:
-            self.waiting.note_appended(index, self.state.term, done)
+            self.waiting.record_appended(index, self.state.term, done)
         else:
-            self.soon(lambda: done(Success(b'')))
-        self.soon(self.handle_effects)
+            self.call_soon(lambda: done(Success(b'')))
+        self.call_soon(self.handle_effects)
 
     # -- inputs -----------------------------------------------------------
 
     def now(self) -> float:
         return self.loop.scheduler.clock.now()
 
-    def soon(self, callback: Callable[[], None]) -> None:
-        """Run a callback at the next round of the loop."""
+    def call_soon(self, callback: Callable[[], None]) -> None:
+        """Run a callback in the next iteration of the event loop."""
         self.loop.scheduler.after(0.0, callback)
 
-    def plan_tick(self) -> None:
+    def schedule_tick(self) -> None:
         seconds = self.settings.heartbeat_ms / MILLISECONDS
         seconds /= TICKS_PER_HEARTBEAT
-        if self.active and self.state.returned:
-            # Those who came back together must not ask in the same tick.
+        if self.active and self.state.restarted_with_log:
+            # Instances that restarted together must not start a pre-vote
+            # in the same tick.
             until = self.state.election_deadline - self.now()
             seconds = max(0.0, min(seconds, until))
         self.loop.scheduler.after(seconds, self.run_tick)
@@ -267,22 +269,22 @@
     def run_tick(self) -> None:
         if self.sync is None:
             return
-        self.plan_tick()
+        self.schedule_tick()
         if self.active:
             tick(self.state, self.now())
-            self.note_disk()
+            self.log_disk_state()
             self.handle_effects()
 
-    def note_disk(self) -> None:
-        """Tell when the disk began to answer nothing, and when it goes on."""
+    def log_disk_state(self) -> None:
+        """Log when the disk stalls and when it recovers."""
         stalled = self.state.is_stalled(self.now())
         if stalled != self.disk_stalled:
             self.disk_stalled = stalled
             event = 'disk_stalled' if stalled else 'disk_goes_on'
-            LOG.warning(event, term=self.state.term, led=self.known_leader)
+            LOG.warning(event, term=self.state.term, led=self.reported_leader)
 
-    def take_message(self, link: Link, message) -> None:
-        """Take a message of another instance, sent under its own name."""
+    def on_message(self, link: Link, message) -> None:
+        """Process a message from the instance named in its hello."""
         if not self.active or link.hello is None:
             return
         try:
@@ -292,80 +294,81 @@
             return
         self.handle_effects()
 
-    def take_lost_link(self, link: Link) -> None:
+    def on_link_lost(self, link: Link) -> None:
         if self.active and link.hello is not None:
             connection_lost(self.state, link.hello.instance, self.now())
 
-    def take_outcome(self, outcome: SyncDone | SyncFailed) -> None:
+    def on_sync_outcome(self, outcome: SyncDone | SyncFailed) -> None:
         if not self.active:
             return
         if isinstance(outcome, SyncFailed):
             self.halt(outcome.problem)
-            self.plan_reopen()
+            self.schedule_reopen()
             return
         synced(self.state, outcome.ticket, self.now())
         self.handle_effects()
         self.flush()
 
     def halt(self, problem: Problem) -> None:
-        """Take no further part: this disk can not be trusted any more."""
+        """Stop taking part, since state or storage may be inconsistent."""
         LOG.error('replica_halted', code=int(problem.code), why=problem.line())
         self.active = False
         self.waiting.fail_all(self.not_leader())
 
-    def plan_reopen(self) -> None:
+    def schedule_reopen(self) -> None:
         self.loop.scheduler.after(REOPEN_SECONDS, self.reopen)
 
     def reopen(self) -> None:
-        """Take part again once the disk takes writes again.
+        """Reopen the storage and rejoin once the disk accepts writes.
 
-        The write that failed is cut first: it may be read back without
-        being on the disk. The machine begins anew, as after a restart.
+        The failed write is truncated first, since it may be readable from
+        the cache without being on the disk. The state machine restarts from
+        its initial state, as after a process restart.
         """
         if self.sync is None or self.active:
             return
         storage = self.sync.storage
         try:
-            storage.segments.cut_unsure()
+            storage.segments.truncate_uncertain_tail()
         except OSError as error:
             LOG.warning('disk_still_refuses', error=str(error))
-            self.plan_reopen()
+            self.schedule_reopen()
             return
         self.sync.stop()
-        self.machine.restore(self.blank)
+        self.machine.restore(self.initial_machine_state)
         self.applied_index = 0
-        learned = self.state.addresses
-        noted = self.state.noted
+        known_addresses = self.state.addresses
+        reported_peers = self.state.reported_peers
         opened = self.open()
         if isinstance(opened, Failure):
-            self.note_not_reopened(opened.failure())
+            self.handle_reopen_failure(opened.failure())
             return
-        for name in noted:
-            self.state.note_peer(name, learned.get(name, ''))
+        for name in reported_peers:
+            self.state.add_peer(name, known_addresses.get(name, ''))
         LOG.info('replica_reopened')
 
-    def note_not_reopened(self, problem: Problem) -> None:
-        """Try again later, unless what is on the disk is damaged."""
+    def handle_reopen_failure(self, problem: Problem) -> None:
+        """Schedule a retry, unless the stored data is damaged."""
         if problem.code == ResultCode.STORAGE_FAILED:
             LOG.warning('disk_still_refuses', error=problem.line())
-            self.plan_reopen()
+            self.schedule_reopen()
             return
         LOG.error('replica_not_reopened', problem=problem.line())
         self.sync = None
 
     # -- proposals --------------------------------------------------------
 
-    def plan_flush(self) -> None:
-        if not self.flush_planned:
-            self.flush_planned = True
-            self.soon(self.run_flush)
+    def schedule_flush(self) -> None:
+        if not self.flush_scheduled:
+            self.flush_scheduled = True
+            self.call_soon(self.run_flush)
 
     def run_flush(self) -> None:
-        self.flush_planned = False
+        self.flush_scheduled = False
         self.flush()
 
     def flush(self) -> None:
-        """Append what is queued, one batch for each sync of ours."""
+        """Append queued proposals, one batch per local sync."""
         if not self.waiting.queue:
             return
         if not self.leads:
@@ -381,7 +384,7 @@
             self.now(),
         )
         for index, proposal in enumerate(batch, start=first):
-            self.waiting.note_appended(index, self.state.term, proposal.done)
+            self.waiting.record_appended(index, self.state.term, proposal.done)
         self.handle_effects()
 
     def not_leader(self) -> Problem:
@@ -390,10 +393,10 @@
     # -- effects ----------------------------------------------------------
 
     def handle_effects(self) -> None:
-        """Do what the decisions ask for, in order.
+        """Execute the collected effects in order.
 
-        Callbacks may come back in here; the outermost call goes on with
-        what they add, so that the order is kept.
+        Callbacks may call this recursively; the outermost call handles the
+        effects they add, so that the order is preserved.
         """
         if self.handling:
             return
@@ -406,11 +409,11 @@
             self.halt(Problem(ResultCode.STORAGE_FAILED, repr(error)))
         finally:
             self.handling = False
-        self.note_leader()
+        self.notify_leader_change()
 
-    def note_leader(self) -> None:
-        if self.leader != self.known_leader:
-            self.known_leader = self.leader
+    def notify_leader_change(self) -> None:
+        if self.leader != self.reported_leader:
+            self.reported_leader = self.leader
             LOG.info('leader_known', leader=self.leader, term=self.state.term)
             for hook in self.leader_hooks:
                 hook(self.leader)
@@ -421,7 +424,7 @@
             self.sync.write(writes)
         for effect in effects:
             if not hasattr(effect, 'ticket'):
-                EFFECTS.get(type(effect).__name__)(self, effect)
+                EFFECT_HANDLERS.get(type(effect).__name__)(self, effect)
 
 
 def make_limits(settings: ReplicaSettings) -> Limits:
--- /dev/null
+++ b/cyclamenlift/replication/voter_changes.py
@@ -0,0 +1,98 @@
+"""Automatic voter set changes by the leader; performs no I/O.
+
+The cluster is bootstrapped by a few configured instances. The leader then
+adds the others one at a time, replaces the storage of a voter whose disk was
+lost, and removes voters that are gone. Each change is a log entry and needs
+a majority of the voters before and after it. A storage becomes a voter only
+after it holds every committed entry, so that no change reduces the
+durability of committed entries.
+"""
+
+from cyclamenlift.replication.progress import Progress
+from cyclamenlift.replication.sending import replicate
+from cyclamenlift.replication.state import ReplicaState
+from cyclamenlift.replication.voters import Configuration
+
+MAX_VOTERS = 7
+# After this many seconds without contact a voter may be replaced by another
+# instance: longer than a process restart takes (0.5 to 1.5 s as measured),
+# shorter than the time in which a repair must be complete (4 s).
+UNREACHABLE_SECONDS = 2.0
+
+
+def change_voters(state: ReplicaState, now: float) -> None:
+    """Append the next voter set change that is due, if any."""
+    if not state.limits.wanted_voters or state.leadership is None:
+        return
+    if state.commit_index < state.leadership.start_index:
+        return
+    if state.voters.change_pending(state.commit_index):
+        return
+    changed = next_configuration(state, now)
+    if changed is not None:
+        state.append_configuration(changed)
+        replicate(state, now)
+
+
+def next_configuration(
+    state: ReplicaState, now: float
+) -> Configuration | None:
+    """Return the next voter set, None if no change is needed."""
+    latest = state.voters.latest
+    for name, progress in sorted(state.leadership.progress.items()):
+        if not can_become_voter(state, progress, now):
+            continue
+        voting_storage_id = latest.storage_ids.get(name)
+        if voting_storage_id == progress.storage_id:
+            continue
+        if voting_storage_id is not None:
+            return latest.replaced(name, progress.storage_id)
+        return add_voter(state, name, progress.storage_id, now)
+    return remove_voter(state, now)
+
+
+def can_become_voter(
+    state: ReplicaState, progress: Progress, now: float
+) -> bool:
+    """Return whether a storage is reachable and fully caught up."""
+    if not progress.storage_id:
+        return False
+    seconds_unreachable = now - progress.contact_at
+    if seconds_unreachable >= state.limits.election:
+        return False
+    return progress.match_index >= state.commit_index
+
+
+def add_voter(
+    state: ReplicaState, name: str, storage_id: str, now: float
+) -> Configuration | None:
+    """Add a voter, replacing an unreachable one if there are enough."""
+    latest = state.voters.latest
+    address = state.addresses.get(name, '')
+    unreachable = longest_unreachable(state, now)
+    has_enough_voters = len(latest.storage_ids) >= state.limits.wanted_voters
+    if unreachable and has_enough_voters:
+        return latest.without(unreachable).joined(name, storage_id, address)
+    if len(latest.storage_ids) >= MAX_VOTERS:
+        return None
+    return latest.joined(name, storage_id, address)
+
+
+def remove_voter(state: ReplicaState, now: float) -> Configuration | None:
+    """Remove an unreachable voter if enough remain."""
+    latest = state.voters.latest
+    unreachable = longest_unreachable(state, now)
+    if unreachable and len(latest.storage_ids) > state.limits.wanted_voters:
+        return latest.without(unreachable)
+    return None
+
+
+def longest_unreachable(state: ReplicaState, now: float) -> str:
+    """Return the voter unreachable for longest, '' if there is none."""
+    contacts = {
+        name: progress.contact_at
+        for name, progress in state.leadership.progress.items()
+        if name in state.voters.latest.storage_ids
+        and now - progress.contact_at >= UNREACHABLE_SECONDS
+    }
+    return min(contacts, key=contacts.__getitem__) if contacts else ''
--- a/tests/replication/builders.py
+++ b/tests/replication/builders.py
@@ -1,4 +1,4 @@
-"""Replica states with disks in memory and a bag of messages."""
+"""Builders for replica states, and a simulated cluster with memory disks."""
 
 import dataclasses
 import json
@@ -19,10 +19,10 @@
 from cyclamenlift.replication.inputs import tick
 from cyclamenlift.replication.queries import make_status
 from cyclamenlift.replication.queries import Role
-from cyclamenlift.replication.reads import ask_read
+from cyclamenlift.replication.reads import request_read
 from cyclamenlift.replication.sending import start_round
 from cyclamenlift.replication.state import Limits
-from cyclamenlift.replication.state import Recovered
+from cyclamenlift.replication.state import RecoveredState
 from cyclamenlift.replication.state import ReplicaState
 from cyclamenlift.wire.gen.protocol.ttypes import LogEntry
 
@@ -32,8 +32,8 @@
 MAX_MESSAGES = 80
 
 
-class Violation(AssertionError):
-    """A promise of the replicated log is broken."""
+class SafetyViolation(AssertionError):
+    """A safety property of the replicated log is violated."""
 
 
 def make_entries(*terms: int, first: int = 1, kind: int = 1):
@@ -44,18 +44,18 @@
 
 
 def make_state(name='a', names=NAMES, bootstrap=True, **found):
-    """Build one state; ``found`` is what its disk held."""
-    recovered = Recovered(**{'storage_id': f'{name}-1', **found})
+    """Build a replica state; ``found`` is the content of its disk."""
+    recovered = RecoveredState(**{'storage_id': f'{name}-1', **found})
     peers = tuple(n for n in names if n != name)
     rng = random.Random(name)
     return ReplicaState(name, peers, bootstrap, LIMITS, recovered, rng, 0.0)
 
 
 class MemoryDisk:
-    """What is synced; the same rules as the files on a disk."""
+    """Synced state in memory, with the semantics of the storage files."""
 
     def __init__(self, storage_id: str):
-        self.found = Recovered(storage_id)
+        self.found = RecoveredState(storage_id)
 
     def write(self, effect) -> None:
         found = self.found
@@ -74,7 +74,7 @@
 
 
 class Node:
-    """One instance: its disk, its state and what it has applied."""
+    """One instance: its disk, replica state and applied commands."""
 
     def __init__(self, name: str, names: tuple[str, ...], number: int):
         self.name = name
@@ -84,7 +84,7 @@
         self.boot()
 
     def boot(self) -> None:
-        """Start from what the disk holds."""
+        """Start from the content of the disk."""
         found = dataclasses.asdict(self.disk.found)
         found['snapshot'] = self.disk.found.snapshot
         found['entries'] = self.disk.found.entries
@@ -97,9 +97,9 @@
 
 
 class Cluster:
-    """Nodes, messages on their way, and the promises that are checked.
+    """Simulated nodes and messages, with safety checks after each step.
 
-    Raises Violation as soon as a promise is broken.
+    Raises SafetyViolation as soon as a safety property is violated.
     """
 
     def __init__(self, names: tuple[str, ...] = NAMES):
@@ -118,32 +118,32 @@
     # -- steps ------------------------------------------------------------
 
     def time_out(self, name: str) -> None:
-        """Let an election timeout pass; only ``name`` notices."""
+        """Advance time by an election timeout, but tick only ``name``."""
         self.now += 3 * ELECTION
         tick(self.nodes[name].state, self.now)
-        self.pump(name)
+        self.process_effects(name)
 
     def heartbeat(self, name: str) -> None:
         if self.leads(name):
             start_round(self.nodes[name].state, self.now)
-            self.pump(name)
+            self.process_effects(name)
 
     def propose(self, name: str) -> None:
         if self.leads(name):
             self.number += 1
             command = b'%d' % self.number
             append_commands(self.nodes[name].state, [command], 0, self.now)
-            self.pump(name)
+            self.process_effects(name)
 
     def read(self, name: str) -> None:
         if self.leads(name):
             self.number += 1
             self.read_floors[self.number] = len(self.committed)
-            ask_read(self.nodes[name].state, self.number, self.now)
-            self.pump(name)
+            request_read(self.nodes[name].state, self.number, self.now)
+            self.process_effects(name)
 
     def sync(self, name: str, count: int | None = None) -> None:
-        """Make the first ``count`` writes durable (default all)."""
+        """Make the first ``count`` pending writes durable (default all)."""
         node = self.nodes[name]
         done = node.unsynced[:count]
         del node.unsynced[: len(done)]
@@ -151,10 +151,10 @@
             node.disk.write(effect)
         if done:
             synced(node.state, done[-1].ticket, self.now)
-            self.pump(name)
+            self.process_effects(name)
 
     def crash(self, name: str, kept: int = 0) -> None:
-        """Restart; ``kept`` writes reached the disk without an answer."""
+        """Restart; ``kept`` pending writes had still reached the disk."""
         node = self.nodes[name]
         for effect in node.unsynced[:kept]:
             node.disk.write(effect)
@@ -162,7 +162,7 @@
         node.boot()
 
     def wipe(self, name: str) -> None:
-        """Lose a disk, unless another loss is not repaired yet."""
+        """Lose a disk, unless an earlier loss is not repaired yet."""
         if not self.repairing:
             self.repairing = name
             self.number += 1
@@ -171,7 +171,7 @@
             self.crash(name)
 
     def swap_disks(self) -> None:
-        """Bring back the disk that was thought lost, or its successor."""
+        """Swap the lost disk and its replacement."""
         name, disk = self.spare
         if self.repairing in ('', name):
             self.repairing = name
@@ -180,29 +180,32 @@
             self.crash(name)
 
     def replace(self, name: str) -> None:
-        """Ask leader ``name`` to let the new disk count."""
+        """Ask leader ``name`` to make the new disk a voter."""
         if self.leads(name) and self.repairing:
             node = self.nodes[self.repairing]
             storage_id = node.state.storage_id
             state = self.nodes[name].state
             replace_storage(state, self.repairing, storage_id, self.now)
-            self.pump(name)
+            self.process_effects(name)
 
     def deliver(self, position: int, keep: bool = False) -> None:
         sender, to, message = self.messages[position]
         if not keep:
             del self.messages[position]
         receive(self.nodes[to].state, sender, message, self.now)
-        self.pump(to)
+        self.process_effects(to)
 
     def deliver_where(self, chosen, keep: bool = False) -> None:
-        """Deliver the messages that are chosen now, perhaps twice."""
+        """Deliver the pending messages that match ``chosen``.
+
+        With ``keep`` they stay pending and may be delivered again.
+        """
         for entry in [m for m in self.messages if chosen(m)]:
             if entry in self.messages:
                 self.deliver(self.messages.index(entry), keep)
 
-    def settle(self, names, rounds, lazy='', prefix: str = '') -> None:
-        """Exchange within ``names``, and sync all but ``lazy``."""
+    def settle(self, names, rounds, not_syncing='', prefix: str = '') -> None:
+        """Exchange messages among ``names``; all but one sync."""
 
         def chosen(message) -> bool:
             kind = type(message[2]).__name__
@@ -211,27 +214,27 @@
 
         for _ in range(rounds):
             for name in names:
-                if name != lazy:
+                if name != not_syncing:
                     self.sync(name)
             self.deliver_where(chosen)
 
-    def stand(self, name: str, names) -> None:
-        """Let ``name`` stand; leaders within ``names`` notice the cut."""
+    def campaign(self, name: str, names) -> None:
+        """Make ``name`` a candidate; leaders in ``names`` time out first."""
         for leader in [n for n in names if self.leads(n)]:
             self.time_out(leader)
         self.time_out(name)
 
     def elect(self, name: str, names) -> None:
         """Try to make ``name`` leader with the votes of ``names``."""
-        self.stand(name, names)
+        self.campaign(name, names)
         self.settle(names, 4, prefix='Vote')
 
-    # -- effects and promises ---------------------------------------------
+    # -- effects and safety checks ----------------------------------------
 
     def leads(self, name: str) -> bool:
         return self.nodes[name].state.role is Role.LEADER
 
-    def pump(self, name: str) -> None:
+    def process_effects(self, name: str) -> None:
         node = self.nodes[name]
         while node.state.outbox.effects:
             for effect in node.state.outbox.take():
@@ -253,35 +256,35 @@
         elif isinstance(effect, ReadReady):
             self.reads_done += 1
             if effect.index < self.read_floors[effect.token]:
-                raise Violation(f'{node.name} served a stale read')
+                raise SafetyViolation(f'{node.name} served a stale read')
         elif hasattr(effect, 'ticket'):
             node.unsynced.append(effect)
 
     def apply(self, node: Node, entries) -> None:
-        """Committed entries are the same everywhere, for good."""
+        """Check that committed entries are equal on all nodes."""
         for entry in entries:
             if entry.index != len(node.applied) + 1:
-                raise Violation(f'{node.name} skipped to {entry.index}')
+                raise SafetyViolation(f'{node.name} skipped to {entry.index}')
             node.applied.append([entry.term, entry.command.decode()])
             if entry.index > len(self.committed):
                 self.committed.append(node.applied[-1])
             if self.committed[entry.index - 1] != node.applied[-1]:
-                raise Violation(f'entry {entry.index} was changed')
+                raise SafetyViolation(f'entry {entry.index} was changed')
 
     def check_leader(self, node: Node) -> None:
-        """One leader a term; it holds every committed entry."""
+        """Check for one leader per term that holds all committed entries."""
         state = node.state
         if self.leaders.setdefault(state.term, node.name) != node.name:
-            raise Violation(f'two leaders in term {state.term}')
+            raise SafetyViolation(f'two leaders in term {state.term}')
         newest = max(self.leaders)
         for index, (term, _) in enumerate(self.committed, start=1):
             known = index <= state.log.base_index
             if state.term == newest and not known:
                 if state.log.term_at(index) != term:
-                    raise Violation(f'{node.name} leads without {index}')
-        self.note_repair(state)
+                    raise SafetyViolation(f'{node.name} leads without {index}')
+        self.check_repair(state)
 
-    def note_repair(self, state: ReplicaState) -> None:
+    def check_repair(self, state: ReplicaState) -> None:
         if not self.repairing:
             return
         peers = state.peers
--- a/tests/replication/model.py
+++ b/tests/replication/model.py
@@ -1,4 +1,4 @@
-"""A model of three instances under loss, reordering, crashes, lost disks."""
+"""Stateful model: three instances with message, process and disk faults."""
 
 import itertools
 
@@ -19,10 +19,10 @@
 
 
 class Model(stateful.RuleBasedStateMachine):
-    """Rules are single steps, and runs as a cut network would allow.
+    """Rules are single steps, or exchanges between partitioned instances.
 
-    In a run between two instances one may be ``slow``: it does not sync,
-    and crashes after the run.
+    In an exchange between two instances one may be ``slow``: it does not
+    sync, and crashes after the exchange.
     """
 
     def __init__(self):
@@ -30,10 +30,10 @@
         self.cluster = Cluster()
 
     def run_pair(self, pair, rounds, slow, kind=''):
-        lazy = '' if slow is None else pair[slow]
-        self.cluster.settle(pair, rounds, lazy, kind)
-        if lazy:
-            self.cluster.crash(lazy)
+        not_syncing = '' if slow is None else pair[slow]
+        self.cluster.settle(pair, rounds, not_syncing, kind)
+        if not_syncing:
+            self.cluster.crash(not_syncing)
 
     @stateful.initialize(founded=strategies.sampled_from((0, 1, 1)))
     def found(self, founded):
@@ -43,12 +43,12 @@
 
     @stateful.rule(pair=PAIRS, slow=SLOW)
     def elect(self, pair, slow):
-        self.cluster.stand(pair[0], pair)
+        self.cluster.campaign(pair[0], pair)
         self.run_pair(pair, 4, slow, 'Vote')
 
     @stateful.rule(pair=PAIRS, slow=SLOW, rounds=ROUNDS, cut=FLAGS)
     def elect_and_write(self, pair, slow, rounds, cut):
-        """Cut off the third one, perhaps one way only at first."""
+        """Partition the third instance; with ``cut`` it can still send."""
         third = next(n for n in NAMES if n not in pair)
         if cut:
             self.cluster.heartbeat(third)
@@ -77,7 +77,7 @@
 
     @stateful.rule(cut=FLAGS)
     def read(self, cut):
-        """Ask all that think they lead; a cut lets old answers through."""
+        """Read on every leader; with ``cut`` only answers are delivered."""
         for name in NAMES:
             self.cluster.read(name)
         self.cluster.settle(NAMES, 3, prefix='AppendAnswer' if cut else '')
@@ -112,7 +112,7 @@
     @stateful.precondition(lambda self: self.cluster.repairing)
     @stateful.rule(names=PAIRS | strategies.permutations(NAMES))
     def replace_disk(self, names):
-        """The first one leads, perhaps, and the others are caught up."""
+        """Catch up the others from the first one if it is the leader."""
         self.cluster.heartbeat(names[0])
         self.cluster.settle(names, CATCH_UP_ROUNDS)
         self.cluster.replace(names[0])
--- a/tests/replication/test_storage.py
+++ b/tests/replication/test_storage.py
@@ -1,4 +1,4 @@
-"""The data folder under crashes, damage, strangers and failing disks."""
+"""The data folder: crashes, damage, foreign folders and failing disks."""
 
 import errno
 import os
@@ -23,7 +23,7 @@
 
 
 def write(folder, *writes):
-    """Open, make each write a sync of its own, and close."""
+    """Open a folder, sync each write separately, and close it."""
     storage = open_storage(folder, 'a').unwrap()
     for effect in writes:
         storage.write([effect])
@@ -61,7 +61,7 @@
     assert found.entries == tuple(make_entries(1, 1, 3))
 
 
-def test_one_sync_carries_everything_queued(tmp_path, monkeypatch):
+def test_queued_entries_share_one_sync(tmp_path, monkeypatch):
     storage = open_storage(tmp_path, 'a').unwrap()
     storage.write([entries(1)])
     calls = []
@@ -116,7 +116,7 @@
 
 
 @pytest.mark.parametrize('lost', [1, 5, 12, 13, 40])
-def test_torn_tail_is_cut_and_the_log_goes_on(tmp_path, lost):
+def test_torn_tail_is_truncated_and_the_log_continues(tmp_path, lost):
     write(tmp_path, entries(1, 1), entries(1, first=3))
     log = newest_log(tmp_path)
     os.truncate(log, log.stat().st_size - lost)
@@ -162,7 +162,7 @@
 
 
 @pytest.mark.parametrize('case', DAMAGE)
-def test_damage_is_refused_with_the_way_to_repair(tmp_path, case):
+def test_damage_is_refused_with_a_repair_hint(tmp_path, case):
     write(tmp_path, entries(1), snapshot(1, 1, True))
     write(tmp_path, entries(1, first=2), entries(1, first=3))
     DAMAGE[case](tmp_path)
@@ -171,7 +171,7 @@
     assert 'replace the storage' in problem.advice()
 
 
-def test_no_changed_byte_of_a_whole_record_is_taken(tmp_path):
+def test_every_changed_byte_of_a_record_is_detected(tmp_path):
     write(tmp_path, entries(1))
     size = newest_log(tmp_path).stat().st_size
     write(tmp_path, entries(1, first=2))
@@ -198,7 +198,7 @@
     assert len(ids) == 2
 
 
-def test_folder_that_can_not_be_made_is_a_failure(tmp_path):
+def test_folder_that_cannot_be_created_is_a_failure(tmp_path):
     (tmp_path / 'file').write_text('')
     opened = open_storage(tmp_path / 'file' / 'data', 'a')
     assert isinstance(opened, Failure)
@@ -217,15 +217,15 @@
     storage.close()
 
 
-def test_a_torn_tail_on_a_disk_that_refuses_is_told_as_such(
+def test_failed_truncation_of_a_torn_tail_is_a_storage_failure(
     tmp_path, monkeypatch
 ):
-    """Guards against an opening that ends without a word."""
+    """Guards against an exception instead of a failure with its cause."""
     (tmp_path / 'log-000000000001').write_bytes(b'torn')
 
     def refuse(*_arguments):
         raise OSError(errno.ENOSPC, 'full')
 
-    monkeypatch.setattr(Segments, 'cut_tail', refuse)
+    monkeypatch.setattr(Segments, 'truncate_torn_tail', refuse)
     found = Segments(tmp_path).read(0)
     assert found.failure().code is ResultCode.STORAGE_FAILED
--- a/tests/replication/growth_explorer.py
+++ b/tests/replication/voter_change_explorer.py
@@ -1,9 +1,9 @@
-"""A seeded explorer of a cluster that grows, repairs and replaces itself.
+"""Seeded random simulation of automatic voter set changes.
 
-Three instances found the cluster, others join, and whatever a network and
-disks can do happens meanwhile: messages are lost, doubled and reordered,
-processes crash with torn writes, disks are lost (never more than a majority
-of any voter set that stands in a log can bear), links are cut.
+Three instances bootstrap the cluster and others join. Meanwhile messages
+are lost, duplicated and reordered, processes crash with torn writes, links
+are cut and disks are lost, though never so many that a voter set in some
+log loses its majority.
 """
 
 import dataclasses
@@ -24,14 +24,14 @@
 
 
 class GrowingNode(Node):
-    """An instance that is told of the founders alone."""
+    """A node that initially knows only the founders."""
 
     def boot(self) -> None:
         super().boot()
         found = self.disk.found
         founders = tuple(n for n in FOUNDERS if n != self.name)
-        # ``self.names`` tells whether the whole system starts for the first
-        # time: a disk that came back empty must not found a second one.
+        # ``self.names`` is empty after a disk loss: an instance with an
+        # empty disk must not bootstrap a second cluster.
         self.state = ReplicaState(
             self.name,
             founders,
@@ -45,7 +45,7 @@
 
 
 class GrowingCluster(Cluster):
-    """Takes random steps; raises Violation when a promise breaks."""
+    """Takes random steps; raises SafetyViolation on a safety violation."""
 
     def __init__(self, seed: int):
         super().__init__(ALL)
@@ -56,11 +56,11 @@
         self.lost: set[str] = set()
         self.wipes = 0
         for node in self.nodes.values():
-            self.tell_of_all(node)
+            self.announce_all(node)
 
-    def tell_of_all(self, node: GrowingNode) -> None:
+    def announce_all(self, node: GrowingNode) -> None:
         for name in ALL:
-            node.state.note_peer(name, f'{name}:1')
+            node.state.add_peer(name, f'{name}:1')
 
     def run(self, steps: int) -> None:
         for _ in range(steps):
@@ -71,10 +71,10 @@
         for name in ALL:
             if name not in self.down:
                 tick(self.nodes[name].state, self.now)
-                self.pump(name)
+                self.process_effects(name)
         self.move_messages()
         self.sync_some()
-        self.trouble()
+        self.inject_fault()
 
     def move_messages(self) -> None:
         for _ in range(len(self.messages)):
@@ -93,7 +93,7 @@
             if name not in self.down and self.rng.random() < 0.9:
                 self.sync(name)
 
-    def trouble(self) -> None:
+    def inject_fault(self) -> None:
         chance = self.rng.random()
         name = self.rng.choice(ALL)
         if chance < 0.15:
@@ -104,7 +104,7 @@
         elif chance < 0.25 and self.down:
             self.start(self.rng.choice(sorted(self.down)))
         elif chance < 0.255:
-            self.wipe_if_borne(name)
+            self.wipe_if_tolerable(name)
         elif chance < 0.27:
             other = self.rng.choice(ALL)
             self.cut ^= {(name, other)}
@@ -114,7 +114,7 @@
             self.split()
 
     def split(self) -> None:
-        """Cut all ways between two halves of the instances."""
+        """Partition the instances into two halves."""
         half = set(self.rng.sample(ALL, len(ALL) // 2))
         pairs = itertools.permutations(ALL, 2)
         self.cut = {(a, b) for a, b in pairs if (a in half) != (b in half)}
@@ -127,11 +127,11 @@
         self.down.discard(name)
         node = self.nodes[name]
         self.crash(name, self.rng.randrange(len(node.unsynced) + 1))
-        self.tell_of_all(node)
+        self.announce_all(node)
 
-    def wipe_if_borne(self, name: str) -> None:
+    def wipe_if_tolerable(self, name: str) -> None:
         storage_id = self.nodes[name].state.storage_id
-        if not self.is_borne(self.lost | {storage_id}):
+        if not self.keeps_majorities(self.lost | {storage_id}):
             return
         self.lost.add(storage_id)
         self.wipes += 1
@@ -142,8 +142,8 @@
         self.nodes[name] = node
         self.down.add(name)
 
-    def is_borne(self, lost: set[str]) -> bool:
-        """Tell whether each voter set in a log keeps its majority."""
+    def keeps_majorities(self, lost: set[str]) -> bool:
+        """Return whether each voter set in a log keeps a majority."""
         found = False
         for node in self.nodes.values():
             for voters in node.state.voters.history:
@@ -170,8 +170,8 @@
         latest = self.nodes[newest].state.voters.latest
         return latest.storage_ids if latest else {}
 
-    def calm(self, steps: int = 400) -> None:
-        """Heal everything and let the cluster repair itself."""
+    def recover(self, steps: int = 400) -> None:
+        """Remove all faults and let the cluster recover."""
         self.cut.clear()
         for name in sorted(self.down):
             self.start(name)
@@ -179,7 +179,7 @@
             self.now += STEP_SECONDS
             for name in ALL:
                 tick(self.nodes[name].state, self.now)
-                self.pump(name)
+                self.process_effects(name)
                 self.sync(name)
             while self.messages:
                 self.deliver(0)
