--- a/cyclamenlift/calls/__init__.py
+++ b/cyclamenlift/calls/__init__.py
@@ -1,4 +1,4 @@
-"""One call's life at the entry: tries, hedges, retries, final answer."""
+"""Calls at the entry: tries, hedges, retries and the final answer."""
 
 from cyclamenlift.calls.budgets import BodyBudget
 from cyclamenlift.calls.budgets import RetryBudget
--- a/cyclamenlift/calls/answers.py
+++ b/cyclamenlift/calls/answers.py
@@ -1,4 +1,4 @@
-"""What the entry adds to every answer that it passes on."""
+"""Headers that the entry adds to every answer."""
 
 from cyclamenlift.core.codes import ResultCode
 from cyclamenlift.http.response import RESULT_HEADER
--- a/cyclamenlift/calls/attempt.py
+++ b/cyclamenlift/calls/attempt.py
@@ -6,11 +6,11 @@
 from cyclamenlift.wire.gen.protocol.ttypes import CallStart
 from cyclamenlift.wire.gen.protocol.ttypes import Header
 
-# Bodies up to this size travel in one frame with the call: 4 ms of a link
-# of 32 Mbit/s. Larger ones wait for the gate's word, one way and back, so
-# that a gate that sends the call back has not been sent its body.
+# Bodies up to this size are sent in the same frame as the call: 4 ms on a link
+# of 32 Mbit/s. Larger ones wait one round trip for the gate's credit, so that
+# a gate that sends the call back has not received its body in vain.
 INLINE_BODY = 16 * 1024
-# Bytes of an answer that may be on their way without a credit.
+# Flow-control window: bytes of an answer that may be sent without credit.
 WINDOW = 256 * 1024
 CHUNK = 16 * 1024
 
@@ -29,7 +29,8 @@
     window: int = 0
     sending: bool = False
     status: int = 0
-    # The pace at which its target began it, in percent; 0 if not told.
+    # The target's pace when it began the call, in percent of the usual
+    # duration; 0 if unknown.
     pace_percent: int = 0
     headers: list[Header] = dataclasses.field(default_factory=list)
     length: int = -1
@@ -54,10 +55,11 @@
         return True
 
     def send_more(self) -> None:
-        """Send body chunks as far as the gate's credit goes.
+        """Send body chunks up to the gate's credit.
 
-        A gate in this process gives credit while it takes a chunk: the loop
-        that sends that chunk goes on with it, not one inside it.
+        A gate in this process grants credit while it receives a chunk. The
+        loop that is already running continues with that credit; a nested loop
+        would recurse for each chunk.
         """
         if self.sending:
             return
@@ -78,11 +80,11 @@
         self.send_more()
 
     def never_left(self) -> bool:
-        """Tell whether the gate can not have heard of this try."""
+        """Return whether the gate cannot have received any of this try."""
         return not self.link.was_up or self.link.holds(self.start_frame)
 
     def withdraw(self) -> bool:
-        """Take back what has not gone out; True proves that nothing has."""
+        """Remove unsent frames; True proves that none has been sent."""
         for frame in self.body_frames:
             self.link.withdraw(frame)
         return self.link.withdraw(self.start_frame)
--- a/cyclamenlift/calls/budgets.py
+++ b/cyclamenlift/calls/budgets.py
@@ -1,23 +1,24 @@
-"""Limits on repetition and on kept bodies."""
+"""Retry budgets and the budget for buffered request bodies."""
 
 from collections.abc import Callable
 
 RETRY_RESERVE = 20.0
 RETRY_CAP = 100.0
-# Share of what may be saved up that early hedges leave untouched, for those
-# that rescue a call from a frozen target. A share, since what an entry may
-# save up falls with the number of entries, to little more than one retry.
+# Share of the maximum balance that early hedges must leave for those that
+# rescue a call from a frozen target. It is a share because the maximum falls
+# with the number of entries, down to little more than one retry.
 KEPT_SHARE = 0.1
-# An entry must be able to save up one whole retry, however many share.
+# Every entry can accumulate at least one whole retry, however many entries
+# share the budget.
 LEAST_CAP = 1.2
 
 
 class RetryBudget:
-    """Retries and hedges allowed for one service at this entry.
+    """Limits the retries and hedges of one service at this entry.
 
-    Each first try earns ``share`` of a retry, so that under a fault the
-    load on targets grows by that share at most. A small reserve lets an
-    idle service repeat its first calls.
+    Each first try earns ``share`` of a retry, which bounds the extra load on
+    targets during a fault to that share. An initial balance lets an idle
+    service retry its first calls.
 
     >>> b = RetryBudget(0.5)
     >>> b.balance = 0.0
@@ -32,16 +33,16 @@
         self.balance = RETRY_RESERVE
 
     def earn(self) -> None:
-        """Count one first try."""
+        """Credit one first try."""
         self.balance = min(RETRY_CAP, self.balance + self.share)
 
     @property
     def kept(self) -> float:
-        """What early hedges leave untouched."""
+        """The balance that early hedges must leave."""
         return KEPT_SHARE * RETRY_CAP
 
     def take(self, keep: float = 0.0) -> bool:
-        """Spend one retry; False when not more than ``keep`` is left."""
+        """Spend one retry, leaving at least ``keep``; False if it cannot."""
         if self.balance - keep < 1.0:
             return False
         self.balance -= 1.0
@@ -49,16 +50,16 @@
 
 
 class SharedRetryBudget:
-    """This entry's part of a budget that all entries share.
+    """This entry's part of a retry budget that all entries share.
 
-    In any window the fleet may send ``share`` of a service's first tries
-    once more, and ``slack`` further ones. Each entry earns the share of its
-    own first tries and has an even part of the slack: half of it saved up
-    at most, the other half earned anew over a window. So what all entries
-    spend within any window stays within the budget, whatever each sees.
+    In any window the fleet may retry ``share`` of a service's first tries plus
+    ``slack`` further ones. Each entry earns the share of its own first tries
+    and an even part of the slack: at most half of that part accumulates, and
+    the other half is earned again over a window. So the total that all entries
+    spend in any window stays within the budget, whatever each of them sees.
 
-    ``debit`` takes what could not be refused, so the balance may fall
-    below zero; then nothing is spent until it is earned back.
+    ``debit`` charges repeats that could not be refused, so the balance may
+    fall below zero; then nothing is spent until it is earned back.
     """
 
     def __init__(
@@ -77,17 +78,17 @@
         self.filled_at = now()
 
     def set_members(self, members: int) -> None:
-        """Share the slack among this many entries from now on."""
+        """Divide the slack among this many entries from now on."""
         self.members = max(1, members)
         self.balance = min(self.balance, self.cap())
 
     def cap(self) -> float:
-        """Return the most that may be saved up."""
+        """Return the maximum balance."""
         return max(LEAST_CAP, self.slack / self.members / 2.0)
 
     @property
     def kept(self) -> float:
-        """What early hedges leave untouched."""
+        """The balance that early hedges must leave."""
         return KEPT_SHARE * self.cap()
 
     def fill(self) -> None:
@@ -97,12 +98,12 @@
         self.balance = min(self.cap(), self.balance + gained)
 
     def earn(self) -> None:
-        """Count one first try."""
+        """Credit one first try."""
         self.fill()
         self.balance = min(self.cap(), self.balance + self.share)
 
     def take(self, keep: float = 0.0) -> bool:
-        """Spend one; False when not more than ``keep`` is left."""
+        """Spend one retry, leaving at least ``keep``; False if it cannot."""
         self.fill()
         if self.balance - keep < 1.0:
             return False
@@ -110,15 +111,15 @@
         return True
 
     def debit(self, amount: float) -> None:
-        """Count repeats that happened without asking."""
+        """Charge repeats that happened without a check of the budget."""
         self.balance -= amount
 
 
 class BodyBudget:
-    """Bytes of request bodies that this entry keeps at once.
+    """Limits the bytes of request bodies that this entry buffers.
 
-    A body is kept until the target has answered, so that a proven not-run
-    upload can move to another target.
+    A body is kept until the target has answered, so that an upload proven not
+    run can be sent to another target.
     """
 
     def __init__(self, limit: int):
@@ -126,7 +127,7 @@
         self.used = 0
 
     def reserve(self, size: int) -> bool:
-        """Set bytes aside; False when they do not fit."""
+        """Reserve bytes; return False if they exceed the limit."""
         if self.used + size > self.limit:
             return False
         self.used += size
--- a/cyclamenlift/calls/intake.py
+++ b/cyclamenlift/calls/intake.py
@@ -1,4 +1,4 @@
-"""From a caller's request to a checked call, or a numbered problem."""
+"""Validates a caller's request and returns a call or a problem."""
 
 import dataclasses
 
@@ -27,14 +27,14 @@
 
 @dataclasses.dataclass(slots=True)
 class Request:
-    """A checked request; ``key`` is empty for idempotent operations.
-
-    ``call_id`` is empty until its caller's or a new one is known.
-    ``objective_deadline`` is when an answer is late. ``route`` is None
-    where the ``Host`` names the service. ``nested`` marks a call that a
-    target makes while it runs another. ``asked_ms`` is how long the caller
-    said that it waits, 0 if it said nothing; ``returned`` marks one that
-    seems to have come back after a refusal.
+    """A validated request; ``key`` is empty for idempotent operations.
+
+    ``call_id`` is empty until the caller's or a generated one is set.
+    ``objective_deadline`` is when an answer misses its objective. ``route`` is
+    None if the ``Host`` names the service. ``nested`` marks a call made by a
+    target while it runs another. ``asked_ms`` is the timeout given by the
+    caller, 0 if none. ``returned`` marks a request that appears to be a
+    caller's retry after a refusal.
     """
 
     rule: ServiceRule
@@ -53,7 +53,7 @@
 
     @property
     def rank(self) -> int:
-        """How urgent it is; 0 is the most urgent."""
+        """The priority; 0 is the most urgent."""
         return self.route.rank if self.route else 0
 
     @property
@@ -67,7 +67,7 @@
     max_depth: int,
     turns: ShareTurns,
 ) -> Result[Request, Problem]:
-    """Check the head of a request against the event document."""
+    """Validate the head of a request against the event document."""
     if rules is None:
         return fail(ResultCode.NO_CONFIGURATION)
     if rules.routes is not None:
@@ -78,7 +78,7 @@
 def read_routed(
     exchange: Exchange, rules: EventRules, turns: ShareTurns
 ) -> Result[Request, Problem]:
-    """Check a request that a route sends to a service."""
+    """Validate a request whose service is chosen by a route."""
     dialect = exchange.dialect
     route = rules.routes.find(service_name(exchange), exchange.path)
     if route is None:
@@ -115,7 +115,7 @@
 def read_named(
     exchange: Exchange, rules: EventRules, max_depth: int
 ) -> Result[Request, Problem]:
-    """Check a request whose ``Host`` names the service."""
+    """Validate a request whose ``Host`` names the service."""
     rule = rules.services.get(service_name(exchange))
     if rule is None:
         return fail(ResultCode.UNKNOWN_SERVICE, service_name(exchange))
@@ -157,12 +157,12 @@
 
 
 def service_name(exchange: Exchange) -> str:
-    """Return the service that ``Host`` names, without a port."""
+    """Return the service named by ``Host``, without a port."""
     return (exchange.header('host') or '').partition(':')[0].lower()
 
 
 def read_number(exchange: Exchange, name: str, default: int) -> int | None:
-    """Return a header's number, the default if absent, None if wrong."""
+    """Return a header's number, the default if absent, None if invalid."""
     text = exchange.header(name)
     if text is None:
         return default
@@ -172,10 +172,10 @@
 
 
 def read_deadline(exchange: Exchange, rule: ServiceRule) -> float | None:
-    """Return the stored deadline, None when the header is wrong.
+    """Return the call's deadline, or None if the header is invalid.
 
-    Bodies over 64 KiB and bodies of unknown length count as uploads, which
-    have a deadline of their own.
+    Bodies over 64 KiB or of unknown length count as uploads, which have a
+    deadline of their own.
     """
     length = exchange.body_length
     upload = length is None or length > UPLOAD_BYTES
--- a/cyclamenlift/calls/keyed.py
+++ b/cyclamenlift/calls/keyed.py
@@ -1,7 +1,7 @@
-"""A non-idempotent call's dealings with the ledger.
+"""Claims in the ledger for calls with an idempotency key.
 
-The claim is granted by a majority before the first try leaves; every end
-of the call ends the claim. See docs/design/claims.md.
+A majority grants the claim before the first try is sent, and every outcome of
+the call ends the claim. See docs/design/claims.md.
 """
 
 import typing
@@ -22,9 +22,10 @@
 if typing.TYPE_CHECKING:
     from cyclamenlift.calls.life import Call
 
-# How long an ending is sent again to a ledger that does not confirm it.
+# How long the end of a claim is resent to a ledger that does not confirm it.
 END_SECONDS = 30.0
-# The longest a caller waits for the release of its key to be confirmed.
+# The longest time that a caller waits for confirmation that its key was
+# released.
 RELEASE_SECONDS = 0.5
 
 VERDICT_CODES = {
@@ -36,7 +37,7 @@
 
 
 class KeyedEnd:
-    """Claims the key of one call and ends the claim once."""
+    """Claims the key of one call and ends the claim exactly once."""
 
     def __init__(self, call: 'Call'):
         self.call = call
@@ -45,7 +46,7 @@
         self.held = False
 
     def claim(self) -> None:
-        """Ask for the claim; the first try waits for the grant."""
+        """Request the claim; the first try waits until it is granted."""
         request = self.call.request
         message = ClaimRequest(
             service_name=self.call.service,
@@ -58,7 +59,7 @@
         claims.claim(message, request.deadline, self.on_claim)
 
     def fingerprint(self) -> bytes:
-        """Return a hash that tells two requests with one key apart."""
+        """Return a hash that distinguishes requests that share a key."""
         exchange = self.call.exchange
         digest = xxhash.xxh3_128()
         digest.update(f'{exchange.method} {exchange.path}\n'.encode())
@@ -79,7 +80,7 @@
             self.call.give_up(Problem(code, '', '', '', wait))
 
     def on_granted(self) -> None:
-        """Start, unless the call was given up while the grant travelled."""
+        """Start the call, unless it was given up before the grant arrived."""
         self.held = True
         late = self.calls.now() >= self.call.request.deadline
         if self.call.answered or self.call.state.done or late:
@@ -96,7 +97,7 @@
     # -- ends -------------------------------------------------------------
 
     def record(self, attempt: Try, body: bytes | None) -> None:
-        """Record the answer; ``None`` says it was too large to keep."""
+        """Record the answer; ``None`` marks a body too large to keep."""
         answer = RecordedAnswer(
             status=attempt.status,
             headers=attempt.headers,
@@ -109,11 +110,11 @@
         self.end(ClaimEnding.UNKNOWN, None)
 
     def settle(self, problem: Problem) -> bool:
-        """End the claim of a call that is given up.
+        """End the claim of a call that failed.
 
-        Return True when the caller is told once the release is confirmed,
-        or after half a second: the release then goes on being sent, and
-        until it is confirmed the key answers "in progress".
+        Return True if the caller is answered later: once the release is
+        confirmed, or after half a second. In the latter case the release is
+        resent, and until it is confirmed the key answers "in progress".
         """
         if not self.held:
             return False
@@ -149,4 +150,4 @@
 
 
 def ignore(_confirmed: bool) -> None:
-    """Take no notice: the claim client has logged a failed ending."""
+    """Do nothing: the claim client has logged a failed ending."""
--- a/cyclamenlift/calls/life.py
+++ b/cyclamenlift/calls/life.py
@@ -1,4 +1,4 @@
-"""The life of one call at the entry, from its head to its final answer."""
+"""The lifecycle of one call at the entry, up to its final answer."""
 
 import typing
 
@@ -75,7 +75,7 @@
     # -- the request ------------------------------------------------------
 
     def begin(self) -> None:
-        """Gather the body, if there is one, then go on."""
+        """Read the body, if there is one, then start the call."""
         self.exchange.on_gone = self.on_gone
         self.exchange.on_broken = self.give_up
         length = self.exchange.body_length
@@ -122,10 +122,10 @@
     # -- ends of tries ----------------------------------------------------
 
     def end_try(self, attempt: Try, outcome: Outcome, ending: Ending) -> None:
-        """Note how a try ended and do what follows from it.
+        """Record how a try ended and take the next step.
 
-        An answer leaves before routing takes note of it; a retry needs
-        routing to know first.
+        An answer is sent before routing is updated; a retry needs the updated
+        routing state first.
         """
         self.tries.forget(attempt)
         now = self.calls.now()
@@ -140,7 +140,7 @@
             self.finish_failed()
 
     def note_trail(self, attempt: Try, ending: Ending, now: float) -> None:
-        """Keep how a try ended, for the line that explains the call."""
+        """Record how a try ended, for the log line of the call."""
         milliseconds = int((now - attempt.started_at) * MILLISECONDS)
         pace = f' begun at {attempt.pace_percent}%'
         self.trail.append(
@@ -157,7 +157,7 @@
     def on_refused(self, attempt: Try, refused: Refused) -> None:
         code = ResultCode(refused.code)
         if code == ResultCode.TARGET_SLOW:
-            # Its new pace is known now; it may still be the best of all.
+            # Its current pace is known now; it may still be the best choice.
             self.tries.tried.discard(attempt.instance)
         draining = code == ResultCode.DRAINING
         outcome = (
@@ -182,7 +182,7 @@
         self.end_unknown(attempt, outcome, code, broken.detail or '')
 
     def on_cancelled(self, attempt: Try, cancelled: Cancelled) -> None:
-        """A cancellation was confirmed for a call that still matters."""
+        """Handle the confirmed cancellation of a try that was still needed."""
         if cancelled.not_run:
             code = ResultCode.CANCELLED_NOT_RUN
             ending = Ending(EndKind.NOT_RUN, code)
@@ -243,10 +243,10 @@
             self.calls.credit(attempt, len(chunk.data))
 
     def end_answered(self, attempt: Try) -> None:
-        """Take a whole answer; an error of an idempotent call may retry."""
+        """Handle a whole answer; an idempotent call may retry an error."""
         failed = attempt.status >= SERVER_ERROR
         if attempt.length >= 0 and attempt.gathered_size != attempt.length:
-            # A HEAD answer names a length that it does not carry.
+            # The answer to HEAD announces a length without a body.
             if self.exchange.method != 'HEAD':
                 code = ResultCode.BAD_TARGET_ANSWER
                 self.end_unknown(attempt, Outcome.LOST, code)
@@ -261,9 +261,9 @@
         self.end_try(attempt, outcome, Ending(kind))
 
     def refused_deeper(self, attempt: Try) -> bool:
-        """Tell whether a service further down was overloaded.
+        """Return whether a service further downstream was overloaded.
 
-        Trying again at each level of a chain would multiply the load.
+        Retrying at every level of a call chain would multiply the load.
         """
         return any(h.name == OVERLOAD_HEADER for h in attempt.headers)
 
@@ -275,7 +275,7 @@
         self.respond(ResultCode.ANSWERED, attempt.status, headers, body)
 
     def start_relay(self, attempt: Try) -> None:
-        """Stream a large answer: from here on this try is the answer."""
+        """Stream a large answer; the call is committed to this try."""
         if self.answered:
             return
         self.state.done = True
@@ -310,10 +310,10 @@
     # -- giving up --------------------------------------------------------
 
     def finish_failed(self) -> None:
-        """Answer a call whose tries have all ended without an answer.
+        """Answer a call whose tries have all ended without success.
 
-        An error that a target gave on an earlier try is an answer: to say
-        "not run" after it would be false.
+        An error that a target returned on an earlier try is an answer:
+        reporting "not run" after it would be wrong.
         """
         if self.fallback is not None:
             self.answer_whole(self.fallback)
@@ -332,10 +332,10 @@
         self.give_up(Problem(code))
 
     def give_up(self, problem: Problem) -> None:
-        """Give the final answer at once, with the time to come back.
+        """Answer with a problem at once, including when to retry.
 
-        Only a key's release goes before it: a caller that is told "not
-        run" must find its key free.
+        Only the release of a key comes first: a caller that is told "not run"
+        must be able to reuse its key.
         """
         if self.answered:
             return
@@ -352,7 +352,7 @@
         self.respond(problem.code, status, headers, problem_body(problem))
 
     def answer_record(self, record: RecordedAnswer) -> None:
-        """Answer with what an earlier attempt with this key was told."""
+        """Answer with the recorded answer of an earlier attempt."""
         headers = [(h.name, h.value) for h in record.headers]
         headers.extend(answer_headers(ResultCode.ANSWERED_FROM_RECORD))
         code = ResultCode.ANSWERED_FROM_RECORD
@@ -363,14 +363,14 @@
             return
         self.state.done = True
         self.status = status
-        # The answer leaves first: the rest would only delay it.
+        # The answer is sent before the cleanup, which would delay it.
         if not self.caller_gone:
             self.exchange.respond(status, headers, body)
         self.tries.cancel(Outcome.OVERTAKEN)
         self.close(code)
 
     def close(self, code: ResultCode) -> None:
-        """End the call: from here on nothing of it is kept."""
+        """End the call and release what it holds."""
         if self.answered:
             return
         self.answered = True
@@ -382,9 +382,9 @@
         self.let_go()
 
     def let_go(self) -> None:
-        """Break the rings of references through this call.
+        """Break the reference cycles through this call.
 
-        Its objects are then freed at once. Rings wait for the cyclic
+        Its objects are then freed at once, instead of by the cyclic garbage
         collector, which stops the process for milliseconds.
         """
         self.tries.close()
@@ -394,7 +394,10 @@
         self.exchange.on_drained = None
 
     def on_gone(self) -> None:
-        """The caller left: stop, unless the call must not run in vain."""
+        """Handle a caller that disconnected: stop all but keyed calls.
+
+        A keyed call continues, so that its outcome is recorded.
+        """
         self.caller_gone = True
         if self.answered or self.keyed is not None:
             return
@@ -403,5 +406,5 @@
 
 
 def as_headers(pairs: list[tuple[str, str]]) -> list[Header]:
-    """Return HTTP header pairs as they travel on the wire."""
+    """Return HTTP header pairs as wire headers."""
     return [Header(name, value) for name, value in pairs]
--- a/cyclamenlift/calls/nested.py
+++ b/cyclamenlift/calls/nested.py
@@ -1,10 +1,10 @@
-"""What an entry sees of a call that the local target runs."""
+"""What an entry knows of a call that the local target is running."""
 
 from typing import Protocol
 
 
 class Parent(Protocol):
-    """A call at the local gate whose target makes calls of its own.
+    """A call at the local gate whose target makes nested calls.
 
     ``repeated`` tells whether it is a try beyond the first.
     """
@@ -12,7 +12,7 @@
     repeated: bool
 
     def nested_began(self) -> None:
-        """Note that the target waits for one more call."""
+        """Count a nested call that the target waits for."""
 
     def nested_ended(self) -> None:
-        """Note that one of these is over, however it ended."""
+        """Count the end of a nested call, whatever its outcome."""
--- a/cyclamenlift/calls/relay.py
+++ b/cyclamenlift/calls/relay.py
@@ -1,9 +1,9 @@
-"""Carries one answer from a gate to the caller, whole or not at all.
+"""Relays an answer from a gate to the caller, whole or not at all.
 
-Answers up to the service's limit are gathered before their first byte
-leaves, so that a broken one can still be replaced. Larger ones stream with
-their exact length; if they break, the caller's connection is closed so that
-the part can't pass for the whole.
+Answers up to the service's limit are buffered before their first byte is sent,
+so that a broken one can still be replaced. Larger ones are streamed with their
+exact length. If a stream breaks, the caller's connection is closed, so that a
+partial answer cannot pass for a whole one.
 """
 
 from cyclamenlift.calls.answers import answer_headers
@@ -15,7 +15,7 @@
 
 
 class Relay:
-    """The way of one streamed answer to one caller."""
+    """Streams one answer to one caller."""
 
     def __init__(self, exchange: Exchange, attempt: Try):
         self.exchange = exchange
@@ -33,7 +33,7 @@
             self.send(waiting)
 
     def send(self, data: bytes) -> None:
-        """Pass data on; credit follows as the caller takes it."""
+        """Forward data; credit is granted as the caller reads it."""
         self.exchange.send(data)
         self.owed += len(data)
         if self.exchange.pending < WINDOW:
@@ -56,7 +56,7 @@
 
 
 def relay_headers(attempt: Try) -> list[tuple[str, str]]:
-    """Return the target's headers and our result code."""
+    """Return the target's headers with this entry's result code."""
     headers = [
         (h.name, h.value)
         for h in attempt.headers
--- a/cyclamenlift/calls/returning.py
+++ b/cyclamenlift/calls/returning.py
@@ -1,32 +1,34 @@
-"""Callers that come back after a refusal, told by the time they have left.
+"""Detects callers that retry after a refusal, by their timeouts.
 
-The load that this answers: more calls than there is room for, for seconds.
-Whoever is refused comes back once, with a new call id and nothing that names
-the earlier try, and competes with all who come for the first time. Refused
-again it has waited for nothing. A caller says how long it will wait, though,
-and most callers of a route say the same: who says less has used up the
-difference. So its objective, which counts from its first try, is nearer than
-it seems, and it should go before those who have all their time.
+When a service is overloaded for seconds, a refused caller retries once, with a
+new call id and no reference to the earlier try, and competes with first tries.
+If it is refused again, its wait was in vain. But callers state how long they
+will wait, and most callers of a route state the same timeout: one that states
+less has already used up the difference. Its latency objective, which counts
+from its first try, is therefore nearer than it seems, and it should be served
+before callers that have all their time left.
 """
 
 import collections
 from collections.abc import Hashable
 import dataclasses
 
-# Requests of a route that are remembered: at a few a second on each daemon
-# this is some seconds, and a route whose callers change is learned anew.
+# Number of a route's latest requests that are remembered: some seconds of
+# traffic at a few requests a second on each daemon, so that a change in a
+# route's callers is learned.
 REMEMBERED = 64
-# The share of them that must say just the same time for it to be the usual
-# one. Callers come back once at most on the sites that were measured, so
-# first tries are at least half; chunks of time that vary give no usual one.
+# Share of the remembered requests that must state exactly the same timeout for
+# it to count as usual. Callers retry once at most on the sites that were
+# measured, so first tries are at least half. Routes whose timeouts vary have
+# no usual one.
 USUAL_SHARE = 0.4
-# Requests that must have been seen before anything is concluded.
+# Minimum number of requests before a usual timeout is inferred.
 LEAST_SEEN = 8
 
 
 @dataclasses.dataclass(slots=True)
 class TimesSeen:
-    """The times that the last callers of one route said, in ms."""
+    """The timeouts stated by the latest callers of a route, in ms."""
 
     last: collections.deque[int] = dataclasses.field(
         default_factory=collections.deque
@@ -45,7 +47,7 @@
                 del self.counts[oldest]
 
     def usual(self) -> int:
-        """Return the time that most say, 0 if there is no such time."""
+        """Return the usual timeout, 0 if there is none."""
         if len(self.last) < LEAST_SEEN:
             return 0
         value, count = self.counts.most_common(1)[0]
@@ -53,13 +55,13 @@
 
 
 class UsualTimes:
-    """How long the callers of each route usually wait."""
+    """The usual timeout of the callers of each route."""
 
     def __init__(self) -> None:
         self.routes: dict[Hashable, TimesSeen] = {}
 
     def used_up(self, route: Hashable, asked_ms: int) -> int:
-        """Note a caller's time; return the ms that it has used up already.
+        """Record a caller's timeout; return the ms already used up.
 
         >>> times = UsualTimes()
         >>> [times.used_up('r', 1000) for _ in range(9)][-1]
@@ -74,6 +76,6 @@
         return max(0, seen.usual() - asked_ms)
 
     def keep_only(self, routes: set[str]) -> None:
-        """Forget the routes that are gone."""
+        """Drop all other routes."""
         for route in set(self.routes) - routes:
             del self.routes[route]
--- a/cyclamenlift/calls/shares.py
+++ b/cyclamenlift/calls/shares.py
@@ -1,4 +1,4 @@
-"""Which service of a route gets the next request."""
+"""Weighted distribution of a route's requests over its services."""
 
 import random
 
@@ -6,13 +6,13 @@
 
 
 class ShareTurns:
-    """Keeps the shares of each route, request by request.
+    """Smooth weighted round robin over the services of each route.
 
-    Each service earns its weight with each request; the one that has
-    earned most gets the request and pays the sum of the weights. So any
-    run of requests is split as exactly as whole requests allow, which
-    random draws are not. The start is random, or entries that see few
-    requests each would all begin with the same service.
+    On each request every service earns its weight; the one with the highest
+    balance gets the request and pays the sum of the weights. Any run of
+    requests is thus split as exactly as whole requests allow, unlike with
+    random draws. The initial balances are random: otherwise entries with few
+    requests would all begin with the same service.
     """
 
     def __init__(self, rng: random.Random):
@@ -20,7 +20,7 @@
         self.earned: dict[str, dict[str, float]] = {}
 
     def next_service(self, route: RouteRule) -> str:
-        """Return the service of the next request of a route."""
+        """Return the service for the next request of a route."""
         if len(route.shares) == 1:
             return route.shares[0].service
         earned = self.earned.get(route.name)
@@ -38,12 +38,12 @@
         return best
 
     def first_turns(self, route: RouteRule) -> dict[str, float]:
-        """Return a random point in the cycle of turns."""
+        """Return a random position in the round-robin cycle."""
         return {
             share.service: share.weight * self.rng.random()
             for share in route.shares
         }
 
     def keep_only(self, names: set[str]) -> None:
-        """Forget the routes that are gone."""
+        """Drop all other routes."""
         self.earned = {n: e for n, e in self.earned.items() if n in names}
--- a/cyclamenlift/calls/state.py
+++ b/cyclamenlift/calls/state.py
@@ -1,7 +1,7 @@
-"""What to do next with a call after one of its tries has ended.
+"""Decides the next step of a call after one of its tries has ended.
 
-Pure decisions. The rule behind all of them: a caller may be told "not run"
-only if *every* try is proven not run, and only proven not-run tries or
+These are pure decisions. The invariant behind them: a caller may be told "not
+run" only if *every* try is proven not run, and only tries proven not run or
 idempotent operations are tried again.
 """
 
@@ -23,7 +23,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ending:
-    """The end of one try; ``code`` says why when it was not answered."""
+    """The end of one try; ``code`` is the reason if it was not answered."""
 
     kind: EndKind
     code: ResultCode = ResultCode.ANSWERED
@@ -40,11 +40,11 @@
     GIVE_UP = enum.auto()
 
 
-# These refusals move a call elsewhere without adding load to a service in
-# trouble, so they do not count against the retry budget.
+# These refusals move a call to another target without adding load to an
+# overloaded service, so their retries are not charged to the budget.
 FREE_CODES = frozenset((ResultCode.DRAINING, ResultCode.TARGET_UNREACHABLE))
-# Refusals of a gate: nothing reached its target, so the call was not sent
-# to it. Only proofs of the gate itself are here, not those of the target.
+# Refusals by a gate: the call did not reach its target. Only codes that the
+# gate itself proves are listed, not those of the target.
 GATE_CODES = FREE_CODES | {
     ResultCode.NO_TARGET,
     ResultCode.OVERLOADED,
@@ -52,19 +52,20 @@
     ResultCode.TARGET_SLOW,
     ResultCode.REQUEST_QUARANTINED,
 }
-# Targets that may end under one call: the first one may have ended of
-# something else that it ran, two hardly.
+# Number of targets that may end under one call. The first may have ended
+# because of another call that it ran; that is unlikely for two.
 MOST_ENDED = 2
-# Gates that one call may ask, whatever its tries: enough to find the one
-# with room among a few dozen at a cost of a millisecond each.
+# Number of gates that one call may ask, regardless of its tries: enough to
+# find the one with free slots among a few dozen, at about a millisecond each.
 MOST_ASKED = 8
 
 
 @dataclasses.dataclass(slots=True)
 class CallState:
-    """What is known of one call.
+    """The state of one call.
 
-    ``unknown_code`` is set by the first try that may have run and stays.
+    ``unknown_code`` is set by the first try that may have run and is never
+    cleared.
     """
 
     idempotent: bool
@@ -89,11 +90,11 @@
         self.open_tries += 1
 
     def may_hedge(self, keep: float = 0.0, rescue: bool = False) -> bool:
-        """Spend budget on a second try beside the one that is out.
+        """Return whether to hedge, and charge the budget if so.
 
-        ``keep`` is what the hedge must leave for others. A ``rescue`` is
-        for a call whose open tries are all silent: as many may be open as
-        the call may have tries, since those before may have been refused.
+        ``keep`` is the balance that the hedge must leave. A ``rescue`` hedges
+        a call whose open tries have all gone silent. It is limited by the open
+        tries rather than all tries, since earlier ones may have been refused.
         """
         if not self.idempotent or self.done or not self.open_tries:
             return False
@@ -105,7 +106,7 @@
         return self.budget.take(keep)
 
     def try_ended(self, ending: Ending, now: float) -> Step:
-        """Note the end of one try and say what follows."""
+        """Record the end of one try and return the next step."""
         self.open_tries -= 1
         if self.done:
             return Step.WAIT
@@ -127,10 +128,10 @@
         return Step.GIVE_UP
 
     def note_retry_after(self, ending: Ending) -> None:
-        """Keep when to come back: the longest wait that was named.
+        """Keep the longest retry delay that a gate named.
 
-        Where gates are asked one after the other, the first to have room
-        again is the one to come back for.
+        Where gates are asked one after another, keep the shortest: the first
+        gate with free slots is worth retrying for.
         """
         if not self.gate_refusals_free:
             longest = max(self.retry_after_ms, ending.retry_after_ms)
@@ -147,9 +148,9 @@
         self.last_code = ending.code
 
     def set_aside(self, retry_after_ms: int) -> None:
-        """Try nowhere else: it may be harmful, and all know of that.
+        """Mark the call as quarantined, so that no other target is tried.
 
-        What gates without room said of coming back matters no more.
+        This replaces the retry delays of gates without free slots.
         """
         self.last_code = ResultCode.REQUEST_QUARANTINED
         self.retry_after_ms = retry_after_ms
@@ -170,7 +171,7 @@
         return self.budget.take()
 
     def is_free(self, ending: Ending) -> bool:
-        """Tell whether a try ended without reaching a target."""
+        """Return whether a try ended without reaching a target."""
         return (
             self.gate_refusals_free
             and ending.kind is EndKind.NOT_RUN
@@ -178,13 +179,13 @@
         )
 
     def final_code(self) -> ResultCode:
-        """Return the code of a call that is given up."""
+        """Return the result code of a call that has failed."""
         if self.unknown_code is not None:
             return self.unknown_code
         return self.last_code
 
     def deadline_code(self, all_unsent: bool) -> ResultCode:
-        """Return the code at the deadline; not run only when proven."""
+        """Return the code at the deadline: "not run" only if proven."""
         if self.unknown_code is not None:
             return self.unknown_code
         if self.open_tries and not all_unsent:
--- a/cyclamenlift/calls/tasks.py
+++ b/cyclamenlift/calls/tasks.py
@@ -1,4 +1,4 @@
-"""The entry's end of all calls: takes requests, hands frames to calls."""
+"""Manages all calls of an entry and dispatches frames to them."""
 
 from collections.abc import Callable
 import itertools
@@ -47,13 +47,13 @@
 
 LOG = structlog.get_logger('calls')
 GOOD_CODES = (ResultCode.ANSWERED, ResultCode.ANSWERED_FROM_RECORD)
-# What a caller asked for is not named by the rules in force.
+# Refusals because the current rules do not contain what was requested.
 UNNAMED_CODES = (ResultCode.NO_ROUTE, ResultCode.UNKNOWN_SERVICE)
-# When to come back while newer rules are on their way, in milliseconds: a
-# change of 40 KB was in force at the last of 65 daemons after 0.34 s, at
-# nine tenths after 0.24 s (model of links of 2 Mbit/s).
+# Retry delay in milliseconds while newer rules are being distributed: a change
+# of 40 KB was active on the last of 65 daemons after 0.34 s, and on nine
+# tenths after 0.24 s (simulated links of 2 Mbit/s).
 BEHIND_MS = 250
-# The entry answers these itself; the target learns them from the gate.
+# Headers handled by the entry; the gate passes what the target needs.
 OWN_HEADERS = frozenset(
     (
         TIMEOUT_HEADER,
@@ -66,7 +66,7 @@
 
 
 class Calls:
-    """Owns every call that entered here and is not yet answered."""
+    """Owns every call received by this entry that is not yet answered."""
 
     def __init__(
         self,
@@ -103,13 +103,13 @@
         self.open_calls: set[Call] = set()
         self.probes: dict[int, tuple[str, str]] = {}
         self.finished_hooks: list[Callable[[Call, ResultCode], None]] = []
-        # Tells whether others are known to have newer rules than these.
+        # Returns whether other instances are known to have newer rules.
         self.is_behind: Callable[[], bool] = lambda: False
-        # The call that the local target runs and that made another one.
+        # Returns the call of the local target that made the call with this id.
         self.parent_of: Callable[[str], Parent | None] = lambda _id: None
 
     def subscribe(self, network) -> None:
-        """Take the messages of gates from the peer network."""
+        """Subscribe to the messages of gates."""
         network.subscribe(AnswerStart, self.on_answer_start)
         network.subscribe(Refused, self.on_refused)
         network.subscribe(Broken, self.on_broken)
@@ -129,7 +129,7 @@
             self.times.keep_only(names)
 
     def take(self, exchange: Exchange) -> None:
-        """Take one request from the HTTP border."""
+        """Accept a request from the HTTP server."""
         result = read_request(exchange, self.rules, self.max_depth, self.turns)
         if not isinstance(result, Success):
             self.refuse(exchange, self.unless_behind(result.failure()))
@@ -148,7 +148,7 @@
         self.send_probes(call.service)
 
     def note_return(self, request: Request) -> None:
-        """Take the time off the objective that an earlier try used up."""
+        """Bring the objective nearer by the time an earlier try used up."""
         if request.nested or not request.asked_ms:
             return
         used_ms = self.times.used_up(request.route_name, request.asked_ms)
@@ -156,16 +156,16 @@
         request.objective_deadline -= used_ms / MILLISECONDS
 
     def note_entries(self, entries: int) -> None:
-        """Share the retry budgets with this many entries, this one too."""
+        """Divide the retry budgets among all entries, with this one."""
         self.entries = entries
         if self.make_budget is not None:
             for budget in self.retry_budgets.values():
                 budget.set_members(entries)
 
     def note_parent(self, call: Call, parent: Parent) -> None:
-        """Tell a call that it waits for this one.
+        """Link a nested call to its parent call.
 
-        A call counts as a repeat where the one that made it is one.
+        A nested call counts as a repeat if its parent is one.
         """
         call.parent = parent
         parent.nested_began()
@@ -173,17 +173,17 @@
             call.state.budget.debit(1.0)
 
     def unless_behind(self, problem: Problem) -> Problem:
-        """Return the problem, or that newer rules are on their way here.
+        """Return the problem, or RULES_BEHIND if newer rules are coming.
 
-        What these rules do not name may have been added by then, and its
-        caller would not come back after a 404.
+        A service or route that the current rules lack may be in the newer
+        ones, and a caller would not retry after a 404.
         """
         if problem.code not in UNNAMED_CODES or not self.is_behind():
             return problem
         return Problem(ResultCode.RULES_BEHIND, retry_after_ms=BEHIND_MS)
 
     def refuse(self, exchange: Exchange, problem: Problem) -> None:
-        """Answer a request that never became a call."""
+        """Answer a request that did not become a call."""
         exchange.respond_problem(problem)
         LOG.info(
             'request_refused',
@@ -195,7 +195,7 @@
         )
 
     def send_probes(self, service: str) -> None:
-        """Send the probes that the entry's own share allows now."""
+        """Send the probes that this entry's share of the budget allows now."""
         now = self.now()
         for order in self.routing.probes_due(service, now):
             number = self.next_number()
@@ -216,10 +216,10 @@
             hook(call, code)
 
     def log_end(self, call: Call, code: ResultCode) -> None:
-        """Write the line that tells the story of a call at its entry.
+        """Log the outcome of a call and its tries.
 
-        Answered calls of the default dialect are written for those who
-        debug only, and so are their refusals: they come in crowds.
+        Answered calls and refusals of the default dialect are logged at debug
+        level only, because refusals come in large numbers.
         """
         routed = call.request.route is not None
         quiet = code in GOOD_CODES or is_not_run(code)
@@ -250,7 +250,7 @@
     # -- queries ----------------------------------------------------------
 
     def explain(self, call: Call, code: ResultCode) -> dict[str, object]:
-        """Return what tells which request it was, and what is against it."""
+        """Return log fields on a request and its quarantine reports."""
         fields: dict[str, object] = {'fingerprint': call.fingerprint.hex()}
         if code is ResultCode.REQUEST_QUARANTINED:
             judgement = self.quarantine.judge(call.service, call.fingerprint)
@@ -264,7 +264,7 @@
         return f'{self.instance}/{self.boot}/{self.next_number()}'
 
     def new_call_id(self) -> str:
-        """Return a name for a call whose caller gave it none."""
+        """Return an id for a call whose caller gave none."""
         return f'{self.instance}-{self.boot}-{self.next_number()}'
 
     def retry_budget(self, rule: ServiceRule) -> RetryBudget:
@@ -284,7 +284,7 @@
         return budget
 
     def forwarded_headers(self, exchange: Exchange) -> list[Header]:
-        """Return the caller's headers that the target should see."""
+        """Return the caller's headers to forward to the target."""
         dialect = exchange.dialect
         dropped = NOT_FORWARDED | dialect.own_fields
         headers = end_to_end(exchange.headers, dropped)
@@ -303,7 +303,7 @@
         )
 
     def is_nested(self, exchange: Exchange, parent: Parent | None) -> bool:
-        """Tell whether a target makes this call while it runs another."""
+        """Return whether a target made this call while running another."""
         depth = exchange.dialect.depth
         if depth and exchange.header(depth) is not None:
             return True
@@ -315,10 +315,10 @@
     # -- messages ---------------------------------------------------------
 
     def find(self, link, number: int) -> tuple[Call, Try] | None:
-        """Return the try that a message is about.
+        """Return the call and try that a message refers to.
 
-        A number is never used twice in a process and counts only on the
-        link it was sent on, so a late answer can't reach another call.
+        Numbers are unique in a process and valid only on the link they were
+        sent on, so a late answer cannot reach another call.
         """
         call = self.tries.get(number)
         if call is None:
@@ -329,7 +329,7 @@
         return call, attempt
 
     def note_work(self, call: Call, answer: AnswerStart) -> None:
-        """Learn how long a route's calls take where nothing is slow."""
+        """Learn a route's usual service time from an answer."""
         route = call.request.route_name
         if not route or answer.load is None or not answer.body_complete:
             return
@@ -341,7 +341,7 @@
         )
 
     def on_load_news(self, link, news: LoadNews) -> None:
-        """Take over a change of load that a gate told unasked."""
+        """Store a load change that a gate sent unsolicited."""
         if link.hello is not None and news.load is not None:
             self.note_news(link.hello.instance, news.load)
 
@@ -385,7 +385,7 @@
 
     def on_broken(self, link, broken: Broken) -> None:
         if broken.end is not None:
-            # Before the call that broke off is tried again.
+            # Must precede the retry of the call that broke off.
             self.quarantine.on_told(broken.end)
         found = self.find(link, broken.call_id)
         if found is not None:
@@ -412,5 +412,5 @@
                     call.on_link_lost(attempt)
 
     def credit(self, attempt: Try, size: int) -> None:
-        """Let the gate send on while an answer is gathered."""
+        """Grant the gate credit while an answer is buffered."""
         attempt.link.send(Credit(attempt.number, size))
--- a/cyclamenlift/calls/tries.py
+++ b/cyclamenlift/calls/tries.py
@@ -1,4 +1,4 @@
-"""The tries of one call: where they go, when they are hedged or cancelled."""
+"""The tries of one call: target choice, hedging and cancellation."""
 
 import typing
 
@@ -19,25 +19,25 @@
 if typing.TYPE_CHECKING:
     from cyclamenlift.calls.life import Call
 
-# The gate gets a little less time than the entry has, so that its proof
-# of "not run" arrives before the entry must answer without one.
+# The gate gets slightly less time than the entry has, so that its proof of
+# "not run" arrives before the entry has to answer without it.
 GATE_MARGIN = 0.010
 GATE_MARGIN_SHARE = 0.05
-# A hedge goes out by this share of a call's time, also where too few
-# answers were seen to know when one pays: the first target may be frozen.
+# A hedge is sent after this share of a call's time at the latest, even without
+# enough answers for a quantile, because the first target may be frozen.
 LATEST_HEDGE_SHARE = 0.25
 LEAST_WAIT = 0.005
-# A gate whose target is slower than this, in percent of the usual, and
-# slower than was known, sends a call back while it has other choices.
+# Minimum pace, in percent of the usual, for a gate to send a call back because
+# its target is slower than expected and others can be tried.
 SLOW_PACE = 200
 SLOW_ASKED = MOST_ASKED - 1
 
 
 class Tries:
-    """Owns the open tries of one call and the timer of its hedge.
+    """Owns the open tries of one call and its hedge timer.
 
-    ``open`` holds the tries that have not ended, by number; ``tried`` the
-    instances that had the call.
+    ``open`` maps numbers to the tries that have not ended; ``tried`` holds the
+    instances that were sent the call.
     """
 
     def __init__(self, call: 'Call'):
@@ -55,7 +55,7 @@
     def start(self, hedge: bool = False, rescue: bool = False) -> None:
         """Send the call to the best gate that has not had it yet.
 
-        A rescue also goes to a gate that refused the call before.
+        A rescue may also go to a gate that refused the call before.
         """
         call = self.call
         now = self.calls.now()
@@ -94,7 +94,7 @@
         self.calls.tries.pop(attempt.number, None)
 
     def tell_routing(self, attempt: Try, outcome: Outcome) -> None:
-        """Report the end of a try to the estimates of its target."""
+        """Report the end of a try to the estimate of its target."""
         now = self.calls.now()
         seconds = now - attempt.started_at
         self.calls.routing.call_ended(
@@ -106,15 +106,15 @@
         self.tell_routing(attempt, outcome)
 
     def cancel(self, outcome: Outcome, except_for: Try | None = None) -> None:
-        """Cancel at their gates the tries that no longer matter.
+        """Cancel the open tries that are no longer needed.
 
-        ``outcome`` tells routing what their silence says of their targets.
+        ``outcome`` is what routing records for their targets.
         """
         for attempt in list(self.open.values()):
             if attempt is except_for:
                 continue
-            # Forgotten first: a gate in this process confirms at once, and
-            # its word must not start a try of a call that is over.
+            # Remove the try first: a gate in this process confirms at once,
+            # and its confirmation must not start a new try of a finished call.
             self.forget(attempt)
             self.call.state.open_tries -= 1
             if not attempt.withdraw():
@@ -122,13 +122,13 @@
             self.tell_routing(attempt, outcome)
 
     def close(self) -> None:
-        """Stop hedging and let go of the call, which has its answer."""
+        """Stop hedging and drop the reference to the finished call."""
         if self.hedge_timer is not None:
             self.hedge_timer.cancel()
         self.call = None
 
     def set_aside(self, wait: float) -> None:
-        """End a call that must not be sent to a target."""
+        """End a quarantined call, which must not be sent to a target."""
         call = self.call
         call.state.set_aside(int(wait * MILLISECONDS))
         if not self.open:
@@ -139,10 +139,10 @@
     def choose(
         self, now: float, excluded: frozenset[str], standing: Standing
     ) -> Choice | None:
-        """Return where the call goes next, None when nowhere.
+        """Return where to send the call next, or None.
 
-        A suspect has one target of its own, the same for all entries, so
-        that it ends one at a time if it is harmful.
+        A suspect request always maps to the same target at all entries, so
+        that it ends only one target at a time if it is harmful.
         """
         routing = self.calls.routing
         if standing is Standing.SUSPECT:
@@ -153,11 +153,11 @@
         return routing.choose(self.service, now, excluded, self.need())
 
     def none_left(self) -> bool:
-        """Tell whether no open try has left this process."""
+        """Return whether none of the open tries was sent at all."""
         return all(attempt.never_left() for attempt in self.open.values())
 
     def need(self) -> Need:
-        """Return what is known of the call, for the choice of a target."""
+        """Return the properties of the call for the choice of a target."""
         request = self.call.request
         route = request.route
         return self.calls.routing.need(
@@ -195,10 +195,10 @@
         )
 
     def most_pace(self, choice: Choice) -> int:
-        """Return the pace beyond which the gate shall send the call back.
+        """Return the pace above which the gate should send the call back.
 
-        The figures here may be old; the gate's are not. After a few gates
-        were asked the call takes what it gets.
+        Gates have current figures, while those of the entry may be old. After
+        several refusals the call accepts any pace.
         """
         state = self.call.state
         if (
@@ -209,7 +209,7 @@
         return max(SLOW_PACE, choice.pace_percent)
 
     def objective_left(self, now: float) -> int:
-        """Return the microseconds in which an answer is in time."""
+        """Return the microseconds left until the latency objective."""
         left = time_left(self.call.request.objective_deadline, now)
         return int(left * MICROSECONDS)
 
@@ -231,10 +231,10 @@
         self.hedge_timer = self.calls.scheduler.at(due, self.on_hedge)
 
     def on_hedge(self) -> None:
-        """Send a hedge if the budget has one, and look again when late.
+        """Send a hedge if the budget allows it and schedule the next check.
 
-        An early hedge only shortens a tail and leaves a part of the budget
-        to those that rescue a call from a frozen target.
+        An early hedge only reduces tail latency and leaves part of the budget
+        to hedges that rescue a call from a frozen target.
         """
         if self.call is None or self.call.answered:
             return
@@ -252,5 +252,5 @@
 
 
 def call_was_sent(call: 'Call') -> bool:
-    """Tell whether a target may have had the call before this try."""
+    """Return whether a target may have received the call already."""
     return call.state.tries > 0
--- a/cyclamenlift/quarantine/__init__.py
+++ b/cyclamenlift/quarantine/__init__.py
@@ -1,4 +1,4 @@
-"""Requests that end targets: how they are known and kept away."""
+"""Quarantine of requests that make their targets end."""
 
 from cyclamenlift.quarantine.fingerprints import FINGERPRINT_BYTES
 from cyclamenlift.quarantine.fingerprints import RequestHash
--- a/cyclamenlift/quarantine/border.py
+++ b/cyclamenlift/quarantine/border.py
@@ -1,4 +1,4 @@
-"""Border models of the operators' orders."""
+"""Input models of operator commands."""
 
 from typing import Annotated
 
@@ -14,7 +14,7 @@
 
 
 class LiftOrder(pydantic.BaseModel):
-    """Requests that may reach targets again, by their fingerprints."""
+    """Fingerprints of requests to release from quarantine."""
 
     model_config = pydantic.ConfigDict(extra='forbid', frozen=True)
 
--- a/cyclamenlift/quarantine/fingerprints.py
+++ b/cyclamenlift/quarantine/fingerprints.py
@@ -1,21 +1,21 @@
-"""What makes two attempts the same request: their fingerprint.
+"""Request fingerprints, which identify repeated attempts of a request.
 
-It covers what the target acts on and what comes again each time: host,
-method, path with query, the client account, and the
-body. Names of attempts, deadlines, traces and other header fields differ
-each time and are left out. The hash is cryptographic, so that nobody can
-make a request that has the fingerprint of somebody else's.
+A fingerprint covers what the target acts on and what stays the same on each
+attempt: host, method, path with query, the client account and the body.
+Attempt ids, deadlines, trace ids and other header fields change with each
+attempt and are left out. The hash is cryptographic, so that nobody can craft a
+request with the fingerprint of another client's request.
 """
 
 import hashlib
 
-# 96 bits: too many to find another request with a given fingerprint, and
-# 14 bytes on the wire for each call.
+# 96 bits are enough to prevent a second request with a given fingerprint, and
+# take 14 bytes on the wire for each call.
 FINGERPRINT_BYTES = 12
 
 
 class RequestHash:
-    """Hashes one request; the body is added as it passes."""
+    """Incremental hash of one request and its body."""
 
     __slots__ = ('hash',)
 
@@ -23,15 +23,16 @@
         parts = (host, method, path, client_account)
         head = '\n'.join(parts).encode('utf-8', 'surrogateescape')
         self.hash = hashlib.blake2b(head, digest_size=FINGERPRINT_BYTES)
-        # No header field holds a line end, so the parts stay apart.
+        # Header fields cannot contain a line end, so the separator is
+        # unambiguous.
         self.hash.update(b'\n')
 
     def add(self, data: bytes) -> None:
-        """Take the next piece of the body."""
+        """Add the next chunk of the body."""
         self.hash.update(data)
 
     def digest(self) -> bytes:
-        """Return the fingerprint of what was added so far.
+        """Return the fingerprint of the data added so far.
 
         >>> one = RequestHash('a.example', 'GET', '/p', '')
         >>> other = RequestHash('a.example', 'GET', '/q', '')
--- a/cyclamenlift/quarantine/queries.py
+++ b/cyclamenlift/quarantine/queries.py
@@ -1,4 +1,4 @@
-"""What operators see of the requests that end targets."""
+"""The operators' view of quarantined and suspect requests."""
 
 import dataclasses
 
@@ -8,9 +8,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class QuarantineRow:
-    """One request that is no longer clear at a service.
+    """One suspect or quarantined request to one service.
 
-    ``seconds_left`` is how long it is still kept away, 0 for a suspect.
+    ``seconds_left`` is the rest of the quarantine, 0 for a suspect.
     """
 
     fingerprint: str
@@ -21,7 +21,7 @@
 
 
 def rows(evidence: Evidence, now: float) -> list[QuarantineRow]:
-    """Return the requests that are kept away or suspects, worst first."""
+    """Return the suspect and quarantined requests, longest time first."""
     found = []
     for subject in evidence.against:
         judgement = evidence.judge(subject.service, subject.fingerprint, now)
@@ -41,7 +41,7 @@
 
 
 def quarantined(evidence: Evidence, now: float) -> int:
-    """Return how many requests are kept away now."""
+    """Return the number of requests that are quarantined now."""
     return sum(
         row.standing == Standing.QUARANTINED.value
         for row in rows(evidence, now)
--- a/cyclamenlift/quarantine/state.py
+++ b/cyclamenlift/quarantine/state.py
@@ -1,9 +1,10 @@
-"""What is known against requests that ran when targets ended.
+"""Decides which requests to quarantine, from reports of ended targets.
 
-A target that ends takes all that it runs with it, so each end is evidence
-against every request that ran there. One that is harmful is there each time
-and is never answered; a bystander is answered elsewhere, before or after.
-Pure decisions; time is passed in, and all times are of one clock.
+When a target process ends, all requests that it was running are suspects. A
+harmful request is present each time and is never answered; an unrelated one is
+answered elsewhere, before or after.
+
+These are pure decisions. Time is passed in, and all times are of one clock.
 """
 
 import collections
@@ -16,34 +17,34 @@
 import typing
 
 # Ends within this time, in seconds, count as one: targets that lose power or
-# are killed together ended of the same cause. Reports of one instant come
-# over several paths, some tens of milliseconds apart.
+# are killed together share a cause. Reports of simultaneous ends arrive over
+# several paths, some tens of milliseconds apart.
 TOGETHER = 0.1
-# The same where the request began to run at the second target only after
-# the first had ended: then it can't have been there by chance. As far as
-# the times of two reports can be trusted.
+# The same limit if the second target began the request only after the first
+# target had ended, which rules out coincidence. It allows for the inaccuracy
+# of times in reports.
 TOGETHER_BEGUN_LATER = 0.02
-# How long a request is a suspect after a single end, in seconds: with about
-# twenty bystanders for each cause, most of them are innocent.
+# How long a request is a suspect after a single end, in seconds. With about
+# twenty other requests running at each end, most suspects are harmless.
 SUSPECT_SECONDS = 60.0
-# How long a request is kept away, in seconds, by the number of ends under
-# it: two may be chance. After it one trial is let through, and a further
-# end doubles the price of the next one many times over.
+# Quarantine in seconds by the number of ends: two may be coincidence. After it
+# one trial is allowed, and each further end extends the next quarantine
+# several times over.
 QUARANTINE_SECONDS = {2: 30.0, 3: 120.0, 4: 600.0}
 LONGEST_QUARANTINE = 3600.0
 FEWEST_ENDS = 2
 # How long an end is remembered, in seconds: longer than any quarantine.
 REPORT_SECONDS = 2 * LONGEST_QUARANTINE
 MOST_REPORTS = 512
-# How long an answer speaks for a request, in seconds, and how many are
-# remembered: what a daemon answers in some twenty seconds.
+# How long an answer clears a request, in seconds, and how many answers are
+# remembered: about twenty seconds' worth at one daemon.
 ANSWER_SECONDS = 30.0
 MOST_ANSWERS = 1024
 KEY_BYTES = 8
 
 
 class Standing(enum.Enum):
-    """How a request is to be treated."""
+    """The quarantine status of a request."""
 
     CLEAR = 'clear'
     SUSPECT = 'suspect'
@@ -59,10 +60,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Report:
-    """A target ended while it ran these requests.
+    """Reports that a target ended while it ran these requests.
 
-    ``begun_at`` holds when it began each of them. If ``lifted``, what was
-    known against them before counts no more.
+    ``begun_at`` holds the start time of each of them. If ``lifted`` is set,
+    the report instead clears the requests of all earlier ends.
     """
 
     report_id: str
@@ -73,12 +74,12 @@
     lifted: bool = False
 
     def subjects(self) -> list[Subject]:
-        """Return whom it is about."""
+        """Return the requests that the report is about."""
         return [Subject(self.service, f) for f in self.fingerprints]
 
     @property
     def key(self) -> int:
-        """A short digest of the report's name, for comparisons."""
+        """A short digest of the report's id, for comparisons."""
         digest = hashlib.blake2b(
             self.report_id.encode(), digest_size=KEY_BYTES
         )
@@ -87,7 +88,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class End:
-    """One end that counts against one request, which began there then."""
+    """One end that counts against one request, with its start time there."""
 
     report: Report
     begun_at: float
@@ -99,9 +100,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Judgement:
-    """What follows for a request; ``until`` is when a quarantine ends.
+    """The status of a request; ``until`` is the end of a quarantine.
 
-    ``is_trial`` marks a suspect whose quarantine is over.
+    ``is_trial`` marks a suspect whose quarantine has expired.
     """
 
     standing: Standing
@@ -114,11 +115,11 @@
 
 
 class Evidence:
-    """The ends that are known here, and what was answered lately.
+    """The known ends of targets and the latest answers.
 
-    A request is judged for each service by what happened there, since one
-    may serve what ends another. ``digest`` stands for all reports that are
-    kept.
+    A request is assessed separately for each service, since one service may
+    handle what makes another one's targets end. ``digest`` identifies the set
+    of all stored reports.
     """
 
     def __init__(self) -> None:
@@ -126,11 +127,11 @@
             collections.OrderedDict()
         )
         self.digest = 0
-        # The ends under a request, oldest first, and until when they
-        # count no more against it.
+        # The ends that involved each request, oldest first, and the time up to
+        # which they no longer count.
         self.against: dict[Subject, list[End]] = {}
         self.lifted_at: dict[Subject, float] = {}
-        # The services whose targets ended under a request.
+        # The services whose targets ended while running a request.
         self.services: dict[bytes, set[str]] = {}
         self.answered_at: collections.OrderedDict[Subject, float] = (
             collections.OrderedDict()
@@ -139,7 +140,7 @@
     # -- queries ----------------------------------------------------------
 
     def judge(self, service: str, fingerprint: bytes, now: float) -> Judgement:
-        """Return how a request to a service is to be treated now."""
+        """Return the status of a request to a service."""
         services = self.services.get(fingerprint)
         if services is None:
             return CLEAR
@@ -151,20 +152,22 @@
             for other in services
             if other != service
         ):
-            # One end here is enough where others have shown what it is.
+            # One end is enough here if another service has proven the request
+            # harmful.
             number = number + FEWEST_ENDS if counted else 1
         if not number:
             return CLEAR
         return sentence(number, counted, now)
 
     def weight(self, subject: Subject, counted: list[End]) -> int:
-        """Return how many ends speak against a request at one service."""
+        """Return how many ends count against a request at one service."""
         number = count_separate(counted)
         if number != FEWEST_ENDS:
             return number
         far_apart = counted[-1].at - counted[0].at > SUSPECT_SECONDS
         if far_apart or self.has_company(subject, counted):
-            # What was answered in between elsewhere is not told to all.
+            # Answers by other instances in between are not reported to all, so
+            # the request may be harmless.
             return 1
         return number
 
@@ -180,7 +183,7 @@
         return [end for end in ends if end.at > since]
 
     def has_company(self, subject: Subject, counted: list[End]) -> bool:
-        """Tell whether another request was there at each of these ends."""
+        """Return whether another request was running at all of these ends."""
         shared = set(counted[0].report.fingerprints)
         for end in counted[1:]:
             shared.intersection_update(end.report.fingerprints)
@@ -198,21 +201,21 @@
         return report.key in self.reports
 
     def unknown_to(self, keys: Iterable[int]) -> list[Report]:
-        """Return the reports whose keys are not among these."""
+        """Return the reports whose keys are not among ``keys``."""
         known = set(keys)
         return [r for key, r in self.reports.items() if key not in known]
 
     def was_answered(self, subject: Subject, now: float) -> bool:
-        """Tell whether a target has answered a request lately."""
+        """Return whether a target has recently answered a request."""
         answered_at = self.answered_at.get(subject)
         return answered_at is not None and now - answered_at <= ANSWER_SECONDS
 
     # -- changes ----------------------------------------------------------
 
     def add(self, report: Report, now: float) -> list[bytes]:
-        """Take a report; return whom it accuses although they were answered.
+        """Add a report; return its requests that recent answers clear.
 
-        Those are cleared here; the others should be told.
+        Those are cleared locally, and other instances should be told.
         """
         key = report.key
         if key in self.reports or now - report.at > REPORT_SECONDS:
@@ -244,7 +247,7 @@
             ends.sort(key=lambda end: end.at)
 
     def lift(self, report: Report) -> None:
-        """Let ends up to then count no more; no service stands for all."""
+        """Clear the ends up to the report; no service means all services."""
         for fingerprint in report.fingerprints:
             services = [report.service]
             if not report.service:
@@ -253,14 +256,14 @@
                 self.clear(Subject(service, fingerprint), report.at)
 
     def clear(self, subject: Subject, at: float) -> None:
-        """Let ends up to ``at`` count no more against a request."""
+        """Stop counting ends up to ``at`` against a request."""
         self.lifted_at[subject] = max(at, self.lifted_at.get(subject, at))
 
     def excuse(self, subject: Subject, now: float) -> bool:
-        """Clear a request that was answered lately; tell if others matter.
+        """Clear a recently answered request; return whether to tell others.
 
-        A single end does little harm to a bystander, so only what would be
-        kept away elsewhere is worth a word to all.
+        A single end has little effect on a harmless request, so other
+        instances are told only if they would quarantine it.
         """
         if not self.was_answered(subject, now):
             return False
@@ -271,9 +274,9 @@
     def note_answer(
         self, service: str, fingerprint: bytes, now: float
     ) -> bool:
-        """Take it that a target ran a request and answered it.
+        """Record that a target ran and answered a request.
 
-        Return whether others should be told that it is cleared.
+        Return whether other instances should be told that it is cleared.
         """
         subject = Subject(service, fingerprint)
         answered = self.answered_at
@@ -286,7 +289,7 @@
         return self.excuse(subject, now)
 
     def forget_old(self, now: float) -> None:
-        """Drop what is older than any quarantine."""
+        """Drop reports older than any quarantine."""
         old = [
             key
             for key, report in self.reports.items()
@@ -296,7 +299,7 @@
             self.drop(key)
 
     def drop(self, key: int) -> None:
-        """Forget one report and what it says of requests."""
+        """Drop one report and its ends."""
         report = self.reports.pop(key)
         self.digest ^= key
         if report.lifted:
@@ -319,7 +322,7 @@
 
 
 def sentence(number: int, counted: list[End], now: float) -> Judgement:
-    """Return what follows from so many ends; ``counted`` may be none."""
+    """Return the status after ``number`` ends; ``counted`` may be empty."""
     last = counted[-1].at if counted else now
     if number < FEWEST_ENDS:
         young = now - last < SUSPECT_SECONDS
@@ -332,7 +335,7 @@
 
 
 def count_separate(ends: list[End]) -> int:
-    """Return how many ends, oldest first, had causes of their own.
+    """Return how many of the ends, oldest first, had separate causes.
 
     >>> def end(at, begun_at):
     ...     return End(Report('', '', (), at), begun_at)
@@ -351,7 +354,7 @@
 
 
 def is_separate(end: End, before: float) -> bool:
-    """Tell whether an end had another cause than the one before."""
+    """Return whether an end had another cause than the one before."""
     apart = end.at - before
     if end.begun_at > before - TOGETHER_BEGUN_LATER:
         return apart > TOGETHER_BEGUN_LATER
@@ -359,7 +362,7 @@
 
 
 def split(items: Iterable, size: int) -> list[tuple]:
-    """Return the items in parts of ``size`` at most, in order.
+    """Return the items in batches of at most ``size``, in order.
 
     >>> split('abc', 2)
     [('a', 'b'), ('c',)]
--- a/cyclamenlift/quarantine/tasks.py
+++ b/cyclamenlift/quarantine/tasks.py
@@ -1,8 +1,9 @@
-"""Keeps requests that end targets away, together with all other instances.
+"""Shares reports of ended targets with all other instances.
 
-Whoever sees a target end tells some members at once, and each that hears it
-tells some more. Each packet of membership carries a digest of what its
-sender knows, so whoever missed something, or has just started, asks for it.
+The instance that sees a target end sends a report to several members, and each
+that receives it forwards it to some more. Each membership packet carries a
+digest of its sender's reports, so an instance that missed some, or has just
+started, requests them.
 """
 
 from collections.abc import Mapping
@@ -32,32 +33,31 @@
     from cyclamenlift.wire.tasks import PeerNetwork
 
 LOG = structlog.get_logger('quarantine')
-# Members that are told at once, by the one who knows first and by each one
-# that hears it: with three each, nineteen of twenty hear it so, and the
-# digest brings it to the others.
+# Number of members that a report is sent to by its origin and by each
+# receiver. With three each, nineteen of twenty members get it this way; the
+# digest comparison brings it to the others.
 FIRST_FANOUT = 8
 FORWARD_FANOUT = 3
-# How long to wait before it is asked again for what others know, in
-# seconds; twice as long after each answer that brought nothing.
+# Minimum and maximum delay between requests for missing reports, in seconds.
+# The delay doubles after each answer without new reports.
 LEAST_ASK_SECONDS = 0.25
 MOST_ASK_SECONDS = 30.0
-# How many reports one answer gives: about 20 KB, 0.1 s on a link of
-# 2 Mbit/s.
+# Number of reports in one answer: about 20 KB, 0.1 s on a link of 2 Mbit/s.
 MOST_GIVEN = 64
-# How long a starting daemon waits to learn what others know, in seconds.
+# How long a starting daemon waits for the reports of others, in seconds.
 SYNC_SECONDS = 1.0
-# How long after its start it does not believe others that know nothing
-# either, in seconds: they may have started with it.
+# How long after its start an instance does not trust daemons that have no
+# reports either, in seconds: they may have started at the same time.
 ELDERS_SECONDS = 0.25
 FORGET_SECONDS = 10.0
-# Many know at the same time that a request was answered: each waits for up
-# to this long, in seconds, whether another one has told it already.
+# Many instances learn at the same time that a request was answered: each waits
+# a random delay up to this, in seconds, in case another one reports it first.
 LIFT_SECONDS = 0.05
 MOST_INCARNATION = 60
 
 
 class Quarantine:
-    """One instance's part; alone it judges by what it sees itself."""
+    """One instance's quarantine; without peers it uses only local reports."""
 
     def __init__(self, scheduler, instance: str = '', rng=None):
         self.scheduler = scheduler
@@ -75,7 +75,7 @@
         self.elders_deadline = 0.0
 
     def join(self, network: 'PeerNetwork', membership: 'Membership') -> None:
-        """Share what is known with the other members from now on."""
+        """Start sharing reports with the other members."""
         self.network = network
         self.membership = membership
         self.sync_deadline = self.now() + SYNC_SECONDS
@@ -91,33 +91,33 @@
         return self.clock.now()
 
     def judge(self, service: str, fingerprint: bytes) -> Judgement:
-        """Return how a request to a service is to be treated now."""
+        """Return the status of a request to a service."""
         return self.evidence.judge(service, fingerprint, self.now())
 
     def is_synced(self) -> bool:
-        """Tell whether what others knew at our start is known here."""
+        """Return whether the reports that others had at the start are here."""
         return self.synced or self.now() >= self.sync_deadline
 
     def is_behind(self) -> bool:
-        """Tell whether what others knew at our start is on its way here.
+        """Return whether reports that others had at the start are due.
 
-        Where nobody has said that there is anything, calls must not wait.
+        If no member has announced any reports, calls must not wait.
         """
         return self.others_know_more and not self.is_synced()
 
     # -- commands ---------------------------------------------------------
 
     def note_answer(self, service: str, fingerprint: bytes) -> None:
-        """Take it that a target ran a request and answered it."""
+        """Record that a target ran and answered a request."""
         if self.evidence.note_answer(service, fingerprint, self.now()):
             self.plan_lift(service, [fingerprint])
 
     def note_end(
         self, service: str, ran: Mapping[bytes, float], incarnation: str
     ) -> list[EndReport]:
-        """Take it that the local target ended; return what was told.
+        """Record that the local target ended; return the reports sent.
 
-        ``ran`` holds when it began each request that it was running.
+        ``ran`` maps the requests that it was running to their start times.
         """
         now = self.now()
         accused = [
@@ -141,9 +141,9 @@
         return [to_wire(report, now) for report in reports]
 
     def lift(self, fingerprints: list[bytes], service: str = '') -> None:
-        """Let what is known against these requests count no more, anywhere.
+        """Clear these requests of all earlier ends, at all instances.
 
-        Without a service this holds for all of them.
+        Without a service this applies to all services.
         """
         now = self.now()
         number = self.rng.getrandbits(48)
@@ -156,7 +156,7 @@
             self.take(report, FIRST_FANOUT)
 
     def take(self, report: Report, fanout: int) -> bool:
-        """Take a report that is news, and pass it on; False if it is not."""
+        """Store and forward a new report; return False if it is known."""
         if self.evidence.knows(report):
             return False
         cleared = self.evidence.add(report, self.now())
@@ -171,7 +171,7 @@
         return True
 
     def log_taken(self, report: Report) -> None:
-        """Write what a report changes for requests."""
+        """Log the effect of a report on its requests."""
         names = [f.hex() for f in report.fingerprints]
         if report.lifted:
             LOG.info(
@@ -194,7 +194,7 @@
                 )
 
     def plan_lift(self, service: str, fingerprints: list[bytes]) -> None:
-        """Tell all that requests were answered, unless another one does."""
+        """Report that requests were answered, unless another instance does."""
         planned_at = self.now()
 
         def tell() -> None:
@@ -211,7 +211,7 @@
     def was_lifted(
         self, service: str, fingerprint: bytes, since: float
     ) -> bool:
-        """Tell whether all were told since then that a request is cleared."""
+        """Return whether a request was reported as cleared since then."""
         return any(
             report.lifted
             and report.service in ('', service)
@@ -228,7 +228,7 @@
     # -- messages ---------------------------------------------------------
 
     def on_told(self, told: EndReport, fanout: int = FORWARD_FANOUT) -> bool:
-        """Take a report of a peer; tell whether it was news."""
+        """Handle a report of a peer; return whether it was new."""
         report = from_wire(told, self.now())
         if report is None:
             LOG.warning('report_unsound', report=str(told)[:200])
@@ -236,7 +236,7 @@
         return self.take(report, fanout)
 
     def on_digest(self, seen: 'DigestSeen') -> None:
-        """Compare what a peer knows with what is known here."""
+        """Compare a peer's digest with the local one."""
         if seen.digest == self.evidence.digest:
             self.note_same(seen)
             return
@@ -255,17 +255,17 @@
         self.network.send(address, EndsRequest(self.evidence.keys()))
 
     def note_same(self, seen: 'DigestSeen') -> None:
-        """Take it that a peer knows just as much.
+        """Handle a peer whose digest equals the local one.
 
-        Daemons that start together all know nothing at first; control
-        instances were there before.
+        Daemons that start together have no reports at first; control instances
+        were running before.
         """
         elders_heard = self.now() >= self.elders_deadline
         if seen.digest or seen.from_control or elders_heard:
             self.synced = True
 
     def on_request(self, link: 'Link', request: EndsRequest) -> None:
-        """Give a peer what it does not know, the newest first."""
+        """Send a peer the reports that it lacks, the newest first."""
         unknown = self.evidence.unknown_to(request.known or ())
         unknown.sort(key=lambda report: report.at, reverse=True)
         now = self.now()
@@ -273,7 +273,7 @@
         link.send(EndsAnswer(given))
 
     def on_answer(self, _link: 'Link', answer: EndsAnswer) -> None:
-        """Take what a peer knew and we did not; others know it as well."""
+        """Store a peer's reports, which other members have as well."""
         news = [self.on_told(told, 0) for told in answer.reports or ()]
         if any(news):
             self.ask_seconds = LEAST_ASK_SECONDS
--- a/cyclamenlift/quarantine/wire.py
+++ b/cyclamenlift/quarantine/wire.py
@@ -1,20 +1,23 @@
-"""Reports as they travel: read from peers with care, ages on the wire."""
+"""Conversion of reports to and from the wire, with validation.
+
+Times are sent as ages.
+"""
 
 from cyclamenlift.core.clock import MILLISECONDS
 from cyclamenlift.quarantine.fingerprints import FINGERPRINT_BYTES
 from cyclamenlift.quarantine.state import Report
 from cyclamenlift.wire.gen.protocol.ttypes import EndReport
 
-# Fingerprints in one report, so that it fits in a datagram with the names
-# of its sender. A target that ran more at its end is told of in parts.
+# Maximum fingerprints in one report, so that it fits in a datagram with the
+# sender's names. A target that ran more is reported in parts.
 MOST_FINGERPRINTS = 48
 MOST_TEXT = 160
-# The longest age and run that is told; both fit in 32 bits.
+# Maximum age and run time that is sent; both fit in 32 bits.
 MOST_AGE_MS = 24 * 3600 * MILLISECONDS
 
 
 def to_wire(report: Report, now: float) -> EndReport:
-    """Return a report with its age as it is now."""
+    """Return a report with its current age."""
     return EndReport(
         report_id=report.report_id,
         service_name=report.service,
@@ -26,7 +29,7 @@
 
 
 def from_wire(told: EndReport, now: float) -> Report | None:
-    """Return a peer's report, None if its fields can't be used."""
+    """Return a peer's report, or None if it is invalid."""
     if not is_sound(told):
         return None
     at = now - told.age_ms / MILLISECONDS
@@ -45,7 +48,7 @@
 
 
 def is_sound(told: EndReport) -> bool:
-    """Tell whether a report of the network may be believed to be one."""
+    """Return whether a report from the network is valid."""
     return (
         isinstance(told.report_id, str)
         and 0 < len(told.report_id) <= MOST_TEXT
@@ -61,7 +64,7 @@
 
 
 def fits_times(told: EndReport) -> bool:
-    """Tell whether there is one usable time for each request that ran."""
+    """Return whether there is one valid time for each request that ran."""
     times = told.ran_ms or []
     return len(times) == len(told.fingerprints) and all(
         isinstance(ran_ms, int) and ran_ms >= 0 for ran_ms in times
--- a/cyclamenlift/routing/__init__.py
+++ b/cyclamenlift/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Which target takes a call: policies, estimates, probes, ejection."""
+"""Target selection: policies, load estimates, probes and ejection."""
 
 from cyclamenlift.routing.messages import Choice
 from cyclamenlift.routing.messages import Outcome
--- a/cyclamenlift/routing/ejection.py
+++ b/cyclamenlift/routing/ejection.py
@@ -1,4 +1,4 @@
-"""Leaving bad targets out, never more than a share of the service."""
+"""Outlier ejection, limited to a share of the service's targets."""
 
 from collections.abc import Sequence
 from typing import TypeVar
@@ -12,10 +12,10 @@
 
 
 def ejection_limit(total: int, share: float) -> int:
-    """Return how many of ``total`` targets may be left out.
+    """Return how many of ``total`` targets may be ejected.
 
-    A share above 0 always allows one of two or more, or a service of three
-    could never lose its one broken target.
+    Any share above 0 allows one ejection among two or more targets. Otherwise
+    a service of three could never eject its one broken target.
 
     >>> [ejection_limit(n, 0.3) for n in (1, 2, 3, 6, 10)]
     [0, 1, 1, 1, 3]
@@ -28,11 +28,11 @@
 
 
 def eject(usable: Sequence[T], bad: Sequence[T], share: float) -> list[T]:
-    """Return the targets that stay; all of them if too many look bad.
+    """Return the targets left after ejection, or all if too many look bad.
 
-    When many look bad at once, the fault is more likely in what they share
-    (the network, an overload) than in each, and fewer targets would only
-    carry more.
+    When many targets look bad at once, the cause is more likely something they
+    share (the network, an overload) than each target, and ejecting them would
+    only move more load to the others.
 
     >>> eject(['a', 'b', 'c', 'd'], ['b'], 0.3)
     ['a', 'c', 'd']
@@ -45,7 +45,7 @@
 
 
 def eject_until(streak: int, now: float) -> float:
-    """Return the deadline of an ejection after ``streak`` earlier ones.
+    """Return when an ejection ends, given the number of earlier ones.
 
     >>> [eject_until(streak, 0.0) for streak in (0, 1, 9)]
     [2.0, 4.0, 30.0]
--- a/cyclamenlift/routing/estimates.py
+++ b/cyclamenlift/routing/estimates.py
@@ -1,7 +1,7 @@
-"""What one entry believes of one target.
+"""One entry's estimate of the state of one target.
 
-Own calls in flight are known for certain. Everything else was true some
-time ago, so it is kept with a deadline after which it counts for nothing.
+Only the entry's own calls in flight are known exactly. All other figures are
+out of date when they arrive, so each has a deadline after which it is ignored.
 """
 
 import bisect
@@ -35,7 +35,7 @@
 
 
 class Estimate:
-    """Load, latency and errors of one target; all times monotonic."""
+    """Load, latency and error estimates of a target, in monotonic time."""
 
     __slots__ = (
         'answered_at',
@@ -85,7 +85,7 @@
         self.starts.append(now)
 
     def call_ended(self, seconds: float, now: float) -> None:
-        """Take one call out; an end without a start is ignored."""
+        """Remove one call in flight; ignore an end without a start."""
         if self.in_flight == 0:
             return
         self.in_flight -= 1
@@ -93,11 +93,11 @@
         del self.starts[max(0, index - 1)]
 
     def load(self, typical: float, now: float) -> float:
-        """Return the calls at the target: own ones and those of others.
+        """Return the estimated calls at the target, from all entries.
 
-        The own calls are a fact. What others had there a moment ago is a
-        hint that fades, within about one answer, to what they have
-        there on average; past its deadline it counts for nothing.
+        The entry's own calls are counted exactly. The last reported count of
+        other entries' calls decays, within about one answer time, to their
+        running average, and is ignored after its deadline.
         """
         if now >= self.load_deadline:
             return self.in_flight
@@ -107,7 +107,7 @@
         return self.in_flight + others
 
     def note_load(self, figures: LoadFigures, now: float) -> None:
-        """Take over what the gate counted, less the own calls."""
+        """Store the load reported by a gate, minus the entry's own calls."""
         total = (figures.in_flight or 0) + (figures.queued or 0)
         self.others = max(0, total - self.in_flight)
         if now >= self.load_deadline:
@@ -129,28 +129,29 @@
             self.raise_errors(level, now)
 
     def lag_now(self, now: float) -> float:
-        """Return how late a call sent now should come to the gate.
+        """Return the expected delay of a call sent now on its way to the gate.
 
-        What waits on the way comes in meanwhile, so it gets less.
+        The reported delay shrinks with its age, since what was queued on the
+        way arrives in the meantime.
         """
         return max(0.0, self.lag - (now - self.pace_at))
 
     def body_wait_now(self, now: float) -> float:
-        """Return how long a body sent now waits for others on its way."""
+        """Return how long a body sent now waits behind other bodies."""
         return max(0.0, self.body_wait - (now - self.pace_at))
 
     def is_refusing(self, now: float) -> bool:
-        """Tell whether the gate refused for overload a moment ago."""
+        """Return whether the gate has just refused a call for overload."""
         return now < self.refused_deadline
 
     def note_refusal(self, now: float) -> None:
         self.refused_deadline = now + REFUSED_SECONDS
 
     def note_latency(self, seconds: float, typical: float, now: float):
-        """Average one call's time in.
+        """Add a call's latency to the moving average.
 
-        A sample is clipped to a few times the typical one, so that a large
-        upload does not make its target look slow to the look-ups.
+        A sample is clipped to a multiple of the typical latency, so that a
+        large upload does not make its target look slow for short calls.
         """
         if typical > 0.0:
             seconds = min(seconds, CLIP_FACTOR * typical)
@@ -162,12 +163,12 @@
         self.latency_deadline = now + LATENCY_SECONDS
 
     def expected_latency(self, typical: float, now: float) -> float:
-        """Return the time of an answer, as far as it can be told now.
+        """Return the expected latency of an answer.
 
-        The gate's figure and the own average must both be high for a
-        target to look slow: either can be spoilt by one long upload. The
-        estimate moves back to the typical time while no own call is
-        answered, so that a target that was slow is tried again some time.
+        A target only looks slow if both the gate's figure and the entry's own
+        average are high, since one long upload can distort either. Without new
+        answers the estimate decays to the typical latency, so that a target
+        that was slow is eventually tried again.
         """
         if now >= self.latency_deadline:
             return typical
@@ -179,11 +180,11 @@
         return typical + kept * (latency - typical)
 
     def overdue_age(self, typical: float, now: float) -> float:
-        """Return the mean age of the own calls in flight, in seconds.
+        """Return the mean age of the entry's calls in flight, in seconds.
 
-        A call that takes many times the typical answer while later ones
-        were answered is a long operation, such as an upload, and tells
-        nothing of the target: it is left out.
+        A call that takes many times the typical latency while later ones were
+        answered is a long operation, such as an upload. It says nothing about
+        the target and is left out.
         """
         if not self.starts:
             return 0.0
@@ -198,14 +199,14 @@
         return total / count if count else 0.0
 
     def errors(self, now: float) -> float:
-        """Return the error level, 0 to 1, faded to this instant."""
+        """Return the error level from 0 to 1, decayed to ``now``."""
         if self.error_level == 0.0:
             return 0.0
         age = max(0.0, now - self.error_at)
         return self.error_level * 0.5 ** (age / ERROR_HALF_LIFE)
 
     def raise_errors(self, level: float, now: float) -> None:
-        """Let the level be at least ``level``."""
+        """Raise the error level to at least ``level``."""
         self.error_level = max(level, self.errors(now))
         self.error_at = now
 
--- a/cyclamenlift/routing/finish.py
+++ b/cyclamenlift/routing/finish.py
@@ -1,55 +1,58 @@
-"""When an answer may be expected from a target: pure arithmetic.
-
-The load that this answers: an instance's neighbours make its work several
-times slower for some hundred milliseconds, then it is as fast as before. On
-the sites that were measured a slow spell took about half a second, came a
-quarter of the time and made work four or seven times as long. A call keeps
-the pace at which its target began it to its end, also when the spell is
-long over. So a call of 660 ms that begins in a spell takes 4.6 s, and one
-that waits for the end of the spell first about a second.
+"""Expected completion times of calls, as pure functions.
+
+Other workloads on a host slow a target down several times for some hundred
+milliseconds, after which it recovers. On the sites that were measured such a
+slow spell took about half a second, was present a quarter of the time and made
+calls four or seven times as long. A call keeps the pace at which its target
+began it, even when the spell ends first. So a call of 660 ms that begins in a
+spell takes 4.6 s, while one that first waits for the end of the spell takes
+about a second.
+
+A pace is the current duration of calls as a percentage of the usual one.
 """
 
 import dataclasses
 
-# Beyond this pace, in percent of the usual, a target is in a slow spell that
-# passes within a second or so. Targets that have just started keep about
-# twice the usual for seconds, which is not worth waiting for.
+# A pace above this, in percent of the usual one, means a slow spell that ends
+# within about a second. Targets that have just started run at about twice the
+# usual duration for seconds, which is too long to wait out.
 SPELL_PACE = 250
-# What is left of a slow spell when one hears of it, in seconds, where nobody
-# tells: half of a spell, since news come at any point of it, and now and
-# then another one (33 spells were logged: 0.5 s most often, 0.63 s in the
-# mean).
+# Default for the remaining seconds of a slow spell when the gate does not
+# report them: half of a spell, since reports arrive at any point of it, plus
+# an allowance for another spell that follows (33 spells were logged: 0.5 s
+# most often, 0.63 s on average).
 SPELL_LEFT = 0.4
-# A figure of a pace older than this, in seconds, tells nothing. Until then
-# it holds: a gate tells the entries that called it lately of each change.
+# A reported pace older than this, in seconds, is ignored. Until then it holds,
+# because gates report each change to the entries that called them recently.
 PACE_FRESH = 3.0
-# How much longer work takes on average, where the pace is not known: a gate
-# whose target is slow sends the call back at once, so little is lost by
-# asking it. Known targets go first where all else is the same.
+# Factor on the expected duration where the pace is unknown. Little is lost by
+# asking such a gate, as it sends the call back at once if its target is slow.
+# The factor prefers targets with a known pace if all else is equal.
 UNKNOWN_FACTOR = 1.05
-# Share of the work that a full target takes longer: most slow down a
-# little when their slots are nearly taken.
+# Extra duration of a call at a full target, as a share of its work: most
+# targets slow down slightly when their slots are nearly taken.
 CROWDING = 0.3
-# What a kilobyte across data centres counts, in seconds: links between
-# them are priced so that an upload of 60 KB there costs a third of what it
-# is worth, and on a link of 4 Mbit/s it takes 2 ms.
+# Cost of a kilobyte sent to another data centre, in seconds. Traffic between
+# data centres is priced so that an upload of 60 KB there costs a third of its
+# value, and on a link of 4 Mbit/s a kilobyte takes 2 ms.
 FAR_KILOBYTE = 0.004
-# What any call to another data centre counts, as a share of its work: where
-# a near target is as good, bytes between data centres are saved; callers
-# leave time of about twice the work.
+# Cost of any call to another data centre, as a share of its work, to save
+# traffic between data centres where a near target is as good. Callers allow
+# about twice the work as slack.
 FAR_SHARE = 0.1
-# A call of this size costs about the same anywhere: heads are as large.
+# Calls up to this size have no distance cost per kilobyte: headers alone are
+# as large.
 FREE_KILOBYTES = 1.0
 PERCENT = 100.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Start:
-    """The better of two ways to run a call: begin it now, or hold it.
+    """The faster of two options: begin a call now, or hold it back.
 
-    ``held`` is how long it is held until the pace should be usual again, 0
-    if it begins now; ``seconds`` is when it should be done, from now. Both
-    in seconds.
+    ``held`` is how long to hold the call until the pace should be back to
+    normal, 0 to begin now. ``seconds`` is the expected time until the call is
+    done. Both are in seconds.
     """
 
     held: float
@@ -57,9 +60,9 @@
 
 
 def best_start(work: float, pace_percent: int, spell_left: float) -> Start:
-    """Return how ``work`` is done soonest at a target with this pace.
+    """Return the start that completes ``work`` soonest at this pace.
 
-    ``spell_left`` is how much longer the spell should last, in seconds.
+    ``spell_left`` is the expected remaining time of the spell, in seconds.
 
     >>> best_start(0.66, 100, 0.0)
     Start(held=0.0, seconds=0.66)
@@ -78,9 +81,9 @@
 def expected_work(
     work: float, pace_percent: int, spell_left: float, age: float
 ) -> float:
-    """Return how long ``work`` takes by what was told ``age`` seconds ago.
+    """Return the expected duration of ``work`` from a report of this age.
 
-    Gates hold a call while that is better, so entries count on it.
+    Gates hold a call back when that is faster, so entries assume it.
 
     >>> expected_work(0.1, 100, 0.0, 0.0)
     0.1
@@ -96,7 +99,7 @@
 
 
 def queueing(load: float, slots: float, work: float) -> float:
-    """Return the wait behind ``load`` calls, and what a crowd costs.
+    """Return the wait behind ``load`` calls plus the cost of contention.
 
     >>> queueing(0, 10, 0.1)
     0.0
@@ -115,7 +118,7 @@
     work: float = 0.0,
     far_kilobyte: float = FAR_KILOBYTE,
 ) -> float:
-    """Return what the way of a call counts, in seconds.
+    """Return the cost of sending a call to a target's place, in seconds.
 
     >>> distance_cost(60.0, True), distance_cost(1.0, False)
     (0.0, 0.0)
--- a/cyclamenlift/routing/group.py
+++ b/cyclamenlift/routing/group.py
@@ -1,4 +1,4 @@
-"""The targets that may carry one service, and which of them do now."""
+"""The candidate targets of one service and which of them are live."""
 
 import random
 
@@ -22,7 +22,7 @@
 
 
 class Candidate:
-    """One target that the event's rules allow, with its estimate."""
+    """A target that the event's rules allow, with its estimate."""
 
     __slots__ = (
         'address',
@@ -57,16 +57,16 @@
         self.target_state = record.target_state
 
     def is_usable(self, now: float) -> bool:
-        """Tell whether it takes new calls at all, well or badly.
+        """Return whether the target accepts new calls, healthy or not.
 
-        Members that are dead or have left are no candidates to begin with.
+        Members that are dead or have left are never candidates.
         """
         if self.target_state not in USABLE_STATES:
             return False
         return now >= self.drain_deadline
 
     def looks_bad(self, now: float) -> bool:
-        """Tell whether it should be left out, if the share allows it."""
+        """Return whether to eject the target if the share allows it."""
         if self.member_state == MemberState.SUSPECT:
             return True
         if self.target_state == TargetState.UNHEALTHY:
@@ -74,7 +74,7 @@
         return now < self.bad_deadline
 
     def next_deadline(self, now: float) -> float:
-        """Return the next instant at which it may look otherwise."""
+        """Return when the target's status may change next."""
         later = (self.bad_deadline, self.drain_deadline)
         return min((d for d in later if d > now), default=NEVER)
 
@@ -82,16 +82,17 @@
 class Group:
     """All candidates of one service and the lists that policies draw from.
 
-    The lists are made anew only when a candidate changes or a deadline
-    passes, so that a choice costs no walk over the service.
+    The lists are rebuilt only when a candidate changes or a deadline passes,
+    so that a choice does not have to iterate over the service.
     """
 
     def __init__(self, rule: ServiceRule, data_centre: str, rng):
         self.rule = rule
         self.data_centre = data_centre
-        # The instance of the entry itself, where a body need not travel.
+        # The entry's own instance: bodies for its target are not sent over the
+        # network.
         self.instance = ''
-        # What a kilobyte to another data centre counts, in seconds.
+        # Cost of a kilobyte sent to another data centre, in seconds.
         self.far_kilobyte = FAR_KILOBYTE
         self.rng: random.Random = rng
         self.candidates: dict[str, Candidate] = {}
@@ -105,11 +106,11 @@
         self.turn = 0
 
     def touch(self) -> None:
-        """Have the lists made anew before the next choice."""
+        """Mark the lists as stale, to be rebuilt before the next choice."""
         self.rebuild_deadline = 0.0
 
     def refresh(self, now: float) -> None:
-        """Make the lists anew if something has changed."""
+        """Rebuild the lists if they are stale."""
         if now < self.rebuild_deadline:
             return
         usable = [c for c in self.candidates.values() if c.is_usable(now)]
@@ -124,7 +125,7 @@
         return candidate.data_centre == self.data_centre
 
     def note_record(self, record: MemberRecord, now: float, ramp: bool):
-        """Add or update a candidate; one that (re)starts ramps up."""
+        """Add or update a candidate; start the ramp of a (re)started one."""
         known = self.candidates.get(record.instance)
         was_usable = known is not None and known.is_usable(now)
         restarted = known is not None and (record.incarnation or 0) > (
@@ -147,16 +148,16 @@
         self.touch()
 
     def note_draining(self, candidate: Candidate, now: float) -> None:
-        """Leave a target out that said itself that it drains.
+        """Leave out a target that has reported that it is draining.
 
-        Its record follows by gossip; the deadline guards against a record
-        that never comes.
+        Its member record follows by gossip. The deadline covers the case that
+        the record never arrives.
         """
         candidate.drain_deadline = now + DRAIN_SECONDS
         self.touch()
 
     def note_bad(self, candidate: Candidate, now: float) -> None:
-        """Eject a target for a time that doubles with each relapse."""
+        """Eject a target for a time that doubles with each repetition."""
         if now < candidate.bad_deadline:
             return
         candidate.bad_deadline = eject_until(candidate.bad_streak, now)
@@ -164,16 +165,16 @@
         self.touch()
 
     def ramp(self, candidate: Candidate, now: float) -> float:
-        """Return the share of its load that it should carry now."""
+        """Return the share of full load allowed during slow start."""
         left = candidate.ramp_deadline - now
         if left <= 0.0:
             return 1.0
         return ramp_share(left, self.rule.slow_start_seconds)
 
     def note_typical(self, seconds: float) -> None:
-        """Keep a slow average of the whole service's answer times.
+        """Update the moving average of the service's answer times.
 
-        Samples are clipped, so that uploads do not hide what is usual.
+        Samples are clipped, so that uploads do not dominate the average.
         """
         if self.typical_latency == 0.0:
             self.typical_latency = seconds
@@ -183,13 +184,13 @@
         self.typical_latency += SLOW_WEIGHT * change
 
     def typical(self) -> float:
-        """Return the usual answer time in seconds, 1 while unknown."""
+        """Return the typical answer time in seconds, 1 while unknown."""
         return self.typical_gate or self.typical_latency or 1.0
 
     def note_distance(self, candidate: Candidate, seconds: float) -> None:
-        """Average the part of an answer's time that its target did not use.
+        """Average the part of an answer's time spent outside its target.
 
-        It is kept for each data centre: mostly the way there and back.
+        The average is kept per data centre and is mostly the round-trip time.
         """
         gate = candidate.estimate.gate_latency
         if gate <= 0.0:
@@ -207,7 +208,7 @@
         self.distances[name] = known + SLOW_WEIGHT * (outside - known)
 
     def distance(self, candidate: Candidate) -> float:
-        """Return how much farther away a target is than the near ones."""
+        """Return a target's extra latency over this data centre's ones."""
         known = self.distances.get(candidate.data_centre)
         near = self.distances.get(self.data_centre)
         if known is None or near is None:
--- a/cyclamenlift/routing/hedging.py
+++ b/cyclamenlift/routing/hedging.py
@@ -1,4 +1,4 @@
-"""When a second try of an idempotent call is worth its cost."""
+"""When to send a hedge: a second try of an idempotent call."""
 
 import collections
 
@@ -7,18 +7,18 @@
 LEAST_SAMPLES = 64
 REFRESH_SAMPLES = 64
 LEAST_SECONDS = 0.002
-# A second target is taken to need this many times the usual work. Objectives
-# are about three times the work, so when it is asked the first one has had
-# 1.75 times the work, which one call in twenty takes at the usual pace if
-# times vary by a third.
+# The expected duration of the second try, as a multiple of the usual work.
+# Objectives are about three times the work, so at the time of the hedge the
+# first try has had 1.75 times the work. One call in twenty takes that long at
+# the usual pace if durations vary by a third.
 HEDGE_WORK = 1.25
 
 
 def last_in_time(objective_deadline: float, work: float) -> float:
-    """Return the last instant at which a second try should be in time.
+    """Return the latest time at which a second try can meet the objective.
 
-    An entry of a large fleet sees too few answers to know a quantile of
-    their times; this needs none.
+    This needs no quantile of answer times, for which an entry of a large fleet
+    sees too few answers.
 
     >>> last_in_time(12.0, 0.8)
     11.0
@@ -29,8 +29,8 @@
 class HedgeDelay:
     """A quantile of the latest answer times of one service.
 
-    It is worked out anew once in a few dozen samples, since a sort for each
-    call would cost more than it tells.
+    It is recomputed once every few dozen samples, since sorting on each call
+    would cost more than the precision is worth.
     """
 
     def __init__(self):
--- a/cyclamenlift/routing/messages.py
+++ b/cyclamenlift/routing/messages.py
@@ -1,4 +1,4 @@
-"""What goes into and out of the routing decisions."""
+"""Inputs and results of routing decisions."""
 
 import dataclasses
 import enum
@@ -7,10 +7,10 @@
 
 
 class Outcome(enum.Enum):
-    """How a call to one target ended, as its entry saw it.
+    """How a try of a call ended, as seen by the entry.
 
-    OVERTAKEN: another target answered first, although it was asked later.
-    CANCELLED: the caller left, which tells nothing of the target.
+    OVERTAKEN: another target that was asked later answered first. CANCELLED:
+    the caller disconnected, which says nothing about the target.
     """
 
     ANSWERED = 'answered'
@@ -25,11 +25,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Need:
-    """What is known of the call that wants a target.
+    """Properties of a call that matter for the choice of a target.
 
-    ``work`` is its usual work in seconds, ``kilobytes`` what goes there
-    and back; ``body_seconds`` is how long its body takes on the way to
-    another instance, 0 without a body or where no rate is known.
+    ``work`` is its usual service time in seconds and ``kilobytes`` the size of
+    request and response. ``body_seconds`` is the time to send its body to
+    another instance, 0 without a body or if the link rate is unknown.
     """
 
     route: str = ''
@@ -45,9 +45,9 @@
 class Choice:
     """The instance whose gate takes the call.
 
-    ``hot`` says that its slots look taken: a hedge must not go there.
-    ``seconds`` is when an answer is expected, 0 if that is not worked out;
-    ``pace_percent`` is the pace that this rests on, 0 if unknown.
+    ``hot`` marks a target whose slots seem taken, which must not get a hedge.
+    ``seconds`` is the expected time to an answer, 0 if not computed.
+    ``pace_percent`` is the pace that this assumes, 0 if unknown.
     """
 
     instance: str
@@ -59,7 +59,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ProbeOrder:
-    """One load probe that may be sent now; its cost is already booked."""
+    """A load probe to send now, already charged to the probe budget."""
 
     service: str
     instance: str
--- a/cyclamenlift/routing/policies.py
+++ b/cyclamenlift/routing/policies.py
@@ -1,8 +1,7 @@
-"""How an entry picks one of the targets that may take a call.
+"""Load balancing policies: how an entry picks a target for a call.
 
-Each policy is given the group and the candidates left after exclusions,
-and returns one of them. ``hot_cold`` is the one that events use unless
-they say otherwise; the others are there to compare it with.
+Each policy gets the group and the candidates left after exclusions and returns
+one of them. ``hot_cold`` is the default; the others exist for comparison.
 """
 
 from typing import Protocol
@@ -19,8 +18,8 @@
 HOT_SHARE = 0.8
 SAMPLE_NEAR = 3
 SAMPLE_FAR = 2
-# Targets that are weighed for one call: all of a small service; in a large
-# one the best of a dozen is about as good and costs less to find.
+# Number of targets compared per call: all of a small service. In a large one
+# the best of a dozen is about as good and cheaper to find.
 SAMPLE_FINISH = 12
 ERROR_COST = 20.0
 NEAR_EQUAL = 0.05
@@ -31,7 +30,7 @@
 
 
 class Policy(Protocol):
-    """Picks among at least one candidate."""
+    """Chooses one of at least one candidate."""
 
     def pick(
         self,
@@ -48,7 +47,7 @@
 
 @POLICIES.register('random')
 class RandomPolicy:
-    """Any candidate, whatever its load."""
+    """Picks a candidate at random, regardless of load."""
 
     def pick(self, group, usable, now, need=NO_NEED):
         return group.rng.choice(usable)
@@ -56,7 +55,7 @@
 
 @POLICIES.register('round_robin')
 class RoundRobinPolicy:
-    """One after the other."""
+    """Picks the candidates in turn."""
 
     def pick(self, group, usable, now, need=NO_NEED):
         group.turn += 1
@@ -65,7 +64,7 @@
 
 @POLICIES.register('least_calls')
 class LeastCallsPolicy:
-    """The fewest own calls in flight, of all candidates."""
+    """Picks the candidate with the fewest own calls in flight."""
 
     def pick(self, group, usable, now, need=NO_NEED):
         rng = group.rng
@@ -74,7 +73,7 @@
 
 @POLICIES.register('power_of_two')
 class PowerOfTwoPolicy:
-    """Two random candidates, the one with fewer own calls in flight."""
+    """Picks the one of two random candidates with fewer own calls."""
 
     def pick(self, group, usable, now, need=NO_NEED):
         rng = group.rng
@@ -84,12 +83,12 @@
 
 @POLICIES.register('hot_cold')
 class HotColdPolicy:
-    """The lowest expected time of an answer among a few candidates.
+    """Picks the lowest expected answer time among a few candidates.
 
-    The nearer a target is to hot (its slots taken), the more its load
-    counts; while the sampled ones are cold, slowness, errors and distance
-    decide. It started as the hot/cold rule of Prequal (NSDI 2024); the
-    design note says what was changed and why.
+    The closer a target is to hot (all slots taken), the more its load counts.
+    While the sampled targets are cold, latency, errors and distance decide. It
+    is derived from the hot/cold rule of Prequal (NSDI 2024); the design note
+    lists the changes and their reasons.
     """
 
     def pick(self, group, usable, now, need=NO_NEED):
@@ -104,7 +103,7 @@
 
 
 def sample_of(rng, items: list, count: int) -> list:
-    """Return up to ``count`` different items at random."""
+    """Return up to ``count`` distinct items at random."""
     if len(items) <= count:
         return items
     return rng.sample(items, count)
@@ -113,7 +112,7 @@
 def near_and_far(
     group: Group, usable: list[Candidate], count: int
 ) -> list[Candidate]:
-    """Draw half of ``count`` near and half far, more where one is short."""
+    """Sample half of ``count`` near and half far, more if one is short."""
     if len(usable) <= count:
         return usable
     near, far = split(group, usable)
@@ -122,7 +121,7 @@
 
 
 def split(group: Group, usable: list[Candidate]) -> tuple[list, list]:
-    """Return the near and the far ones."""
+    """Return the candidates of this data centre and the others."""
     if usable is group.live:
         return group.near, group.far
     near = [c for c in usable if group.is_near(c)]
@@ -131,7 +130,7 @@
 
 
 def near_first(group: Group, usable: list[Candidate]) -> list[Candidate]:
-    """Draw more from the near data centre than from the others."""
+    """Sample more candidates of this data centre than of the others."""
     near, far = split(group, usable)
     drawn = sample_of(group.rng, near, SAMPLE_NEAR)
     spare = SAMPLE_NEAR - len(drawn)
@@ -139,7 +138,7 @@
 
 
 def relative_load(group: Group, candidate: Candidate, now: float) -> float:
-    """Return the estimated calls at a target against its slots."""
+    """Return the estimated calls at a target relative to its slots."""
     estimate = candidate.estimate
     slots = candidate.slots * group.ramp(candidate, now)
     load = estimate.load(group.typical(), now) / max(1.0, slots)
@@ -149,16 +148,16 @@
 
 
 def expected_cost(group: Group, candidate: Candidate, now: float) -> float:
-    """Return the time that an answer should take, with errors priced in.
+    """Return the expected answer time with a penalty for errors.
 
-    Seconds are added up: the wait for a slot, which grows with the square
-    of the load; what the target takes beyond the usual spread of answer
-    times; the way to its data centre; a price for recent errors; and a
-    little at random, so that entries that know the same do not all move
-    to the same target.
+    The cost is a sum in seconds: the wait for a slot, which grows with the
+    square of the load; latency beyond the usual spread of answer times; the
+    distance to the target's data centre; a penalty for recent errors; and a
+    small random term, so that entries with the same information do not all
+    switch to the same target.
 
-    Calls in flight that are older than the usual answer are the first sign
-    of a target that has just slowed down.
+    Calls in flight that are older than the typical answer are the first sign
+    that a target has just slowed down.
     """
     estimate = candidate.estimate
     typical = group.typical()
@@ -175,7 +174,7 @@
 
 @POLICIES.register('expected_finish')
 class ExpectedFinishPolicy:
-    """The earliest expected answer, by what the gates told last."""
+    """Picks the earliest expected answer by the last reports of gates."""
 
     def pick(self, group, usable, now, need=NO_NEED):
         drawn = near_and_far(group, usable, SAMPLE_FINISH)
@@ -186,7 +185,7 @@
 def expected_seconds(
     group: Group, candidate: Candidate, now: float, need: Need
 ) -> float:
-    """Return how long an answer of this target should take from now."""
+    """Return the expected time until this target answers."""
     estimate = candidate.estimate
     load = estimate.load(need.work, now)
     slots = estimate.slots or candidate.slots
@@ -202,7 +201,7 @@
 def finish_cost(
     group: Group, candidate: Candidate, now: float, need: Need
 ) -> float:
-    """Return the expected time with errors and distance priced in."""
+    """Return the expected time with penalties for errors and distance."""
     estimate = candidate.estimate
     cost = expected_seconds(group, candidate, now, need)
     near = group.is_near(candidate)
--- a/cyclamenlift/routing/probes.py
+++ b/cyclamenlift/routing/probes.py
@@ -1,4 +1,4 @@
-"""The budget of load probes, kept by entries and enforced by gates."""
+"""The budget of load probes, respected by entries, enforced by gates."""
 
 import collections
 import math
@@ -8,7 +8,7 @@
 
 
 def share_of(budget: float, members: int) -> float:
-    """Return one member's part of a service's probes a second.
+    """Return one member's share of a service's probes per second.
 
     >>> share_of(20.0, 12)
     1.6666666666666667
@@ -17,11 +17,10 @@
 
 
 class ProbeWindow:
-    """Lets through at most ``rate`` probes in any one second.
+    """A sliding-window limit of ``rate`` probes in any one second.
 
-    A token bucket allows its burst on top of its rate; a window over the
-    last grants does not. Below one probe a second it keeps 1 / rate seconds
-    between two.
+    A token bucket would allow its burst on top of its rate. Below one probe a
+    second, the window keeps 1 / rate seconds between two probes.
     """
 
     def __init__(self, rate: float):
@@ -29,7 +28,7 @@
         self.set_rate(rate)
 
     def set_rate(self, rate: float) -> None:
-        """Change the rate; what was granted before still counts."""
+        """Change the rate; earlier grants still count."""
         self.rate = max(0.0, rate)
         self.limit = max(1, math.floor(self.rate))
         self.seconds = 1.0 if self.rate >= 1.0 else math.inf
@@ -37,7 +36,7 @@
             self.seconds = 1.0 / self.rate
 
     def take(self, now: float) -> bool:
-        """Book one probe; return False when the budget has none left."""
+        """Take one probe from the budget; return False if it is used up."""
         if self.rate <= 0.0:
             return False
         while self.grants and now - self.grants[0] >= self.seconds:
@@ -49,10 +48,10 @@
 
 
 class ProbeAllowance:
-    """What an entry may spend: a part of a probe for each call it sends.
+    """An entry's probe allowance: a fraction of a probe per call sent.
 
-    The event's budget bounds probes a second; this bounds them by the work
-    done, so that a quiet service with few slots is not measured to death.
+    The event's budget limits probes per second. This limits them by calls, so
+    that a quiet service with few slots is not flooded with probes.
     """
 
     def __init__(self, rate: float):
--- a/cyclamenlift/routing/slow_start.py
+++ b/cyclamenlift/routing/slow_start.py
@@ -1,10 +1,10 @@
-"""The ramp of a target that has just come up."""
+"""Slow start: the load ramp of a target that has just started."""
 
 FIRST_SHARE = 0.1
 
 
 def ramp_share(left: float, length: float) -> float:
-    """Return the share of a full load, ``left`` seconds before the end.
+    """Return the share of full load, ``left`` seconds before the ramp ends.
 
     >>> [ramp_share(left, 10.0) for left in (10.0, 5.0, 0.0)]
     [0.1, 0.5, 1.0]
--- a/cyclamenlift/routing/state.py
+++ b/cyclamenlift/routing/state.py
@@ -1,7 +1,7 @@
-"""Which target takes a call: the decisions of one entry, without sockets.
+"""Routing decisions of one entry, without I/O.
 
-The owner reports what it learns (members, the start and end of calls, load
-figures) and asks for choices, probes and hedge delays. Time is passed in.
+The owner reports events (members, the start and end of calls, load figures)
+and asks for targets, probes and hedge delays. Time is passed in.
 """
 
 import random
@@ -44,7 +44,7 @@
 
 
 class ServiceState:
-    """Everything an entry keeps for one service."""
+    """The routing state that an entry keeps for one service."""
 
     def __init__(self, group: Group, policy: Policy, probe_rate: float):
         self.group = group
@@ -64,15 +64,15 @@
         self.records: dict[str, MemberRecord] = {}
         self.work = WorkTable()
         self.instance = ''
-        # Bytes a second of this instance's link, 0 if it is not known.
+        # Bandwidth of this instance's link in bytes per second, 0 if unknown.
         self.link_rate = 0.0
         self.far_kilobyte = FAR_KILOBYTE
         self.first_record_at: float | None = None
 
-    # Changes from outside.
+    # Updates.
 
     def set_rules(self, rules: EventRules) -> None:
-        """Take over the document in force; estimates are kept."""
+        """Apply the current document; estimates are kept."""
         self.rules = rules
         kept = self.services
         self.services = {}
@@ -96,7 +96,7 @@
         self.share_probes()
 
     def note_member(self, record: MemberRecord, now: float) -> None:
-        """Take over a member's record, new or changed."""
+        """Store a new or changed member record."""
         if self.first_record_at is None:
             self.first_record_at = now
         known = self.records.get(record.instance)
@@ -113,10 +113,10 @@
             self.share_probes()
 
     def place(self, record: MemberRecord, now: float, ramp: bool) -> None:
-        """Put a member into the group of its service, or take it out.
+        """Add a member to the group of its service, or remove it.
 
-        The records that an entry learns when it starts itself are of old
-        members: those do not ramp up.
+        Records received just after this entry's start are of members that have
+        been running before, so those do not get a slow-start ramp.
         """
         state = self.services.get(record.service_name)
         if state is None:
@@ -127,13 +127,13 @@
             state.group.remove(record.instance)
 
     def remove(self, record: MemberRecord) -> None:
-        """Take a member out of the group of its service."""
+        """Remove a member from the group of its service."""
         state = self.services.get(record.service_name)
         if state is not None:
             state.group.remove(record.instance)
 
     def share_probes(self) -> None:
-        """Share each service's probe budget among all entries."""
+        """Divide each service's probe budget among all entries."""
         for state in self.services.values():
             budget = state.group.rule.probes_per_second
             rate = share_of(budget, len(self.records))
@@ -148,7 +148,7 @@
         exclude: frozenset[str] = frozenset(),
         need: Need = NO_NEED,
     ) -> Choice | None:
-        """Return the target for a call, None when no target may take it."""
+        """Return the target for a call, or None if there is none."""
         state = self.services.get(service)
         if state is None:
             return None
@@ -168,10 +168,10 @@
         need: Need,
         fingerprint: bytes,
     ) -> Choice | None:
-        """Return the target that is this request's own.
+        """Return the target that a request's fingerprint maps to.
 
-        Rendezvous hashing (Thaler and Ravishankar, 1998): entries that see
-        the same targets choose the same one without a word to each other.
+        Uses rendezvous hashing (Thaler and Ravishankar, 1998): entries that
+        see the same targets choose the same one without communicating.
         """
         state = self.services.get(service)
         if state is None:
@@ -185,14 +185,14 @@
     def usable(
         self, group: Group, now: float, exclude: frozenset[str]
     ) -> list[Candidate]:
-        """Return the targets that may take a call which some have had."""
+        """Return the targets that may take a call, without excluded ones."""
         group.refresh(now)
         usable = group.live
         if not exclude:
             return usable
         usable = [c for c in usable if c.instance not in exclude]
-        # When too many look bad all stay in, but a second try must not
-        # be spent on one of them while another looks well.
+        # When too many look bad none is ejected, but a second try should still
+        # avoid them while another target looks healthy.
         usable = [c for c in usable if not c.looks_bad(now)] or usable
         return usable or self.last_resort(group, now, exclude)
 
@@ -211,9 +211,9 @@
     def need(
         self, route: str, body_bytes: int, objective: float = 0.0
     ) -> Need:
-        """Return what is known of a call of ``route``.
+        """Return the properties of a call of ``route``.
 
-        ``objective`` is the route's, in seconds, 0 where it has none.
+        ``objective`` is the route's latency objective in seconds, 0 if none.
         """
         kilobytes = body_bytes / 1024.0 + self.work.kilobytes(route)
         seconds = body_bytes / self.link_rate if self.link_rate else 0.0
@@ -236,7 +236,7 @@
         now: float,
         need: Need,
     ) -> Candidate:
-        """Draw once more for a target that is still starting up."""
+        """Pick again, by chance, if the picked target is in slow start."""
         share = state.group.ramp(picked, now)
         if share >= 1.0 or self.rng.random() < share:
             return picked
@@ -246,10 +246,10 @@
         return state.policy.pick(state.group, others, now, need)
 
     def probes_due(self, service: str, now: float) -> list[ProbeOrder]:
-        """Return the probe to send now, if the budget has one.
+        """Return the probe to send now, if the budget allows one.
 
-        Of a few targets the one whose figures are oldest is asked, unless
-        it was heard of a moment ago.
+        The target with the oldest figures of a small sample is probed, unless
+        its figures have only just arrived.
         """
         state = self.services.get(service)
         if state is None or not state.group.live:
@@ -264,13 +264,13 @@
         return [ProbeOrder(service, probed.instance, probed.address)]
 
     def hedge_after(self, service: str, now: float) -> float | None:
-        """Return the seconds after which a hedge pays, None for never."""
+        """Return the delay in seconds before a hedge, None for no hedge."""
         state = self.services.get(service)
         if state is None or not state.group.rule.hedge:
             return None
         return state.delay.seconds
 
-    # What calls and gates report.
+    # Reports of calls and gates.
 
     def find(self, service: str, instance: str) -> Candidate | None:
         state = self.services.get(service)
@@ -279,7 +279,7 @@
         return state.group.candidates.get(instance)
 
     def call_started(self, service: str, instance: str, now: float) -> None:
-        """Count a call that was sent to a target."""
+        """Count a call sent to a target."""
         candidate = self.find(service, instance)
         if candidate is None:
             return
@@ -294,7 +294,7 @@
         seconds: float,
         now: float,
     ) -> None:
-        """Take over how a call ended, ``seconds`` after its start."""
+        """Record how a call ended, ``seconds`` after its start."""
         candidate = self.find(service, instance)
         if candidate is None:
             return
@@ -335,7 +335,7 @@
         seconds: float,
         now: float,
     ) -> None:
-        """Raise the cost of a target; its quick errors are no latency."""
+        """Raise a target's error level; quick errors are no latency."""
         estimate = candidate.estimate
         estimate.note_error(outcome, now)
         if outcome in (Outcome.TIMEOUT, Outcome.OVERTAKEN):
@@ -346,7 +346,7 @@
     def note_slow(
         self, group: Group, candidate: Candidate, seconds: float, now: float
     ) -> None:
-        """Use the time of a call without answer if it shows slowness."""
+        """Use the time of an unanswered call as latency if it is higher."""
         estimate = candidate.estimate
         if now < estimate.latency_deadline and seconds > estimate.latency:
             estimate.note_latency(seconds, group.typical_latency, now)
@@ -354,7 +354,7 @@
     def note_load(
         self, service: str, instance: str, load: LoadFigures, now: float
     ) -> None:
-        """Take over figures that rode on an answer or a probe's answer."""
+        """Store load figures received with an answer or probe answer."""
         candidate = self.find(service, instance)
         if candidate is None:
             return
@@ -364,9 +364,9 @@
 
 
 def is_allowed(record: MemberRecord, rule: ServiceRule) -> bool:
-    """Tell whether a member may carry its service now or later.
+    """Return whether a member may carry its service now or later.
 
-    A record whose address can't be read is of no use to anyone.
+    A record whose address cannot be parsed is ignored.
     """
     if record.state in GONE:
         return False
@@ -379,6 +379,6 @@
 
 
 def home_weight(candidate: Candidate, fingerprint: bytes) -> int:
-    """Return how strongly a request belongs to a target."""
+    """Return the rendezvous weight of a target for a request."""
     name = candidate.instance.encode()
     return xxhash.xxh64_intdigest(name + fingerprint)
--- a/cyclamenlift/routing/work.py
+++ b/cyclamenlift/routing/work.py
@@ -1,34 +1,33 @@
-"""How long the calls of each route take at a target that is not slowed."""
+"""Mean service time of each route's calls at targets of usual pace."""
 
 from cyclamenlift.routing.finish import PERCENT
 from cyclamenlift.routing.finish import SPELL_PACE
 
 WEIGHT = 0.05
-# A sample counts for at most this many times the mean: one long call
-# must not make all seem long.
+# Samples are clipped to this multiple of the mean, so that one long call does
+# not make all calls look long.
 CLIP = 3.0
-# The work that is assumed before any answer was seen, in seconds, where the
-# route has no objective.
+# Assumed work in seconds before any answer, for routes without an objective.
 FIRST_GUESS = 0.1
-# The same as a share of the route's objective: on all sheets of sites seen
-# so far work is 0.30 to 0.38 of it.
+# Assumed work as a share of the route's objective: at the sites seen so far
+# work is 0.30 to 0.38 of it.
 GUESS_SHARE = 0.33
-# How far a call's time is taken to lie from its mean before it is known, as
-# a share of it: that of calls whose times vary by a third.
+# Assumed mean deviation of a call's time before it is known, as a share of its
+# mean: that of calls whose times vary by a third.
 SPREAD_GUESS = 0.25
-# Answers of targets up to this pace, in percent of the usual, tell of the
-# work: a target that has just started keeps about twice the usual for
-# seconds, and all that is learned then is of use at once.
+# Answers are used to learn the work only up to this pace, in percent of the
+# usual. It includes targets that have just started, which run at about twice
+# the usual duration for seconds, because early samples are useful at once.
 MOST_PACE = SPELL_PACE
 FIRST_KILOBYTES = 1.0
 
 
 class RouteWork:
-    """Mean work, in seconds, and mean bytes of an answer of one route.
+    """Mean work in seconds and mean size of the answers of one route.
 
-    ``nested`` is the mean time that its calls waited for calls of their
-    own, where it is known, and is not part of the work. ``spread`` is how
-    far both together lie from their mean, in the mean.
+    ``nested`` is the mean time spent waiting for the calls' own nested calls,
+    where known, and is not part of the work. ``spread`` is the mean absolute
+    deviation of the sum of both.
     """
 
     __slots__ = ('count', 'kilobytes', 'nested', 'seconds', 'spread')
@@ -53,7 +52,7 @@
 
 
 class WorkTable:
-    """The work of all routes that this entry or gate has seen answers of."""
+    """The work of all routes whose answers this entry or gate has seen."""
 
     def __init__(self):
         self.routes: dict[str, RouteWork] = {}
@@ -66,7 +65,7 @@
         size: int,
         nested: float = 0.0,
     ) -> None:
-        """Take over an answer's time, less what its target's pace added."""
+        """Add an answer's time, normalised to the usual pace of its target."""
         if pace_percent > MOST_PACE or seconds <= 0.0:
             return
         known = self.routes.get(route)
@@ -75,14 +74,14 @@
         known.note(at_usual_pace(seconds, pace_percent), size, nested)
 
     def knows(self, route: str, samples: int) -> bool:
-        """Tell whether at least so many answers of a route were seen."""
+        """Return whether at least ``samples`` answers of a route were seen."""
         known = self.routes.get(route)
         return known is not None and known.count >= samples
 
     def seconds(self, route: str, objective: float = 0.0) -> float:
-        """Return the work of a route in seconds, a guess if unknown.
+        """Return the work of a route in seconds, or a default if unknown.
 
-        ``objective`` is the time in which its calls should be answered.
+        ``objective`` is the route's latency objective in seconds.
         """
         known = self.routes.get(route)
         if known is not None:
@@ -90,12 +89,12 @@
         return GUESS_SHARE * objective if objective > 0.0 else FIRST_GUESS
 
     def nested(self, route: str) -> float:
-        """Return how long its calls wait for calls that they make."""
+        """Return the mean time that a route's calls wait for nested calls."""
         known = self.routes.get(route)
         return known.nested if known is not None else 0.0
 
     def spread(self, route: str, objective: float = 0.0) -> float:
-        """Return how far the time of a call lies from its mean."""
+        """Return the mean deviation of a call's time from its mean."""
         known = self.routes.get(route)
         if known is not None and known.count > 1:
             return known.spread
@@ -108,7 +107,7 @@
 
 
 def at_usual_pace(seconds: float, pace_percent: int) -> float:
-    """Return what a call would have taken at the usual pace.
+    """Return the time that a call would have taken at the usual pace.
 
     >>> at_usual_pace(0.2, 200), at_usual_pace(0.2, 100), at_usual_pace(0.2, 0)
     (0.1, 0.2, 0.2)
