--- a/tests/calls/test_attempt.py
+++ b/tests/calls/test_attempt.py
@@ -1,4 +1,4 @@
-"""Bodies that an entry sends as far as the gate's credit goes."""
+"""Request bodies sent within the flow-control credit of a gate."""
 
 from cyclamenlift.calls.attempt import CHUNK
 from cyclamenlift.calls.attempt import Try
@@ -9,7 +9,7 @@
 
 
 class EagerLink:
-    """A link to a gate in this process: it credits a chunk at once."""
+    """A link to a gate in this process, which credits chunks at once."""
 
     pending = 0
     was_up = True
@@ -27,9 +27,9 @@
         return b'frame'
 
 
-def test_a_large_body_to_the_own_gate_is_sent_whole():
-    # Regression: each credit sent the next chunk from inside the one before,
-    # and a body of some megabytes ended at the limit of recursion.
+def test_a_large_body_to_the_local_gate_is_sent_whole():
+    # Regression: each credit sent the next chunk recursively, so a body of
+    # some megabytes exceeded the recursion limit.
     link = EagerLink()
     body = bytes(LARGE)
     assert link.attempt.send(CallStart(), body)
--- a/tests/calls/test_budgets.py
+++ b/tests/calls/test_budgets.py
@@ -1,4 +1,4 @@
-"""A retry budget that all entries share."""
+"""The retry budget that all entries share."""
 
 from cyclamenlift.calls.budgets import SharedRetryBudget
 
@@ -9,7 +9,7 @@
 
 
 class Clock:
-    """A clock that a test moves."""
+    """A clock set by the test."""
 
     def __init__(self):
         self.now = 0.0
@@ -32,7 +32,7 @@
 
 
 def test_an_idle_fleet_spends_no_more_than_the_slack_in_a_window():
-    """Regression: each entry had 20 tries to begin with."""
+    """Regression: each entry started with a balance of 20 tries."""
     clock = Clock()
     fleet = budgets(clock)
     spent = spend_all(fleet)
@@ -55,7 +55,7 @@
     assert 0.9 * SHARE * firsts <= spent <= SHARE * firsts + SLACK
 
 
-def test_repeats_that_were_not_asked_for_must_be_earned_back():
+def test_debited_repeats_must_be_earned_back():
     clock = Clock()
     (budget,) = budgets(clock, 1)
     budget.debit(budget.cap() + 5.0)
@@ -65,7 +65,7 @@
     assert budget.take()
 
 
-def test_a_small_part_still_allows_a_whole_retry():
+def test_a_small_share_of_the_budget_allows_a_whole_retry():
     clock = Clock()
     fleet = budgets(clock, 200)
     assert fleet[0].take()
--- a/tests/calls/test_returning.py
+++ b/tests/calls/test_returning.py
@@ -1,4 +1,4 @@
-"""Who has come back after a refusal, by the time it says it has left."""
+"""Detection of callers that retry after a refusal, by their timeouts."""
 
 from cyclamenlift.calls.returning import LEAST_SEEN
 from cyclamenlift.calls.returning import REMEMBERED
@@ -12,35 +12,35 @@
     return times
 
 
-def test_nothing_is_concluded_from_a_few_requests():
+def test_no_usual_timeout_from_a_few_requests():
     times = seen(*[1000] * (LEAST_SEEN - 2))
     assert times.used_up('look-up', 700) == 0
 
 
-def test_who_has_less_than_the_usual_time_has_used_up_the_rest():
+def test_a_shorter_timeout_means_that_the_difference_has_elapsed():
     times = seen(*[1000] * 20)
     assert times.used_up('look-up', 820) == 180
     assert times.used_up('look-up', 1000) == 0
     assert times.used_up('look-up', 1200) == 0
 
 
-def test_half_of_all_may_come_back_each_with_another_time_left():
+def test_usual_timeout_is_found_when_half_of_the_requests_are_retries():
     asked = [1000 if n % 2 else 700 + n for n in range(80)]
     assert seen(*asked).used_up('look-up', 820) == 180
 
 
-def test_callers_whose_times_vary_have_no_usual_one():
+def test_varying_timeouts_have_no_usual_one():
     asked = [700 + 7 * n % 300 for n in range(80)]
     assert seen(*asked).used_up('look-up', 500) == 0
 
 
-def test_a_new_usual_time_takes_the_place_of_the_old_one():
+def test_a_new_usual_timeout_replaces_the_old_one():
     times = seen(*[1000] * 80, *[600] * REMEMBERED)
     assert times.used_up('look-up', 600) == 0
     assert times.used_up('look-up', 500) == 100
 
 
-def test_routes_that_are_gone_are_forgotten():
+def test_removed_routes_are_dropped():
     times = seen(*[1000] * 20)
     times.keep_only({'booking'})
     assert times.used_up('look-up', 700) == 0
--- a/tests/calls/test_shares.py
+++ b/tests/calls/test_shares.py
@@ -1,4 +1,4 @@
-"""A route's requests over its services, by their weights."""
+"""Distribution of a route's requests over its services by weight."""
 
 import collections
 import random
@@ -27,7 +27,7 @@
         assert abs(counts[name] - 300 * weight / total) <= 1
 
 
-def test_a_service_of_no_weight_gets_nothing():
+def test_a_service_of_zero_weight_gets_no_requests():
     turns = ShareTurns(random.Random(4))
     wanted = route(a=0, b=5)
     assert {turns.next_service(wanted) for _ in range(50)} == {'b'}
--- a/tests/calls/test_state.py
+++ b/tests/calls/test_state.py
@@ -1,4 +1,4 @@
-"""What follows from the end of a try."""
+"""The next step of a call after the end of a try."""
 
 import pytest
 
@@ -46,7 +46,7 @@
     assert state.try_ended(ending, now) is step
 
 
-def test_a_try_that_may_have_run_is_never_forgotten():
+def test_an_unknown_outcome_of_a_try_is_kept():
     state = call()
     for ending in (LOST, OVERLOADED, OVERLOADED):
         state.try_started()
--- a/tests/calls/test_tasks.py
+++ b/tests/calls/test_tasks.py
@@ -1,4 +1,4 @@
-"""Frames find their call, and only theirs."""
+"""Frames are dispatched only to the call and link they belong to."""
 
 import pytest
 
@@ -34,7 +34,7 @@
 def test_frame_for_another_call_or_link_changes_nothing(
     handler, make, own_link
 ):
-    """A wrong number on the right link, the right number on a wrong one."""
+    """Covers a wrong number on the right link and the reverse."""
     target = ScriptedTarget(late(0.2, answer(b'mine')))
     bed = PathBed(target.address)
     try:
@@ -51,7 +51,7 @@
         target.close()
 
 
-def test_answer_that_comes_after_the_deadline_reaches_nobody():
+def test_answer_after_the_deadline_is_discarded():
     slow = ScriptedTarget(late(0.4, answer(b'late')), answer(b'next'))
     bed = PathBed(slow.address, deadline_ms=200, max_tries=1)
     try:
--- a/tests/quarantine/builders.py
+++ b/tests/quarantine/builders.py
@@ -1,4 +1,4 @@
-"""Reports of ends, and several instances that share what they know."""
+"""Reports of ends and a group of instances that share them."""
 
 import heapq
 import itertools
@@ -12,12 +12,12 @@
 
 
 def name(text: str) -> bytes:
-    """Return a fingerprint that a test can read."""
+    """Return a readable fingerprint."""
     return text.encode().ljust(12, b'.')
 
 
 def end(at: float, *ran: str, begun_at: float | None = None) -> Report:
-    """Return the end of a target that ran these requests for 0.1 s."""
+    """Return a report that a target ended after 0.1 s of these requests."""
     begun = at - 0.1 if begun_at is None else begun_at
     return Report(
         f'r{next(NUMBERS)}',
@@ -29,7 +29,7 @@
 
 
 class EventHeap:
-    """A clock and timers that run in order, without waiting."""
+    """A simulated clock with a queue of timers."""
 
     def __init__(self) -> None:
         self.clock = self
@@ -48,7 +48,7 @@
         heapq.heappush(self.due, event)
 
     def every(self, _seconds: float, _callback) -> None:
-        """Nothing here lasts that long."""
+        """Ignore periodic timers, which no test runs long enough to need."""
 
     def run(self, seconds: float) -> None:
         until = self.time + seconds
@@ -59,7 +59,7 @@
 
 
 class FakeLink:
-    """Carries what is sent to one member's receivers after a delay."""
+    """Delivers messages to the receivers of one member after a delay."""
 
     def __init__(self, group: 'Group', owner: str):
         self.group = group
@@ -89,7 +89,7 @@
 
 
 class FakeMembership:
-    """Spreads reports to random members and tells of digests by pings."""
+    """Sends reports to random members and digests by pings."""
 
     def __init__(self, group: 'Group', owner: str):
         self.group = group
@@ -116,7 +116,7 @@
 
 
 class Group:
-    """Instances that share what they know over a lossy network."""
+    """Instances that share reports over a lossy network."""
 
     def __init__(self, count: int, seed: int, loss: float = 0.0):
         self.heap = EventHeap()
@@ -130,7 +130,7 @@
             self.add()
 
     def add(self) -> Quarantine:
-        """Start another instance, which knows its seed only."""
+        """Start another instance, which knows only its seed."""
         port = next(self.ports)
         owner = f'i-{port}'
         self.names[port] = owner
@@ -148,7 +148,7 @@
         self.heap.after(self.delay(), lambda: receive(link, message))
 
     def ping(self) -> None:
-        """Let each member probe another one; both hear a packet."""
+        """Let each member ping a random one; both receive a packet."""
         for port, owner in list(self.names.items()):
             other = self.rng.choice(list(self.names))
             if other != port:
@@ -156,19 +156,19 @@
                 self.hear(self.names[other], port)
 
     def hear(self, owner: str, port: int) -> None:
-        """Let a member hear what the one at ``port`` says that it knows."""
+        """Deliver the digest of the member at ``port`` to a member."""
         digest = self.members[self.names[port]].membership.digest
         seen = DigestSeen(digest, f'127.0.0.1:{port}', False)
         self.members[owner].membership.on_digest(seen)
 
     def join_by_seed(self, owner: str) -> None:
-        """Let one that starts hear its seed, the oldest member."""
+        """Let a starting member receive the digest of the oldest member."""
         self.heap.after(
             self.delay(), lambda: self.hear(owner, next(iter(self.names)))
         )
 
     def run(self, seconds: float) -> None:
-        """Let time pass, with one ping of each member a second."""
+        """Advance the time, with one ping from each member per second."""
         whole = int(seconds)
         for _ in range(whole):
             self.ping()
--- a/tests/quarantine/test_fingerprints.py
+++ b/tests/quarantine/test_fingerprints.py
@@ -1,4 +1,4 @@
-"""What makes two attempts the same request."""
+"""Fingerprints that identify repeated attempts of a request."""
 
 import pytest
 
@@ -14,21 +14,21 @@
     return made.digest()
 
 
-def test_the_same_request_has_the_same_fingerprint_however_it_is_cut():
+def test_fingerprint_does_not_depend_on_body_chunks():
     assert fingerprint(PARTS, b'abc') == fingerprint(PARTS, b'a', b'bc')
 
 
 @pytest.mark.parametrize('place', range(len(PARTS)))
-def test_each_part_tells_requests_apart(place):
+def test_each_part_changes_the_fingerprint(place):
     other = list(PARTS)
     other[place] += 'x'
     assert fingerprint(tuple(other)) != fingerprint()
 
 
-def test_the_body_tells_requests_apart():
+def test_the_body_changes_the_fingerprint():
     assert fingerprint(PARTS, b'a') != fingerprint(PARTS, b'b')
 
 
-def test_text_that_moves_from_one_part_to_the_next_is_another_request():
+def test_text_moved_between_parts_changes_the_fingerprint():
     moved = ('a.exampleG', 'ET', *PARTS[2:])
     assert fingerprint(moved) != fingerprint()
--- a/tests/quarantine/test_state.py
+++ b/tests/quarantine/test_state.py
@@ -1,4 +1,4 @@
-"""What ends of targets prove against the requests that they ran."""
+"""Quarantine decisions from reports of ended targets."""
 
 import dataclasses
 
@@ -29,7 +29,7 @@
     return evidence
 
 
-def test_all_that_a_target_ran_at_its_end_are_suspects_for_a_while():
+def test_requests_running_at_an_end_are_suspects_for_a_minute():
     evidence = after(end(10.0, 'bad', 'other'))
     assert standing(evidence, 'bad', 11.0) is SUSPECT
     assert standing(evidence, 'other', 11.0) is SUSPECT
@@ -37,13 +37,13 @@
     assert standing(evidence, 'bad', 100.0) is CLEAR
 
 
-def test_the_only_one_at_two_ends_is_kept_away():
+def test_the_only_request_at_two_ends_is_quarantined():
     evidence = after(end(10.0, 'bad', 'a', 'b'), end(11.0, 'bad', 'c'))
     assert standing(evidence, 'bad', 11.0) is QUARANTINED
     assert [standing(evidence, t, 11.0) for t in 'abc'] == [SUSPECT] * 3
 
 
-def test_of_two_that_were_at_both_ends_neither_is_kept_away_yet():
+def test_two_requests_at_both_ends_are_not_quarantined_yet():
     evidence = after(end(10.0, 'bad', 'a'), end(11.0, 'bad', 'a'))
     assert standing(evidence, 'bad', 11.0) is SUSPECT
     evidence.add(end(12.0, 'bad', 'c'), 12.0)
@@ -51,19 +51,19 @@
     assert standing(evidence, 'a', 12.0) is SUSPECT
 
 
-def test_a_bystander_at_two_ends_an_hour_apart_is_not_kept_away():
-    """It was answered thousands of times in between, elsewhere."""
+def test_two_ends_an_hour_apart_do_not_quarantine_a_request():
+    """It was answered thousands of times elsewhere in between."""
     evidence = after(end(10.0, 'often', 'a'), end(3600.0, 'often', 'b'))
     assert standing(evidence, 'often', 3600.0) is SUSPECT
 
 
-def test_one_that_comes_seldom_is_kept_away_from_its_third_end_on():
+def test_a_rare_request_is_quarantined_from_its_third_end():
     evidence = after(*(end(90.0 * n, 'bad') for n in range(3)))
     assert standing(evidence, 'bad', 181.0) is QUARANTINED
 
 
-def test_targets_that_lose_power_together_convict_nobody():
-    """The same two requests are in flight at each, three times over."""
+def test_simultaneous_power_losses_quarantine_no_request():
+    """The same two requests run at four targets that fail together, thrice."""
     evidence = Evidence()
     for round_at in (10.0, 20.0, 30.0):
         for number in range(4):
@@ -76,14 +76,14 @@
     assert standing(evidence, 'long', 31.0) is CLEAR
 
 
-def test_one_attempt_that_ended_a_second_target_is_known_at_once():
-    """It began there only after the first had ended: that is no chance."""
+def test_a_retry_that_ends_a_second_target_is_quarantined_at_once():
+    """It began there after the first end, so this is no coincidence."""
     first = end(10.0, 'bad', 'a')
     second = end(10.045, 'bad', begun_at=10.004)
     assert standing(after(first, second), 'bad', 10.05) is QUARANTINED
 
 
-def test_an_answer_clears_a_bystander_before_and_after():
+def test_an_answer_before_or_after_an_end_clears_a_request():
     evidence = Evidence()
     evidence.note_answer('prices', name('hot'), 9.0)
     for at in (10.0, 11.0, 12.0):
@@ -95,7 +95,7 @@
     assert standing(evidence, 'late', 51.0) is CLEAR
 
 
-def test_whom_others_would_keep_away_is_named_when_it_was_answered():
+def test_an_answered_request_is_reported_if_others_quarantine_it():
     evidence = Evidence()
     evidence.note_answer('prices', name('hot'), 9.0)
     assert evidence.add(end(10.0, 'hot'), 10.0) == []
@@ -104,7 +104,7 @@
     assert not evidence.note_answer('prices', name('hot'), 11.6)
 
 
-def test_where_one_service_ends_of_it_one_end_of_another_is_enough():
+def test_a_request_quarantined_at_one_service_needs_one_end_at_another():
     evidence = after(end(10.0, 'bad'), end(11.0, 'bad'))
     judgement = evidence.judge('stock', name('bad'), 12.0)
     assert judgement.standing is SUSPECT
@@ -115,13 +115,13 @@
     assert evidence.judge('stock', name('x'), 13.0).standing is SUSPECT
 
 
-def test_what_one_service_answers_another_one_may_still_end_of():
+def test_an_answer_of_one_service_does_not_clear_at_another():
     evidence = after(end(10.0, 'bad'), end(11.0, 'bad'))
     evidence.note_answer('stock', name('bad'), 12.0)
     assert standing(evidence, 'bad', 12.0) is QUARANTINED
 
 
-def test_what_was_lifted_counts_again_from_the_next_ends_on():
+def test_ends_after_a_lift_count_again():
     evidence = after(end(10.0, 'bad'), end(11.0, 'bad'))
     lifted = Report('l', '', (name('bad'),), 12.0, lifted=True)
     evidence.add(lifted, 12.0)
@@ -132,7 +132,7 @@
     assert standing(evidence, 'bad', 14.0) is QUARANTINED
 
 
-def test_a_mended_target_serves_the_request_again_after_one_trial():
+def test_a_repaired_target_serves_the_request_again_after_one_trial():
     evidence = after(end(10.0, 'bad'), end(11.0, 'bad'))
     assert standing(evidence, 'bad', 40.9) is QUARANTINED
     assert standing(evidence, 'bad', 41.1) is SUSPECT
@@ -166,7 +166,7 @@
     assert len(evidence.against) <= MOST_REPORTS + 1
 
 
-def test_the_digest_stands_for_what_is_known_whatever_its_order():
+def test_the_digest_does_not_depend_on_the_order_of_reports():
     one, other = end(1.0, 'a'), end(2.0, 'b')
     assert after(one, other).digest == after(other, one).digest
     assert after(one).digest != after(other).digest
--- a/tests/quarantine/test_tasks.py
+++ b/tests/quarantine/test_tasks.py
@@ -1,7 +1,7 @@
-"""Many instances learn which requests end targets.
+"""Distribution of reports among many instances.
 
-The load: 700 daemons, one request that ends each target that runs it, and
-datagrams of which a tenth is lost.
+The scenario is 700 daemons, one request that ends every target that runs it,
+and a loss of one datagram in ten.
 """
 
 import dataclasses
@@ -15,7 +15,8 @@
 from tests.quarantine.builders import name
 
 BAD, OTHER = name('bad'), name('other')
-# What is allowed is 3 s; a report is told by datagrams and asked for later.
+# The allowed time is 3 s. Reports are sent by datagrams, and missing ones are
+# requested later.
 KNOWN_SECONDS = 3.0
 BYTES_OF_REPORT = 400
 AIM_BYTES = 5000
@@ -27,7 +28,7 @@
 
 
 def keep_away(group: Group) -> int:
-    """Return how many instances keep the harmful request away."""
+    """Return how many instances quarantine the harmful request."""
     return sum(
         m.judge('prices', BAD).standing is Standing.QUARANTINED
         for m in group.members.values()
@@ -39,7 +40,9 @@
 
 
 @pytest.mark.parametrize(('count', 'seed'), [(13, 1), (13, 2), (700, 3)])
-def test_all_know_within_three_seconds_though_packets_are_lost(count, seed):
+def test_all_instances_know_within_three_seconds_despite_packet_loss(
+    count, seed
+):
     group = Group(count, seed, loss=0.1)
     members = list(group.members.values())
     note_end(members[0], BAD, OTHER)
@@ -56,7 +59,7 @@
     assert group.told * BYTES_OF_REPORT / 700 < AIM_BYTES / 2
 
 
-def test_one_that_starts_later_knows_before_it_takes_callers():
+def test_a_new_instance_is_synced_before_it_takes_callers():
     group = Group(5, 4)
     members = list(group.members.values())
     note_end(members[0], BAD)
@@ -75,8 +78,8 @@
     assert late.judge('prices', BAD).standing is Standing.QUARANTINED
 
 
-def test_those_that_start_together_do_not_believe_each_other_at_once():
-    """All daemons are restarted; a control instance has kept the reports."""
+def test_instances_started_together_do_not_trust_empty_digests_at_once():
+    """All daemons restart while a control instance keeps the reports."""
     group = Group(2, 4)
     first, second = group.members.values()
     nothing = DigestSeen(0, '127.0.0.1:1', from_control=False)
@@ -89,8 +92,8 @@
     assert first.is_synced()
 
 
-def test_one_that_stayed_tells_all_others_that_were_restarted():
-    """Control instances, the seeds, stay while daemons are restarted."""
+def test_a_running_instance_informs_all_restarted_ones():
+    """Control instances are the seeds and run on while daemons restart."""
     group = Group(6, 10)
     members = list(group.members.values())
     for member in members[:2]:
@@ -103,8 +106,8 @@
     assert keep_away(group) == 1 + len(started)
 
 
-def test_a_bystander_that_is_answered_is_soon_clear_everywhere():
-    """It was at two ends alone with nobody else: all keep it away."""
+def test_an_answered_request_is_soon_clear_everywhere():
+    """It ran alone at two ends, so all instances quarantine it."""
     group = Group(40, 5, loss=0.1)
     members = list(group.members.values())
     for member in members[:2]:
@@ -116,7 +119,7 @@
     assert all(is_clear(m, OTHER) for m in members)
 
 
-def test_an_operator_lifts_an_entry_for_all():
+def test_a_lift_by_an_operator_applies_to_all_instances():
     group = Group(20, 6)
     members = list(group.members.values())
     for member in members[:3]:
@@ -128,7 +131,7 @@
     assert keep_away(group) == 0
 
 
-def test_what_was_answered_here_lately_is_not_accused():
+def test_a_recently_answered_request_is_not_reported():
     group = Group(3, 7)
     member = next(iter(group.members.values()))
     member.note_answer('prices', OTHER)
@@ -136,7 +139,7 @@
     assert member.evidence.reports == {}
 
 
-def test_a_line_tells_which_ends_keep_a_request_away():
+def test_a_log_line_names_the_reports_behind_a_quarantine():
     group = Group(2, 8)
     first, second = group.members.values()
     with capture_logs() as logs:
@@ -148,7 +151,7 @@
     assert len(lines[0]['reports']) == 2
 
 
-def test_those_who_know_the_same_do_not_ask():
+def test_members_with_equal_digests_do_not_request_reports():
     group = Group(6, 9)
     note_end(next(iter(group.members.values())), BAD)
     group.run(2.0)
--- a/tests/quarantine/test_wire.py
+++ b/tests/quarantine/test_wire.py
@@ -1,4 +1,4 @@
-"""Reports of peers: what may be believed to be one."""
+"""Validation of reports received from peers."""
 
 import pytest
 
@@ -23,7 +23,7 @@
     return EndReport(**values)
 
 
-def test_times_travel_as_ages():
+def test_times_are_sent_as_ages():
     report = end(10.0, 'a', 'b')
     there = from_wire(to_wire(report, 10.5), 100.0)
     assert there.at == pytest.approx(99.5)
@@ -49,5 +49,5 @@
     ],
     ids=repr,
 )
-def test_what_is_no_report_is_not_taken(wrong):
+def test_invalid_reports_are_rejected(wrong):
     assert from_wire(told(**wrong), 0.0) is None
--- a/tests/routing/builders.py
+++ b/tests/routing/builders.py
@@ -1,4 +1,4 @@
-"""Rules, members and states for the tests of routing."""
+"""Builders of rules, members and states for routing tests."""
 
 import random
 
@@ -55,7 +55,7 @@
 
 
 def build_figures(in_flight=0, queued=0, **fields) -> LoadFigures:
-    """Return figures of a healthy target."""
+    """Return the load figures of a healthy target."""
     figures = LoadFigures(in_flight, queued, SLOTS, 10_000, 0)
     figures.state = TargetState.READY
     for name, value in fields.items():
@@ -64,7 +64,7 @@
 
 
 def call(state, now, outcome=Outcome.ANSWERED, seconds=0.01, only=None):
-    """Make one whole call at ``now``; return the target's name."""
+    """Start and end one call at ``now``; return the target's name."""
     name = only or state.choose(SERVICE, now).instance
     state.call_started(SERVICE, name, now)
     state.call_ended(SERVICE, name, outcome, seconds, now + seconds)
@@ -72,14 +72,14 @@
 
 
 def without_distance(state: RoutingState) -> RoutingState:
-    """Let far targets count as near ones, where it is asked who may serve."""
+    """Disable the distance cost, so that far targets are used as well."""
     for service in state.services.values():
         service.group.far_kilobyte = 0.0
     return state
 
 
 def chosen(state, now, count=200, exclude=frozenset()) -> dict[str, int]:
-    """Return how often each target is chosen, without any call."""
+    """Return how often each target is chosen, without starting calls."""
     found: dict[str, int] = {}
     for _ in range(count):
         choice = state.choose(SERVICE, now, exclude)
--- a/tests/routing/test_finish.py
+++ b/tests/routing/test_finish.py
@@ -1,7 +1,7 @@
-"""Where calls go while machines have slow spells.
+"""Choice of targets while machines have slow spells.
 
-The load: each target is seven times as slow for half a second, a quarter of
-the time, with few calls beside its slots.
+In the scenario each target is seven times slower for half a second, a quarter
+of the time, with few calls relative to its slots.
 """
 
 import pytest
@@ -40,7 +40,7 @@
     assert 't0' not in chosen(state, 1.01, NEED)
 
 
-def test_old_news_of_a_spell_count_less_and_then_nothing(state):
+def test_an_old_report_of_a_slow_spell_expires(state):
     state.note_load(SERVICE, 't0', pace(700), 1.0)
     for number in range(4):
         state.note_load(SERVICE, f't{number}', pace(100), 2.0)
@@ -64,14 +64,14 @@
     assert chosen(state, 1.01, UPLOAD) <= near
 
 
-def test_the_choice_tells_the_pace_that_it_rests_on(state):
+def test_the_choice_states_the_pace_it_assumes(state):
     choice = state.choose(SERVICE, 1.01, frozenset(), NEED)
     assert choice.pace_percent == 100
     assert choice.seconds == pytest.approx(0.160, rel=0.2)
 
 
-# The load that the next ones are for: bodies of 60 KB on links that take
-# 0.11 s for one, several for one instance at a time.
+# The following tests send bodies of 60 KB on links that take 0.11 s for each,
+# with several to one instance at a time.
 SLOW_LINK = Need('upload', 0.190, 1.0, body_seconds=0.11)
 
 
@@ -81,23 +81,23 @@
     return figures
 
 
-def test_a_body_goes_where_the_fewest_others_are_on_their_way(state):
+def test_a_body_goes_where_the_fewest_bodies_are_queued(state):
     for number in range(3):
         state.note_load(SERVICE, f't{number}', waits(0.3), 1.0)
     assert chosen(state, 1.01, SLOW_LINK) == {'t3'}
-    # What waited has come in since.
+    # The queued bodies have arrived since.
     assert len(chosen(state, 1.35, SLOW_LINK, 200)) > 1
     # A call without a body does not wait behind them.
     assert len(chosen(state, 1.01, NEED, 200)) > 1
 
 
-def test_a_body_stays_at_the_own_instance_if_that_is_as_good(state):
+def test_a_body_stays_at_the_own_instance_if_it_is_as_good(state):
     group = state.services[SERVICE].group
     group.instance = 't1'
     assert chosen(state, 1.01, SLOW_LINK) == {'t1'}
 
 
-def test_a_rate_that_is_not_known_costs_nothing(state):
+def test_an_unknown_link_rate_adds_no_cost(state):
     assert state.need('upload', 60_000).body_seconds == 0.0
     state.link_rate = 537_500.0
     assert state.need('upload', 60_000).body_seconds == pytest.approx(
--- a/tests/routing/test_hedging.py
+++ b/tests/routing/test_hedging.py
@@ -1,9 +1,9 @@
-"""Second tries of an entry that sees few calls.
+"""Hedging at an entry that sees few calls.
 
-The load: entries of a fleet of two hundred, each with two calls a second for
-three services. The quantile of answer times needs 64 answers of a service,
-which take a minute to come, and an entry may save up little more than one
-retry of the shared budget. Calls of 660 ms have 2.2 s.
+The scenario is a fleet of two hundred entries, each with two calls a second
+for three services. The quantile of answer times needs 64 answers of a service,
+which takes a minute, and an entry can accumulate little more than one retry of
+the shared budget. Calls of 660 ms have an objective of 2.2 s.
 """
 
 import pytest
@@ -27,24 +27,24 @@
     return budget
 
 
-def test_a_few_answers_tell_no_quantile_but_the_objective_does():
+def test_the_objective_times_hedges_when_answers_are_too_few():
     delay = HedgeDelay()
     for _ in range(20):
         delay.note(WORK)
     assert delay.seconds is None
     due = last_in_time(OBJECTIVE, WORK)
-    # Long after usual answers, and with time for another.
+    # Well after the usual answer time, and early enough for a second try.
     assert 1.75 * WORK < due < OBJECTIVE - WORK
 
 
 @pytest.mark.parametrize('entries', [1, 20, ENTRIES, 680])
-def test_an_early_hedge_can_be_paid_for_whatever_the_fleet_is(entries):
+def test_the_budget_allows_an_early_hedge_in_a_fleet_of_any_size(entries):
     budget = shared(entries)
     assert budget.balance >= LEAST_CAP
     assert budget.take(budget.kept)
 
 
-def test_early_hedges_leave_some_to_late_ones():
+def test_early_hedges_leave_budget_for_late_ones():
     budget = RetryBudget(0.2)
     early = 0
     while budget.take(budget.kept):
--- a/tests/routing/test_home.py
+++ b/tests/routing/test_home.py
@@ -1,7 +1,7 @@
-"""A request that may end targets has one target of its own.
+"""Rendezvous hashing of suspect requests.
 
-The load: such a request comes at many entries at once. Each of them chooses
-without a word to the others, and all should choose the same target.
+A request that may end targets arrives at many entries at once. Without
+communicating, all of them should choose the same target.
 """
 
 import pytest
@@ -31,7 +31,7 @@
     assert len({home(state, bytes([n])) for n in range(40)}) == 8
 
 
-def test_only_those_of_a_target_that_is_gone_move():
+def test_only_requests_of_a_lost_target_move():
     state = build_state(8)
     before = {n: home(state, bytes([n])) for n in range(40)}
     gone = before[0]
@@ -43,7 +43,7 @@
     assert moved == {n for n in before if before[n] == gone}
 
 
-def test_who_had_it_already_is_left_out_and_nobody_is_left_at_last():
+def test_excluded_targets_are_skipped_until_none_is_left():
     state = build_state(2)
     first = home(state, b'a')
     second = home(state, b'a', frozenset((first,)))
--- a/tests/routing/test_near.py
+++ b/tests/routing/test_near.py
@@ -1,9 +1,9 @@
-"""Targets of the own data centre first, as long as they are as good.
+"""Preference for targets of the own data centre if equally good.
 
-The load: a hundred targets in five data centres, used to a fifth, and an
-entry that heard of few of them lately. Each call to another data centre
-costs about two kilobytes there and back; with targets chosen whatever their
-place, four calls in five went far.
+The scenario is a hundred targets in five data centres at a fifth of their
+capacity, and an entry with recent figures of few of them. Each call to another
+data centre costs about two kilobytes in both directions; without the
+preference four calls in five left the data centre.
 """
 
 import pytest
@@ -45,27 +45,27 @@
     assert near_share(state, 100.0) == 1.0
 
 
-def test_a_known_far_target_is_no_reason_to_leave(state):
+def test_recent_figures_of_far_targets_do_not_attract_calls(state):
     for number in range(TARGETS):
         if number % 5:
             state.note_load(SERVICE, f't{number}', build_pace(100), 100.0)
     assert near_share(state, 100.1) == 1.0
 
 
-def test_calls_leave_when_the_near_targets_are_full(state):
+def test_calls_go_far_when_the_near_targets_are_full(state):
     for name in near_names():
         full = build_pace(100, in_flight=8, slots=8)
         state.note_load(SERVICE, name, full, 100.0)
     assert near_share(state, 100.1) == 0.0
 
 
-def test_calls_leave_when_the_near_targets_are_slow(state):
+def test_calls_go_far_when_the_near_targets_are_slow(state):
     for name in near_names():
         state.note_load(SERVICE, name, build_pace(700), 100.0)
     assert near_share(state, 100.1) == 0.0
 
 
-def test_all_near_targets_take_part(state):
+def test_all_near_targets_are_chosen(state):
     chosen = {
         state.choose(SERVICE, 100.0, frozenset(), NEED).instance
         for _ in range(600)
--- a/tests/routing/test_overtaken.py
+++ b/tests/routing/test_overtaken.py
@@ -1,4 +1,4 @@
-"""A target that hangs while hedges answer in its place."""
+"""Detection of a frozen target while hedges answer its calls."""
 
 import random
 
--- a/tests/routing/test_properties.py
+++ b/tests/routing/test_properties.py
@@ -1,4 +1,4 @@
-"""Properties of the decisions under any order of events."""
+"""Properties of routing decisions under arbitrary event sequences."""
 
 from hypothesis import given
 from hypothesis import settings
@@ -35,7 +35,7 @@
 
 
 def apply(state, number: int, what, now: float, records: dict) -> None:
-    """Bring one event about."""
+    """Apply one event to the state."""
     record = records[number]
     name = record.instance
     if isinstance(what, Outcome):
@@ -150,7 +150,7 @@
     st.integers(0, 20),
     st.floats(0.0, 100.0),
 )
-def test_load_lies_between_own_calls_and_what_was_seen(
+def test_load_lies_between_own_calls_and_reported_calls(
     in_flight, queued, own, age
 ):
     estimate = Estimate()
--- a/tests/routing/test_state.py
+++ b/tests/routing/test_state.py
@@ -1,4 +1,4 @@
-"""What an entry decides, by cases."""
+"""Routing decisions of one entry, case by case."""
 
 import pytest
 
@@ -91,7 +91,7 @@
 
 
 @pytest.mark.parametrize('policy', POLICY_NAMES)
-def test_second_try_avoids_suspects_even_when_too_many_to_eject(policy):
+def test_second_try_avoids_suspects_even_if_too_many_to_eject(policy):
     state = build_state(policy=policy)
     for number in range(3):
         record = build_record(number, state=MemberState.SUSPECT)
@@ -118,7 +118,7 @@
         ),
     ],
 )
-def test_a_drain_is_heeded_before_gossip_brings_it(report):
+def test_a_drain_is_respected_before_gossip_reports_it(report):
     state = build_state()
     report(state)
     assert set(chosen(state, 1.1)) == ALL - {'t1'}
@@ -157,7 +157,7 @@
     assert 't1' in later
 
 
-def test_a_call_that_hangs_turns_new_calls_away():
+def test_a_hanging_call_diverts_new_calls():
     state = build_state(2, data_centres=['near', 'far'])
     for step in range(20):
         call(state, 1.0 + step * 0.1)
@@ -165,7 +165,7 @@
     assert set(chosen(state, 3.2)) == {'t1'}
 
 
-def test_a_long_upload_does_not_turn_look_ups_away():
+def test_a_long_upload_does_not_divert_look_ups():
     state = build_state(2)
     state.call_started(SERVICE, 't0', 0.0)
     for step in range(40):
@@ -175,7 +175,7 @@
     assert set(chosen(state, 5.02)) == {'t0', 't1'}
 
 
-def test_figures_count_for_nothing_after_their_deadline():
+def test_figures_are_ignored_after_their_deadline():
     state = build_state(2)
     state.note_load(SERVICE, 't0', build_figures(6, 10), 1.0)
     assert set(chosen(state, 1.0)) == {'t1'}
