--- a/cyclamenlift/calls/attempt.py
+++ b/cyclamenlift/calls/attempt.py
@@ -9,10 +9,10 @@
 # Bodies up to this size are sent in the same frame as the call: 4 ms on a link
 # of 32 Mbit/s. Larger ones wait one round trip for the gate's credit, so that
 # a gate that sends the call back has not received its body in vain.
-INLINE_BODY = 16 * 1024
+MAX_INLINE_BYTES = 16 * 1024
 # Flow-control window: bytes of an answer that may be sent without credit.
-WINDOW = 256 * 1024
-CHUNK = 16 * 1024
+WINDOW_BYTES = 256 * 1024
+CHUNK_BYTES = 16 * 1024
 
 
 @dataclasses.dataclass(slots=True)
@@ -42,7 +42,7 @@
 
     def send(self, start: CallStart, body: bytes) -> bool:
         """Send the call; False proves that nothing left this process."""
-        whole = len(body) <= INLINE_BODY
+        whole = len(body) <= MAX_INLINE_BYTES
         start.call_id = self.number
         start.body = body if whole else b''
         start.body_complete = whole
@@ -65,7 +65,7 @@
             return
         self.sending = True
         while self.window > 0 and self.offset < len(self.body):
-            size = min(CHUNK, self.window, len(self.body) - self.offset)
+            size = min(CHUNK_BYTES, self.window, len(self.body) - self.offset)
             part = self.body[self.offset : self.offset + size]
             self.offset += size
             self.window -= size
--- a/cyclamenlift/calls/budgets.py
+++ b/cyclamenlift/calls/budgets.py
@@ -2,15 +2,15 @@
 
 from collections.abc import Callable
 
-RETRY_RESERVE = 20.0
-RETRY_CAP = 100.0
+INITIAL_BALANCE = 20.0
+MAX_BALANCE = 100.0
 # Share of the maximum balance that early hedges must leave for those that
 # rescue a call from a frozen target. It is a share because the maximum falls
 # with the number of entries, down to little more than one retry.
-KEPT_SHARE = 0.1
+RESCUE_RESERVE_SHARE = 0.1
 # Every entry can accumulate at least one whole retry, however many entries
 # share the budget.
-LEAST_CAP = 1.2
+MIN_CAP = 1.2
 
 
 class RetryBudget:
@@ -30,16 +30,16 @@
 
     def __init__(self, share: float):
         self.share = share
-        self.balance = RETRY_RESERVE
+        self.balance = INITIAL_BALANCE
 
     def earn(self) -> None:
         """Credit one first try."""
-        self.balance = min(RETRY_CAP, self.balance + self.share)
+        self.balance = min(MAX_BALANCE, self.balance + self.share)
 
     @property
     def kept(self) -> float:
         """The balance that early hedges must leave."""
-        return KEPT_SHARE * RETRY_CAP
+        return RESCUE_RESERVE_SHARE * MAX_BALANCE
 
     def take(self, keep: float = 0.0) -> bool:
         """Spend one retry, leaving at least ``keep``; False if it cannot."""
@@ -84,12 +84,12 @@
 
     def cap(self) -> float:
         """Return the maximum balance."""
-        return max(LEAST_CAP, self.slack / self.members / 2.0)
+        return max(MIN_CAP, self.slack / self.members / 2.0)
 
     @property
     def kept(self) -> float:
         """The balance that early hedges must leave."""
-        return KEPT_SHARE * self.cap()
+        return RESCUE_RESERVE_SHARE * self.cap()
 
     def fill(self) -> None:
         now = self.now()
--- a/cyclamenlift/calls/intake.py
+++ b/cyclamenlift/calls/intake.py
@@ -20,9 +20,9 @@
 KEY_HEADER = 'idempotency-key'
 KEY_EXPIRES_HEADER = 'cyclamenlift-key-expires'
 CALL_ID_HEADER = 'cyclamenlift-call-id'
-MAX_KEY = 255
-MAX_CALL_ID = 128
-UPLOAD_BYTES = 64 * 1024
+MAX_KEY_LENGTH = 255
+MAX_CALL_ID_LENGTH = 128
+MIN_UPLOAD_BYTES = 64 * 1024
 
 
 @dataclasses.dataclass(slots=True)
@@ -103,7 +103,7 @@
             depth=0,
             key='',
             key_expires_unix_ms=0,
-            call_id=call_id[:MAX_CALL_ID],
+            call_id=call_id[:MAX_CALL_ID_LENGTH],
             max_tries=route.max_tries,
             objective_deadline=exchange.received_at + route.objective_seconds,
             route=route,
@@ -131,7 +131,7 @@
         return fail(ResultCode.BAD_TIMEOUT)
     idempotent = rule.is_idempotent(exchange.method, exchange.path)
     key = exchange.header(KEY_HEADER) or ''
-    if not idempotent and not 0 < len(key) <= MAX_KEY:
+    if not idempotent and not 0 < len(key) <= MAX_KEY_LENGTH:
         return fail(ResultCode.KEY_REQUIRED)
     expires = read_number(exchange, KEY_EXPIRES_HEADER, 0)
     if expires is None:
@@ -145,7 +145,7 @@
             depth=depth + 1,
             key='' if idempotent else key,
             key_expires_unix_ms=expires * MILLISECONDS,
-            call_id=call_id[:MAX_CALL_ID],
+            call_id=call_id[:MAX_CALL_ID_LENGTH],
             max_tries=rule.max_tries,
             objective_deadline=exchange.received_at + rule.objective_seconds,
         )
@@ -178,7 +178,7 @@
     deadline of their own.
     """
     length = exchange.body_length
-    upload = length is None or length > UPLOAD_BYTES
+    upload = length is None or length > MIN_UPLOAD_BYTES
     seconds = rule.upload_seconds if upload else rule.call_seconds
     if exchange.header(TIMEOUT_HEADER) is not None:
         asked = read_number(exchange, TIMEOUT_HEADER, 0)
--- a/cyclamenlift/calls/keyed.py
+++ b/cyclamenlift/calls/keyed.py
@@ -23,7 +23,7 @@
     from cyclamenlift.calls.life import Call
 
 # How long the end of a claim is resent to a ledger that does not confirm it.
-END_SECONDS = 30.0
+END_RETRY_SECONDS = 30.0
 # The longest time that a caller waits for confirmation that its key was
 # released.
 RELEASE_SECONDS = 0.5
@@ -145,7 +145,7 @@
             answer=answer,
             key_expires_unix_ms=self.call.request.key_expires_unix_ms,
         )
-        deadline = self.calls.now() + END_SECONDS
+        deadline = self.calls.now() + END_RETRY_SECONDS
         self.calls.claims.end(message, deadline, then or ignore)
 
 
--- a/cyclamenlift/calls/relay.py
+++ b/cyclamenlift/calls/relay.py
@@ -8,7 +8,7 @@
 
 from cyclamenlift.calls.answers import answer_headers
 from cyclamenlift.calls.attempt import Try
-from cyclamenlift.calls.attempt import WINDOW
+from cyclamenlift.calls.attempt import WINDOW_BYTES
 from cyclamenlift.core.codes import ResultCode
 from cyclamenlift.http.exchange import Exchange
 from cyclamenlift.wire.gen.protocol.ttypes import Credit
@@ -36,7 +36,7 @@
         """Forward data; credit is granted as the caller reads it."""
         self.exchange.send(data)
         self.owed += len(data)
-        if self.exchange.pending < WINDOW:
+        if self.exchange.pending < WINDOW_BYTES:
             self.give_credit()
 
     def on_drained(self) -> None:
--- a/cyclamenlift/calls/returning.py
+++ b/cyclamenlift/calls/returning.py
@@ -16,14 +16,14 @@
 # Number of a route's latest requests that are remembered: some seconds of
 # traffic at a few requests a second on each daemon, so that a change in a
 # route's callers is learned.
-REMEMBERED = 64
+MAX_REMEMBERED = 64
 # Share of the remembered requests that must state exactly the same timeout for
 # it to count as usual. Callers retry once at most on the sites that were
 # measured, so first tries are at least half. Routes whose timeouts vary have
 # no usual one.
-USUAL_SHARE = 0.4
+MIN_USUAL_SHARE = 0.4
 # Minimum number of requests before a usual timeout is inferred.
-LEAST_SEEN = 8
+MIN_SEEN = 8
 
 
 @dataclasses.dataclass(slots=True)
@@ -40,7 +40,7 @@
     def note(self, asked_ms: int) -> None:
         self.last.append(asked_ms)
         self.counts[asked_ms] += 1
-        if len(self.last) > REMEMBERED:
+        if len(self.last) > MAX_REMEMBERED:
             oldest = self.last.popleft()
             self.counts[oldest] -= 1
             if not self.counts[oldest]:
@@ -48,10 +48,10 @@
 
     def usual(self) -> int:
         """Return the usual timeout, 0 if there is none."""
-        if len(self.last) < LEAST_SEEN:
+        if len(self.last) < MIN_SEEN:
             return 0
         value, count = self.counts.most_common(1)[0]
-        return value if count >= USUAL_SHARE * len(self.last) else 0
+        return value if count >= MIN_USUAL_SHARE * len(self.last) else 0
 
 
 class UsualTimes:
--- a/cyclamenlift/calls/state.py
+++ b/cyclamenlift/calls/state.py
@@ -42,10 +42,12 @@
 
 # These refusals move a call to another target without adding load to an
 # overloaded service, so their retries are not charged to the budget.
-FREE_CODES = frozenset((ResultCode.DRAINING, ResultCode.TARGET_UNREACHABLE))
+UNCHARGED_CODES = frozenset(
+    (ResultCode.DRAINING, ResultCode.TARGET_UNREACHABLE)
+)
 # Refusals by a gate: the call did not reach its target. Only codes that the
 # gate itself proves are listed, not those of the target.
-GATE_CODES = FREE_CODES | {
+GATE_REFUSAL_CODES = UNCHARGED_CODES | {
     ResultCode.NO_TARGET,
     ResultCode.OVERLOADED,
     ResultCode.QUEUE_DEADLINE,
@@ -54,10 +56,10 @@
 }
 # Number of targets that may end under one call. The first may have ended
 # because of another call that it ran; that is unlikely for two.
-MOST_ENDED = 2
+MAX_ENDED_TARGETS = 2
 # Number of gates that one call may ask, regardless of its tries: enough to
 # find the one with free slots among a few dozen, at about a millisecond each.
-MOST_ASKED = 8
+MAX_GATES_ASKED = 8
 
 
 @dataclasses.dataclass(slots=True)
@@ -115,7 +117,7 @@
             return Step.ANSWER
         if ending.code == ResultCode.REQUEST_QUARANTINED:
             self.set_aside(ending.retry_after_ms)
-        if self.is_free(ending):
+        if self.is_free_refusal(ending):
             self.tries -= 1
         if ending.kind is not EndKind.TARGET_ERROR:
             self.note_code(ending)
@@ -158,24 +160,24 @@
     def may_retry(self, ending: Ending, now: float) -> bool:
         if ending.code == ResultCode.REQUEST_QUARANTINED:
             return False
-        if self.ended_targets >= MOST_ENDED:
+        if self.ended_targets >= MAX_ENDED_TARGETS:
             return False
         if self.tries >= self.max_tries or now >= self.deadline:
             return False
         if ending.kind is not EndKind.NOT_RUN and not self.idempotent:
             return False
-        if self.is_free(ending):
-            return self.asked < MOST_ASKED
-        if ending.kind is EndKind.NOT_RUN and ending.code in FREE_CODES:
+        if self.is_free_refusal(ending):
+            return self.asked < MAX_GATES_ASKED
+        if ending.kind is EndKind.NOT_RUN and ending.code in UNCHARGED_CODES:
             return True
         return self.budget.take()
 
-    def is_free(self, ending: Ending) -> bool:
+    def is_free_refusal(self, ending: Ending) -> bool:
         """Return whether a try ended without reaching a target."""
         return (
             self.gate_refusals_free
             and ending.kind is EndKind.NOT_RUN
-            and ending.code in GATE_CODES
+            and ending.code in GATE_REFUSAL_CODES
         )
 
     def final_code(self) -> ResultCode:
--- a/cyclamenlift/calls/tasks.py
+++ b/cyclamenlift/calls/tasks.py
@@ -20,7 +20,7 @@
 from cyclamenlift.calls.nested import Parent
 from cyclamenlift.calls.returning import UsualTimes
 from cyclamenlift.calls.shares import ShareTurns
-from cyclamenlift.calls.tries import SLOW_ASKED
+from cyclamenlift.calls.tries import MAX_PACE_CHECKS
 from cyclamenlift.core.clock import MICROSECONDS
 from cyclamenlift.core.clock import MILLISECONDS
 from cyclamenlift.core.codes import is_not_run
@@ -46,13 +46,13 @@
 from cyclamenlift.wire.gen.protocol.ttypes import Refused
 
 LOG = structlog.get_logger('calls')
-GOOD_CODES = (ResultCode.ANSWERED, ResultCode.ANSWERED_FROM_RECORD)
+ANSWERED_CODES = (ResultCode.ANSWERED, ResultCode.ANSWERED_FROM_RECORD)
 # Refusals because the current rules do not contain what was requested.
-UNNAMED_CODES = (ResultCode.NO_ROUTE, ResultCode.UNKNOWN_SERVICE)
+UNKNOWN_NAME_CODES = (ResultCode.NO_ROUTE, ResultCode.UNKNOWN_SERVICE)
 # Retry delay in milliseconds while newer rules are being distributed: a change
 # of 40 KB was active on the last of 65 daemons after 0.34 s, and on nine
 # tenths after 0.24 s (simulated links of 2 Mbit/s).
-BEHIND_MS = 250
+RULES_RETRY_AFTER_MS = 250
 # Headers handled by the entry; the gate passes what the target needs.
 OWN_HEADERS = frozenset(
     (
@@ -97,7 +97,7 @@
         self.retry_budgets: dict[str, RetryBudget | SharedRetryBudget] = {}
         self.make_budget: Callable[[], SharedRetryBudget] | None = None
         self.entries = 1
-        self.slow_asked = SLOW_ASKED
+        self.max_pace_checks = MAX_PACE_CHECKS
         self.rules: EventRules | None = None
         self.tries: dict[int, Call] = {}
         self.open_calls: set[Call] = set()
@@ -178,9 +178,11 @@
         A service or route that the current rules lack may be in the newer
         ones, and a caller would not retry after a 404.
         """
-        if problem.code not in UNNAMED_CODES or not self.is_behind():
+        if problem.code not in UNKNOWN_NAME_CODES or not self.is_behind():
             return problem
-        return Problem(ResultCode.RULES_BEHIND, retry_after_ms=BEHIND_MS)
+        return Problem(
+            ResultCode.RULES_BEHIND, retry_after_ms=RULES_RETRY_AFTER_MS
+        )
 
     def refuse(self, exchange: Exchange, problem: Problem) -> None:
         """Answer a request that did not become a call."""
@@ -222,10 +224,10 @@
         level only, because refusals come in large numbers.
         """
         routed = call.request.route is not None
-        quiet = code in GOOD_CODES or is_not_run(code)
+        quiet = code in ANSWERED_CODES or is_not_run(code)
         write = LOG.debug if quiet and not routed else LOG.info
         event = 'call_not_answered'
-        if code in GOOD_CODES:
+        if code in ANSWERED_CODES:
             event = 'call_answered'
         write(
             event,
@@ -244,7 +246,7 @@
             retry_after_ms=call.state.retry_after_ms,
             hedged=call.tries.hedged,
             budget=round(call.state.budget.balance, 1),
-            **({} if code in GOOD_CODES else self.explain(call, code)),
+            **({} if code in ANSWERED_CODES else self.explain(call, code)),
         )
 
     # -- queries ----------------------------------------------------------
--- a/cyclamenlift/calls/tries.py
+++ b/cyclamenlift/calls/tries.py
@@ -3,15 +3,15 @@
 import typing
 
 from cyclamenlift.calls.attempt import Try
-from cyclamenlift.calls.state import MOST_ASKED
+from cyclamenlift.calls.state import MAX_GATES_ASKED
 from cyclamenlift.core.clock import machine_seconds
 from cyclamenlift.core.clock import MICROSECONDS
 from cyclamenlift.core.clock import MILLISECONDS
 from cyclamenlift.core.clock import time_left
 from cyclamenlift.quarantine.state import Standing
-from cyclamenlift.routing.hedging import last_in_time
+from cyclamenlift.routing.hedging import latest_hedge_time
+from cyclamenlift.routing.messages import CallProfile
 from cyclamenlift.routing.messages import Choice
-from cyclamenlift.routing.messages import Need
 from cyclamenlift.routing.messages import Outcome
 from cyclamenlift.wire.gen.protocol.ttypes import CallStart
 from cyclamenlift.wire.gen.protocol.ttypes import Cancel
@@ -25,12 +25,12 @@
 GATE_MARGIN_SHARE = 0.05
 # A hedge is sent after this share of a call's time at the latest, even without
 # enough answers for a quantile, because the first target may be frozen.
-LATEST_HEDGE_SHARE = 0.25
-LEAST_WAIT = 0.005
+RESCUE_SHARE = 0.25
+MIN_HEDGE_WAIT = 0.005
 # Minimum pace, in percent of the usual, for a gate to send a call back because
 # its target is slower than expected and others can be tried.
 SLOW_PACE = 200
-SLOW_ASKED = MOST_ASKED - 1
+MAX_PACE_CHECKS = MAX_GATES_ASKED - 1
 
 
 class Tries:
@@ -48,7 +48,7 @@
         self.tried: set[str] = set()
         self.hedged = False
         self.hedge_timer = None
-        self.late_hedge_at = 0.0
+        self.rescue_at = 0.0
 
     # -- commands ---------------------------------------------------------
 
@@ -77,7 +77,7 @@
         link = self.calls.link_to(choice)
         number = self.calls.next_number()
         message = self.start_message(now)
-        message.most_pace_percent = self.most_pace(choice)
+        message.most_pace_percent = self.max_pace(choice)
         attempt = Try(number, choice.instance, link, now, hedge)
         self.tried.add(choice.instance)
         self.open[number] = attempt
@@ -87,7 +87,7 @@
         if not attempt.send(message, call.whole_body):
             call.end_unsent(attempt)
         elif not call.answered:
-            self.plan_hedge(now)
+            self.schedule_hedge(now)
 
     def forget(self, attempt: Try) -> None:
         self.open.pop(attempt.number, None)
@@ -148,19 +148,19 @@
         if standing is Standing.SUSPECT:
             fingerprint = self.call.fingerprint
             return routing.home(
-                self.service, now, excluded, self.need(), fingerprint
+                self.service, now, excluded, self.profile(), fingerprint
             )
-        return routing.choose(self.service, now, excluded, self.need())
+        return routing.choose(self.service, now, excluded, self.profile())
 
     def none_left(self) -> bool:
         """Return whether none of the open tries was sent at all."""
         return all(attempt.never_left() for attempt in self.open.values())
 
-    def need(self) -> Need:
+    def profile(self) -> CallProfile:
         """Return the properties of the call for the choice of a target."""
         request = self.call.request
         route = request.route
-        return self.calls.routing.need(
+        return self.calls.routing.profile(
             request.route_name,
             len(self.call.whole_body),
             route.objective_seconds if route else 0.0,
@@ -194,7 +194,7 @@
             sent_at_us=int(machine_seconds() * MICROSECONDS),
         )
 
-    def most_pace(self, choice: Choice) -> int:
+    def max_pace(self, choice: Choice) -> int:
         """Return the pace above which the gate should send the call back.
 
         Gates have current figures, while those of the entry may be old. After
@@ -203,7 +203,7 @@
         state = self.call.state
         if (
             not state.gate_refusals_free
-            or state.asked >= self.calls.slow_asked
+            or state.asked >= self.calls.max_pace_checks
         ):
             return 0
         return max(SLOW_PACE, choice.pace_percent)
@@ -213,21 +213,21 @@
         left = time_left(self.call.request.objective_deadline, now)
         return int(left * MICROSECONDS)
 
-    def plan_hedge(self, now: float) -> None:
+    def schedule_hedge(self, now: float) -> None:
         request = self.call.request
         if not (request.idempotent and request.rule.hedge):
             return
         if self.hedge_timer is not None:
             return
         left = time_left(request.deadline, now)
-        self.late_hedge_at = now + left * LATEST_HEDGE_SHARE
+        self.rescue_at = now + left * RESCUE_SHARE
         wait = self.calls.routing.hedge_after(self.service, now)
-        due = self.late_hedge_at if wait is None else now + wait
+        due = self.rescue_at if wait is None else now + wait
         if request.route is not None:
-            work = self.need().work
-            last = last_in_time(request.objective_deadline, work)
+            work = self.profile().work
+            last = latest_hedge_time(request.objective_deadline, work)
             due = min(due, last) if last > now else due
-        due = min(due, self.late_hedge_at)
+        due = min(due, self.rescue_at)
         self.hedge_timer = self.calls.scheduler.at(due, self.on_hedge)
 
     def on_hedge(self) -> None:
@@ -239,13 +239,13 @@
         if self.call is None or self.call.answered:
             return
         now = self.calls.now()
-        rescue = now >= self.late_hedge_at
+        rescue = now >= self.rescue_at
         keep = 0.0 if rescue else self.call.state.budget.kept
         if rescue:
             left = time_left(self.call.request.deadline, now)
-            self.late_hedge_at = now + max(LEAST_WAIT, left / 3)
+            self.rescue_at = now + max(MIN_HEDGE_WAIT, left / 3)
         scheduler = self.calls.scheduler
-        self.hedge_timer = scheduler.at(self.late_hedge_at, self.on_hedge)
+        self.hedge_timer = scheduler.at(self.rescue_at, self.on_hedge)
         if self.call.state.may_hedge(keep, rescue):
             self.hedged = True
             self.start(hedge=True, rescue=rescue)
--- a/cyclamenlift/gate/learning.py
+++ b/cyclamenlift/gate/learning.py
@@ -16,7 +16,7 @@
 from cyclamenlift.routing.finish import PERCENT
 from cyclamenlift.routing.finish import Start
 from cyclamenlift.routing.work import at_usual_pace
-from cyclamenlift.routing.work import MOST_PACE
+from cyclamenlift.routing.work import MAX_LEARNING_PACE
 from cyclamenlift.routing.work import WorkTable
 
 NEVER = float('-inf')
@@ -85,13 +85,13 @@
 
     def spell_left(self, now: float) -> float:
         """Return how much longer a slow spell should last, in seconds."""
-        if self.percent(now) <= MOST_PACE:
+        if self.percent(now) <= MAX_LEARNING_PACE:
             return 0.0
         return self.spells.left(now)
 
     def is_usual(self, now: float) -> bool:
         """Tell whether the target is in no slow spell."""
-        return self.percent(now) <= MOST_PACE
+        return self.percent(now) <= MAX_LEARNING_PACE
 
     def was_kept(self, seconds: float, now: float) -> bool:
         """Tell whether the pace has been the same for so long."""
@@ -159,7 +159,7 @@
         """
         if not begun.pace_percent:
             return self.pace.load is None or not self.pace.load.pace_percent
-        return begun.pace_percent <= MOST_PACE
+        return begun.pace_percent <= MAX_LEARNING_PACE
 
     def note_changed(
         self, route: str, own: float, begun: Begun, now: float, nested: float
@@ -223,6 +223,6 @@
     """
     factor = max(1.0, pace_percent / PERCENT)
     done_in_spell = spell_left / factor
-    if pace_percent <= MOST_PACE or work <= done_in_spell:
+    if pace_percent <= MAX_LEARNING_PACE or work <= done_in_spell:
         return work * factor
     return spell_left + work - done_in_spell
--- a/cyclamenlift/gate/news.py
+++ b/cyclamenlift/gate/news.py
@@ -3,14 +3,14 @@
 from collections.abc import Callable
 import dataclasses
 
-from cyclamenlift.routing.finish import PACE_FRESH
+from cyclamenlift.routing.finish import PACE_VALID_SECONDS
 from cyclamenlift.wire.gen.protocol.ttypes import LoadFigures
 from cyclamenlift.wire.gen.protocol.ttypes import LoadNews
 
 # Entries that called within this time, in seconds, are told of a change of
 # pace. A little longer than they trust an old figure, so that no change is
 # missed while one is trusted.
-NEWS_SECONDS = PACE_FRESH + 0.5
+NEWS_SECONDS = PACE_VALID_SECONDS + 0.5
 # A pace is told when it has changed by more than this factor.
 PACE_STEP = 1.3
 
--- a/cyclamenlift/quarantine/border.py
+++ b/cyclamenlift/quarantine/border.py
@@ -7,7 +7,7 @@
 from cyclamenlift.quarantine.fingerprints import FINGERPRINT_BYTES
 
 HEX_DIGITS = 2 * FINGERPRINT_BYTES
-MOST_LIFTED = 256
+MAX_LIFTED = 256
 Fingerprint = Annotated[
     str, pydantic.Field(pattern=f'^[0-9a-f]{{{HEX_DIGITS}}}$')
 ]
@@ -19,5 +19,5 @@
     model_config = pydantic.ConfigDict(extra='forbid', frozen=True)
 
     fingerprints: Annotated[
-        list[Fingerprint], pydantic.Field(min_length=1, max_length=MOST_LIFTED)
+        list[Fingerprint], pydantic.Field(min_length=1, max_length=MAX_LIFTED)
     ]
--- a/cyclamenlift/quarantine/state.py
+++ b/cyclamenlift/quarantine/state.py
@@ -19,11 +19,11 @@
 # Ends within this time, in seconds, count as one: targets that lose power or
 # are killed together share a cause. Reports of simultaneous ends arrive over
 # several paths, some tens of milliseconds apart.
-TOGETHER = 0.1
+SAME_CAUSE_SECONDS = 0.1
 # The same limit if the second target began the request only after the first
 # target had ended, which rules out coincidence. It allows for the inaccuracy
 # of times in reports.
-TOGETHER_BEGUN_LATER = 0.02
+LATER_START_SECONDS = 0.02
 # How long a request is a suspect after a single end, in seconds. With about
 # twenty other requests running at each end, most suspects are harmless.
 SUSPECT_SECONDS = 60.0
@@ -31,16 +31,16 @@
 # one trial is allowed, and each further end extends the next quarantine
 # several times over.
 QUARANTINE_SECONDS = {2: 30.0, 3: 120.0, 4: 600.0}
-LONGEST_QUARANTINE = 3600.0
-FEWEST_ENDS = 2
+MAX_QUARANTINE_SECONDS = 3600.0
+MIN_ENDS = 2
 # How long an end is remembered, in seconds: longer than any quarantine.
-REPORT_SECONDS = 2 * LONGEST_QUARANTINE
-MOST_REPORTS = 512
+REPORT_SECONDS = 2 * MAX_QUARANTINE_SECONDS
+MAX_REPORTS = 512
 # How long an answer clears a request, in seconds, and how many answers are
 # remembered: about twenty seconds' worth at one daemon.
 ANSWER_SECONDS = 30.0
-MOST_ANSWERS = 1024
-KEY_BYTES = 8
+MAX_ANSWERS = 1024
+REPORT_KEY_BYTES = 8
 
 
 class Standing(enum.Enum):
@@ -81,7 +81,7 @@
     def key(self) -> int:
         """A short digest of the report's id, for comparisons."""
         digest = hashlib.blake2b(
-            self.report_id.encode(), digest_size=KEY_BYTES
+            self.report_id.encode(), digest_size=REPORT_KEY_BYTES
         )
         return int.from_bytes(digest.digest(), 'big') >> 1
 
@@ -147,14 +147,14 @@
         subject = Subject(service, fingerprint)
         counted = self.counted(subject)
         number = self.weight(subject, counted)
-        if number < FEWEST_ENDS and any(
+        if number < MIN_ENDS and any(
             self.is_proven(Subject(other, fingerprint))
             for other in services
             if other != service
         ):
             # One end is enough here if another service has proven the request
             # harmful.
-            number = number + FEWEST_ENDS if counted else 1
+            number = number + MIN_ENDS if counted else 1
         if not number:
             return CLEAR
         return sentence(number, counted, now)
@@ -162,7 +162,7 @@
     def weight(self, subject: Subject, counted: list[End]) -> int:
         """Return how many ends count against a request at one service."""
         number = count_separate(counted)
-        if number != FEWEST_ENDS:
+        if number != MIN_ENDS:
             return number
         far_apart = counted[-1].at - counted[0].at > SUSPECT_SECONDS
         if far_apart or self.has_company(subject, counted):
@@ -172,7 +172,7 @@
         return number
 
     def is_proven(self, subject: Subject) -> bool:
-        return self.weight(subject, self.counted(subject)) >= FEWEST_ENDS
+        return self.weight(subject, self.counted(subject)) >= MIN_ENDS
 
     def counted(self, subject: Subject) -> list[End]:
         """Return the ends that count against a request, oldest first."""
@@ -226,7 +226,7 @@
             self.lift(report)
         else:
             self.accuse(report)
-        while len(self.reports) > MOST_REPORTS:
+        while len(self.reports) > MAX_REPORTS:
             self.drop(next(iter(self.reports)))
         if report.lifted:
             return []
@@ -269,7 +269,7 @@
             return False
         number = count_separate(self.counted(subject))
         self.clear(subject, now)
-        return number >= FEWEST_ENDS
+        return number >= MIN_ENDS
 
     def note_answer(
         self, service: str, fingerprint: bytes, now: float
@@ -282,7 +282,7 @@
         answered = self.answered_at
         answered[subject] = now
         answered.move_to_end(subject)
-        if len(answered) > MOST_ANSWERS:
+        if len(answered) > MAX_ANSWERS:
             answered.popitem(last=False)
         if subject not in self.against:
             return False
@@ -324,10 +324,10 @@
 def sentence(number: int, counted: list[End], now: float) -> Judgement:
     """Return the status after ``number`` ends; ``counted`` may be empty."""
     last = counted[-1].at if counted else now
-    if number < FEWEST_ENDS:
+    if number < MIN_ENDS:
         young = now - last < SUSPECT_SECONDS
         return Judgement(Standing.SUSPECT) if young else CLEAR
-    seconds = QUARANTINE_SECONDS.get(number, LONGEST_QUARANTINE)
+    seconds = QUARANTINE_SECONDS.get(number, MAX_QUARANTINE_SECONDS)
     if now >= last + seconds:
         return Judgement(Standing.SUSPECT, is_trial=True)
     names = tuple(end.report.report_id for end in counted)
@@ -356,9 +356,9 @@
 def is_separate(end: End, before: float) -> bool:
     """Return whether an end had another cause than the one before."""
     apart = end.at - before
-    if end.begun_at > before - TOGETHER_BEGUN_LATER:
-        return apart > TOGETHER_BEGUN_LATER
-    return apart > TOGETHER
+    if end.begun_at > before - LATER_START_SECONDS:
+        return apart > LATER_START_SECONDS
+    return apart > SAME_CAUSE_SECONDS
 
 
 def split(items: Iterable, size: int) -> list[tuple]:
--- a/cyclamenlift/quarantine/tasks.py
+++ b/cyclamenlift/quarantine/tasks.py
@@ -20,7 +20,7 @@
 from cyclamenlift.quarantine.state import Standing
 from cyclamenlift.quarantine.state import Subject
 from cyclamenlift.quarantine.wire import from_wire
-from cyclamenlift.quarantine.wire import MOST_FINGERPRINTS
+from cyclamenlift.quarantine.wire import MAX_FINGERPRINTS
 from cyclamenlift.quarantine.wire import to_wire
 from cyclamenlift.wire.gen.protocol.ttypes import EndReport
 from cyclamenlift.wire.gen.protocol.ttypes import EndsAnswer
@@ -40,20 +40,20 @@
 FORWARD_FANOUT = 3
 # Minimum and maximum delay between requests for missing reports, in seconds.
 # The delay doubles after each answer without new reports.
-LEAST_ASK_SECONDS = 0.25
-MOST_ASK_SECONDS = 30.0
+MIN_ASK_SECONDS = 0.25
+MAX_ASK_SECONDS = 30.0
 # Number of reports in one answer: about 20 KB, 0.1 s on a link of 2 Mbit/s.
-MOST_GIVEN = 64
+MAX_REPORTS_SENT = 64
 # How long a starting daemon waits for the reports of others, in seconds.
 SYNC_SECONDS = 1.0
 # How long after its start an instance does not trust daemons that have no
 # reports either, in seconds: they may have started at the same time.
-ELDERS_SECONDS = 0.25
+DISTRUST_SECONDS = 0.25
 FORGET_SECONDS = 10.0
 # Many instances learn at the same time that a request was answered: each waits
 # a random delay up to this, in seconds, in case another one reports it first.
-LIFT_SECONDS = 0.05
-MOST_INCARNATION = 60
+MAX_LIFT_DELAY = 0.05
+MAX_INCARNATION_LENGTH = 60
 
 
 class Quarantine:
@@ -68,18 +68,18 @@
         self.network: 'PeerNetwork | None' = None
         self.membership: 'Membership | None' = None
         self.ask_again_at = 0.0
-        self.ask_seconds = LEAST_ASK_SECONDS
+        self.ask_seconds = MIN_ASK_SECONDS
         self.synced = False
         self.others_know_more = False
         self.sync_deadline = 0.0
-        self.elders_deadline = 0.0
+        self.distrust_deadline = 0.0
 
     def join(self, network: 'PeerNetwork', membership: 'Membership') -> None:
         """Start sharing reports with the other members."""
         self.network = network
         self.membership = membership
         self.sync_deadline = self.now() + SYNC_SECONDS
-        self.elders_deadline = self.now() + ELDERS_SECONDS
+        self.distrust_deadline = self.now() + DISTRUST_SECONDS
         network.subscribe(EndsRequest, self.on_request)
         network.subscribe(EndsAnswer, self.on_answer)
         membership.subscribe_ends(self.on_told, self.on_digest)
@@ -127,10 +127,10 @@
                 Subject(service, fingerprint), now
             )
         ]
-        name = f'{self.instance}/{incarnation[:MOST_INCARNATION]}'
+        name = f'{self.instance}/{incarnation[:MAX_INCARNATION_LENGTH]}'
         name = f'{name}/{self.clock.unix_ms()}'
         reports = []
-        for number, part in enumerate(split(accused, MOST_FINGERPRINTS)):
+        for number, part in enumerate(split(accused, MAX_FINGERPRINTS)):
             fingerprints, begun_at = zip(*part, strict=True)
             report_id = f'{name}/{number}'
             reports.append(
@@ -149,7 +149,7 @@
         number = self.rng.getrandbits(48)
         name = f'{self.instance}/lifted/{number:x}'
         for part_number, part in enumerate(
-            split(fingerprints, MOST_FINGERPRINTS)
+            split(fingerprints, MAX_FINGERPRINTS)
         ):
             report_id = f'{name}/{part_number}'
             report = Report(report_id, service, part, now, lifted=True)
@@ -206,7 +206,7 @@
             if left:
                 self.lift(left, service)
 
-        self.scheduler.after(self.rng.uniform(0.0, LIFT_SECONDS), tell)
+        self.scheduler.after(self.rng.uniform(0.0, MAX_LIFT_DELAY), tell)
 
     def was_lifted(
         self, service: str, fingerprint: bytes, since: float
@@ -215,7 +215,7 @@
         return any(
             report.lifted
             and report.service in ('', service)
-            and report.at >= since - LIFT_SECONDS
+            and report.at >= since - MAX_LIFT_DELAY
             and fingerprint in report.fingerprints
             for report in reversed(self.evidence.reports.values())
         )
@@ -251,7 +251,7 @@
             LOG.warning('reports_peer_unreadable', address=peer)
             return
         self.ask_again_at = now + self.ask_seconds
-        self.ask_seconds = min(MOST_ASK_SECONDS, 2 * self.ask_seconds)
+        self.ask_seconds = min(MAX_ASK_SECONDS, 2 * self.ask_seconds)
         self.network.send(address, EndsRequest(self.evidence.keys()))
 
     def note_same(self, seen: 'DigestSeen') -> None:
@@ -260,8 +260,8 @@
         Daemons that start together have no reports at first; control instances
         were running before.
         """
-        elders_heard = self.now() >= self.elders_deadline
-        if seen.digest or seen.from_control or elders_heard:
+        peers_trusted = self.now() >= self.distrust_deadline
+        if seen.digest or seen.from_control or peers_trusted:
             self.synced = True
 
     def on_request(self, link: 'Link', request: EndsRequest) -> None:
@@ -269,13 +269,13 @@
         unknown = self.evidence.unknown_to(request.known or ())
         unknown.sort(key=lambda report: report.at, reverse=True)
         now = self.now()
-        given = [to_wire(report, now) for report in unknown[:MOST_GIVEN]]
+        given = [to_wire(report, now) for report in unknown[:MAX_REPORTS_SENT]]
         link.send(EndsAnswer(given))
 
     def on_answer(self, _link: 'Link', answer: EndsAnswer) -> None:
         """Store a peer's reports, which other members have as well."""
         news = [self.on_told(told, 0) for told in answer.reports or ()]
         if any(news):
-            self.ask_seconds = LEAST_ASK_SECONDS
+            self.ask_seconds = MIN_ASK_SECONDS
             self.ask_again_at = 0.0
         self.synced = True
--- a/cyclamenlift/quarantine/wire.py
+++ b/cyclamenlift/quarantine/wire.py
@@ -10,10 +10,10 @@
 
 # Maximum fingerprints in one report, so that it fits in a datagram with the
 # sender's names. A target that ran more is reported in parts.
-MOST_FINGERPRINTS = 48
-MOST_TEXT = 160
+MAX_FINGERPRINTS = 48
+MAX_TEXT_LENGTH = 160
 # Maximum age and run time that is sent; both fit in 32 bits.
-MOST_AGE_MS = 24 * 3600 * MILLISECONDS
+MAX_AGE_MS = 24 * 3600 * MILLISECONDS
 
 
 def to_wire(report: Report, now: float) -> EndReport:
@@ -44,20 +44,20 @@
 
 
 def milliseconds(seconds: float) -> int:
-    return min(MOST_AGE_MS, max(0, int(seconds * MILLISECONDS)))
+    return min(MAX_AGE_MS, max(0, int(seconds * MILLISECONDS)))
 
 
 def is_sound(told: EndReport) -> bool:
     """Return whether a report from the network is valid."""
     return (
         isinstance(told.report_id, str)
-        and 0 < len(told.report_id) <= MOST_TEXT
+        and 0 < len(told.report_id) <= MAX_TEXT_LENGTH
         and isinstance(told.service_name, str)
-        and len(told.service_name) <= MOST_TEXT
+        and len(told.service_name) <= MAX_TEXT_LENGTH
         and isinstance(told.age_ms, int)
-        and 0 <= told.age_ms <= MOST_AGE_MS
+        and 0 <= told.age_ms <= MAX_AGE_MS
         and isinstance(told.fingerprints, list)
-        and len(told.fingerprints) <= MOST_FINGERPRINTS
+        and len(told.fingerprints) <= MAX_FINGERPRINTS
         and all(is_fingerprint(f) for f in told.fingerprints)
         and (bool(told.lifted) or fits_times(told))
     )
--- a/cyclamenlift/routing/__init__.py
+++ b/cyclamenlift/routing/__init__.py
@@ -4,8 +4,8 @@
 from cyclamenlift.routing.messages import Outcome
 from cyclamenlift.routing.messages import ProbeOrder
 from cyclamenlift.routing.policies import POLICIES
+from cyclamenlift.routing.probes import probe_rate_per_member
 from cyclamenlift.routing.probes import ProbeWindow
-from cyclamenlift.routing.probes import share_of
 from cyclamenlift.routing.state import RoutingState
 
 __all__ = [
@@ -15,5 +15,5 @@
     'ProbeOrder',
     'ProbeWindow',
     'RoutingState',
-    'share_of',
+    'probe_rate_per_member',
 ]
--- a/cyclamenlift/routing/ejection.py
+++ b/cyclamenlift/routing/ejection.py
@@ -5,10 +5,10 @@
 
 T = TypeVar('T')
 
-BASE_SECONDS = 2.0
-MAX_SECONDS = 30.0
-MAX_STREAK = 4
-BAD_LEVEL = 0.6
+BASE_EJECTION_SECONDS = 2.0
+MAX_EJECTION_SECONDS = 30.0
+MAX_DOUBLINGS = 4
+EJECTION_ERROR_LEVEL = 0.6
 
 
 def ejection_limit(total: int, share: float) -> int:
@@ -27,16 +27,18 @@
     return min(total - 1, max(1, int(total * share)))
 
 
-def eject(usable: Sequence[T], bad: Sequence[T], share: float) -> list[T]:
+def without_ejected(
+    usable: Sequence[T], bad: Sequence[T], share: float
+) -> list[T]:
     """Return the targets left after ejection, or all if too many look bad.
 
     When many targets look bad at once, the cause is more likely something they
     share (the network, an overload) than each target, and ejecting them would
     only move more load to the others.
 
-    >>> eject(['a', 'b', 'c', 'd'], ['b'], 0.3)
+    >>> without_ejected(['a', 'b', 'c', 'd'], ['b'], 0.3)
     ['a', 'c', 'd']
-    >>> eject(['a', 'b', 'c', 'd'], ['b', 'c'], 0.3)
+    >>> without_ejected(['a', 'b', 'c', 'd'], ['b', 'c'], 0.3)
     ['a', 'b', 'c', 'd']
     """
     if not bad or len(bad) > ejection_limit(len(usable), share):
@@ -44,11 +46,11 @@
     return [item for item in usable if item not in bad]
 
 
-def eject_until(streak: int, now: float) -> float:
+def ejection_deadline(streak: int, now: float) -> float:
     """Return when an ejection ends, given the number of earlier ones.
 
-    >>> [eject_until(streak, 0.0) for streak in (0, 1, 9)]
+    >>> [ejection_deadline(streak, 0.0) for streak in (0, 1, 9)]
     [2.0, 4.0, 30.0]
     """
-    seconds = BASE_SECONDS * 2 ** min(streak, MAX_STREAK)
-    return now + min(seconds, MAX_SECONDS)
+    seconds = BASE_EJECTION_SECONDS * 2 ** min(streak, MAX_DOUBLINGS)
+    return now + min(seconds, MAX_EJECTION_SECONDS)
--- a/cyclamenlift/routing/estimates.py
+++ b/cyclamenlift/routing/estimates.py
@@ -11,17 +11,17 @@
 from cyclamenlift.routing.messages import Outcome
 from cyclamenlift.wire.gen.protocol.ttypes import LoadFigures
 
-FRESH_FACTOR = 1.0
-FRESH_MIN = 0.005
-FRESH_MAX = 0.25
+LOAD_DECAY_FACTOR = 1.0
+LOAD_DECAY_MIN = 0.005
+LOAD_DECAY_MAX = 0.25
 LOAD_SECONDS = 5.0
-MEAN_WEIGHT = 0.03
+OTHERS_WEIGHT = 0.03
 LATENCY_SECONDS = 60.0
 LATENCY_HALF_LIFE = 10.0
 LATENCY_WEIGHT = 0.25
 CLIP_FACTOR = 5.0
-LONG_FACTOR = 10.0
-TIME_ERROR = 1e-6
+LONG_CALL_FACTOR = 10.0
+TIME_TOLERANCE = 1e-6
 ERROR_HALF_LIFE = 2.0
 ERROR_WEIGHT = {
     Outcome.TARGET_ERROR: 0.35,
@@ -29,7 +29,7 @@
     Outcome.LOST: 0.8,
     Outcome.OVERTAKEN: 0.05,
 }
-ERROR_FORGIVEN = 0.7
+ERROR_DECAY_ON_SUCCESS = 0.7
 REFUSED_SECONDS = 0.05
 PERMILLE = 1000.0
 
@@ -89,7 +89,9 @@
         if self.in_flight == 0:
             return
         self.in_flight -= 1
-        index = bisect.bisect_right(self.starts, now - seconds + TIME_ERROR)
+        index = bisect.bisect_right(
+            self.starts, now - seconds + TIME_TOLERANCE
+        )
         del self.starts[max(0, index - 1)]
 
     def load(self, typical: float, now: float) -> float:
@@ -101,7 +103,9 @@
         """
         if now >= self.load_deadline:
             return self.in_flight
-        fresh = min(FRESH_MAX, max(FRESH_MIN, FRESH_FACTOR * typical))
+        fresh = min(
+            LOAD_DECAY_MAX, max(LOAD_DECAY_MIN, LOAD_DECAY_FACTOR * typical)
+        )
         weight = max(0.0, 1.0 - (now - self.load_at) / fresh)
         others = self.others_mean + weight * (self.others - self.others_mean)
         return self.in_flight + others
@@ -114,7 +118,7 @@
             self.others_mean = self.others
         else:
             change = self.others - self.others_mean
-            self.others_mean += MEAN_WEIGHT * change
+            self.others_mean += OTHERS_WEIGHT * change
         self.load_at = now
         self.load_deadline = now + LOAD_SECONDS
         self.slots = figures.slots or 0
@@ -126,7 +130,7 @@
         self.gate_latency = (figures.latency_us or 0) / MICROSECONDS
         if figures.error_permille:
             level = min(1.0, figures.error_permille / PERMILLE)
-            self.raise_errors(level, now)
+            self.raise_error_level(level, now)
 
     def lag_now(self, now: float) -> float:
         """Return the expected delay of a call sent now on its way to the gate.
@@ -179,7 +183,7 @@
         kept = 0.5 ** (age / LATENCY_HALF_LIFE)
         return typical + kept * (latency - typical)
 
-    def overdue_age(self, typical: float, now: float) -> float:
+    def in_flight_age(self, typical: float, now: float) -> float:
         """Return the mean age of the entry's calls in flight, in seconds.
 
         A call that takes many times the typical latency while later ones were
@@ -188,7 +192,7 @@
         """
         if not self.starts:
             return 0.0
-        long_ago = now - LONG_FACTOR * typical
+        long_ago = now - LONG_CALL_FACTOR * typical
         total = 0.0
         count = 0
         for start in self.starts:
@@ -205,7 +209,7 @@
         age = max(0.0, now - self.error_at)
         return self.error_level * 0.5 ** (age / ERROR_HALF_LIFE)
 
-    def raise_errors(self, level: float, now: float) -> None:
+    def raise_error_level(self, level: float, now: float) -> None:
         """Raise the error level to at least ``level``."""
         self.error_level = max(level, self.errors(now))
         self.error_at = now
@@ -218,7 +222,7 @@
 
     def note_success(self, now: float) -> None:
         if self.error_level:
-            self.error_level = self.errors(now) * ERROR_FORGIVEN
+            self.error_level = self.errors(now) * ERROR_DECAY_ON_SUCCESS
             self.error_at = now
             if self.error_level < 0.01:
                 self.error_level = 0.0
--- a/cyclamenlift/routing/finish.py
+++ b/cyclamenlift/routing/finish.py
@@ -21,25 +21,25 @@
 # report them: half of a spell, since reports arrive at any point of it, plus
 # an allowance for another spell that follows (33 spells were logged: 0.5 s
 # most often, 0.63 s on average).
-SPELL_LEFT = 0.4
+DEFAULT_SPELL_LEFT = 0.4
 # A reported pace older than this, in seconds, is ignored. Until then it holds,
 # because gates report each change to the entries that called them recently.
-PACE_FRESH = 3.0
+PACE_VALID_SECONDS = 3.0
 # Factor on the expected duration where the pace is unknown. Little is lost by
 # asking such a gate, as it sends the call back at once if its target is slow.
 # The factor prefers targets with a known pace if all else is equal.
-UNKNOWN_FACTOR = 1.05
+UNKNOWN_PACE_FACTOR = 1.05
 # Extra duration of a call at a full target, as a share of its work: most
 # targets slow down slightly when their slots are nearly taken.
-CROWDING = 0.3
+CONTENTION = 0.3
 # Cost of a kilobyte sent to another data centre, in seconds. Traffic between
 # data centres is priced so that an upload of 60 KB there costs a third of its
 # value, and on a link of 4 Mbit/s a kilobyte takes 2 ms.
-FAR_KILOBYTE = 0.004
+FAR_KILOBYTE_COST = 0.004
 # Cost of any call to another data centre, as a share of its work, to save
 # traffic between data centres where a near target is as good. Callers allow
 # about twice the work as slack.
-FAR_SHARE = 0.1
+FAR_WORK_SHARE = 0.1
 # Calls up to this size have no distance cost per kilobyte: headers alone are
 # as large.
 FREE_KILOBYTES = 1.0
@@ -92,22 +92,22 @@
     >>> round(expected_work(0.02, 700, 0.3, 0.0), 3)
     0.14
     """
-    if pace_percent <= 0 or age >= PACE_FRESH:
-        return work * UNKNOWN_FACTOR
-    left = max(0.0, (spell_left or SPELL_LEFT) - age)
+    if pace_percent <= 0 or age >= PACE_VALID_SECONDS:
+        return work * UNKNOWN_PACE_FACTOR
+    left = max(0.0, (spell_left or DEFAULT_SPELL_LEFT) - age)
     return best_start(work, pace_percent, left).seconds
 
 
-def queueing(load: float, slots: float, work: float) -> float:
+def queueing_delay(load: float, slots: float, work: float) -> float:
     """Return the wait behind ``load`` calls plus the cost of contention.
 
-    >>> queueing(0, 10, 0.1)
+    >>> queueing_delay(0, 10, 0.1)
     0.0
-    >>> queueing(10, 10, 0.1) > queueing(5, 10, 0.1)
+    >>> queueing_delay(10, 10, 0.1) > queueing_delay(5, 10, 0.1)
     True
     """
     share = min(1.0, load / slots)
-    crowd = CROWDING * share * share * work
+    crowd = CONTENTION * share * share * work
     waiting = max(0.0, load + 1.0 - slots)
     return crowd + waiting * work / slots
 
@@ -116,7 +116,7 @@
     kilobytes: float,
     near: bool,
     work: float = 0.0,
-    far_kilobyte: float = FAR_KILOBYTE,
+    far_kilobyte_cost: float = FAR_KILOBYTE_COST,
 ) -> float:
     """Return the cost of sending a call to a target's place, in seconds.
 
@@ -125,7 +125,7 @@
     >>> distance_cost(1.0, False, 0.5)
     0.05
     """
-    if near or far_kilobyte == 0.0:
+    if near or far_kilobyte_cost == 0.0:
         return 0.0
-    body = max(0.0, kilobytes - FREE_KILOBYTES) * far_kilobyte
-    return FAR_SHARE * work + body
+    body = max(0.0, kilobytes - FREE_KILOBYTES) * far_kilobyte_cost
+    return FAR_WORK_SHARE * work + body
--- a/cyclamenlift/routing/group.py
+++ b/cyclamenlift/routing/group.py
@@ -4,10 +4,10 @@
 
 from cyclamenlift.core.streams import Address
 from cyclamenlift.models.rules import ServiceRule
-from cyclamenlift.routing.ejection import eject
-from cyclamenlift.routing.ejection import eject_until
+from cyclamenlift.routing.ejection import ejection_deadline
+from cyclamenlift.routing.ejection import without_ejected
 from cyclamenlift.routing.estimates import Estimate
-from cyclamenlift.routing.finish import FAR_KILOBYTE
+from cyclamenlift.routing.finish import FAR_KILOBYTE_COST
 from cyclamenlift.routing.slow_start import ramp_share
 from cyclamenlift.wire.gen.protocol.ttypes import MemberRecord
 from cyclamenlift.wire.gen.protocol.ttypes import MemberState
@@ -15,7 +15,7 @@
 
 DRAIN_SECONDS = 10.0
 USABLE_STATES = (TargetState.READY, TargetState.UNHEALTHY)
-SLOW_WEIGHT = 0.02
+AVERAGE_WEIGHT = 0.02
 GATE_CLIP = 3.0
 ANSWER_CLIP = 10.0
 NEVER = float('inf')
@@ -93,7 +93,7 @@
         # network.
         self.instance = ''
         # Cost of a kilobyte sent to another data centre, in seconds.
-        self.far_kilobyte = FAR_KILOBYTE
+        self.far_kilobyte_cost = FAR_KILOBYTE_COST
         self.rng: random.Random = rng
         self.candidates: dict[str, Candidate] = {}
         self.live: list[Candidate] = []
@@ -105,7 +105,7 @@
         self.distances: dict[str, float] = {}
         self.turn = 0
 
-    def touch(self) -> None:
+    def invalidate(self) -> None:
         """Mark the lists as stale, to be rebuilt before the next choice."""
         self.rebuild_deadline = 0.0
 
@@ -115,7 +115,7 @@
             return
         usable = [c for c in self.candidates.values() if c.is_usable(now)]
         bad = [c for c in usable if c.looks_bad(now)]
-        self.live = eject(usable, bad, self.rule.ejection_share)
+        self.live = without_ejected(usable, bad, self.rule.ejection_share)
         self.near = [c for c in self.live if self.is_near(c)]
         self.far = [c for c in self.live if not self.is_near(c)]
         deadlines = (c.next_deadline(now) for c in self.candidates.values())
@@ -141,11 +141,11 @@
             known.drain_deadline = 0.0
         if ramp and not was_usable and known.is_usable(now):
             known.ramp_deadline = now + self.rule.slow_start_seconds
-        self.touch()
+        self.invalidate()
 
     def remove(self, instance: str) -> None:
         self.candidates.pop(instance, None)
-        self.touch()
+        self.invalidate()
 
     def note_draining(self, candidate: Candidate, now: float) -> None:
         """Leave out a target that has reported that it is draining.
@@ -154,15 +154,15 @@
         the record never arrives.
         """
         candidate.drain_deadline = now + DRAIN_SECONDS
-        self.touch()
+        self.invalidate()
 
     def note_bad(self, candidate: Candidate, now: float) -> None:
         """Eject a target for a time that doubles with each repetition."""
         if now < candidate.bad_deadline:
             return
-        candidate.bad_deadline = eject_until(candidate.bad_streak, now)
+        candidate.bad_deadline = ejection_deadline(candidate.bad_streak, now)
         candidate.bad_streak += 1
-        self.touch()
+        self.invalidate()
 
     def ramp(self, candidate: Candidate, now: float) -> float:
         """Return the share of full load allowed during slow start."""
@@ -181,7 +181,7 @@
             return
         bounded = min(seconds, ANSWER_CLIP * self.typical_latency)
         change = bounded - self.typical_latency
-        self.typical_latency += SLOW_WEIGHT * change
+        self.typical_latency += AVERAGE_WEIGHT * change
 
     def typical(self) -> float:
         """Return the typical answer time in seconds, 1 while unknown."""
@@ -198,14 +198,14 @@
         if self.typical_gate == 0.0:
             self.typical_gate = gate
         bounded = min(gate, GATE_CLIP * self.typical_gate)
-        self.typical_gate += SLOW_WEIGHT * (bounded - self.typical_gate)
+        self.typical_gate += AVERAGE_WEIGHT * (bounded - self.typical_gate)
         outside = min(seconds - gate, self.typical_gate)
         name = candidate.data_centre
         known = self.distances.get(name)
         if known is None:
             self.distances[name] = outside
             return
-        self.distances[name] = known + SLOW_WEIGHT * (outside - known)
+        self.distances[name] = known + AVERAGE_WEIGHT * (outside - known)
 
     def distance(self, candidate: Candidate) -> float:
         """Return a target's extra latency over this data centre's ones."""
--- a/cyclamenlift/routing/hedging.py
+++ b/cyclamenlift/routing/hedging.py
@@ -3,27 +3,27 @@
 import collections
 
 QUANTILE = 0.95
-WINDOW = 512
-LEAST_SAMPLES = 64
+SAMPLE_WINDOW = 512
+MIN_SAMPLES = 64
 REFRESH_SAMPLES = 64
-LEAST_SECONDS = 0.002
+MIN_HEDGE_SECONDS = 0.002
 # The expected duration of the second try, as a multiple of the usual work.
 # Objectives are about three times the work, so at the time of the hedge the
 # first try has had 1.75 times the work. One call in twenty takes that long at
 # the usual pace if durations vary by a third.
-HEDGE_WORK = 1.25
+SECOND_TRY_FACTOR = 1.25
 
 
-def last_in_time(objective_deadline: float, work: float) -> float:
+def latest_hedge_time(objective_deadline: float, work: float) -> float:
     """Return the latest time at which a second try can meet the objective.
 
     This needs no quantile of answer times, for which an entry of a large fleet
     sees too few answers.
 
-    >>> last_in_time(12.0, 0.8)
+    >>> latest_hedge_time(12.0, 0.8)
     11.0
     """
-    return objective_deadline - HEDGE_WORK * work
+    return objective_deadline - SECOND_TRY_FACTOR * work
 
 
 class HedgeDelay:
@@ -35,9 +35,9 @@
 
     def __init__(self):
         self.samples: collections.deque[float] = collections.deque(
-            maxlen=WINDOW
+            maxlen=SAMPLE_WINDOW
         )
-        self.until_refresh = LEAST_SAMPLES
+        self.until_refresh = MIN_SAMPLES
         self.seconds: float | None = None
 
     def note(self, seconds: float) -> None:
@@ -49,4 +49,4 @@
         self.until_refresh = REFRESH_SAMPLES
         ordered = sorted(self.samples)
         found = ordered[int(QUANTILE * (len(ordered) - 1))]
-        self.seconds = max(LEAST_SECONDS, found)
+        self.seconds = max(MIN_HEDGE_SECONDS, found)
--- a/cyclamenlift/routing/messages.py
+++ b/cyclamenlift/routing/messages.py
@@ -24,7 +24,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Need:
+class CallProfile:
     """Properties of a call that matter for the choice of a target.
 
     ``work`` is its usual service time in seconds and ``kilobytes`` the size of
@@ -38,7 +38,7 @@
     body_seconds: float = 0.0
 
 
-NO_NEED = Need()
+DEFAULT_PROFILE = CallProfile()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/cyclamenlift/routing/policies.py
+++ b/cyclamenlift/routing/policies.py
@@ -9,20 +9,20 @@
 from cyclamenlift.core.registry import Registry
 from cyclamenlift.routing.finish import distance_cost
 from cyclamenlift.routing.finish import expected_work
-from cyclamenlift.routing.finish import queueing
+from cyclamenlift.routing.finish import queueing_delay
 from cyclamenlift.routing.group import Candidate
 from cyclamenlift.routing.group import Group
-from cyclamenlift.routing.messages import Need
-from cyclamenlift.routing.messages import NO_NEED
+from cyclamenlift.routing.messages import CallProfile
+from cyclamenlift.routing.messages import DEFAULT_PROFILE
 
 HOT_SHARE = 0.8
-SAMPLE_NEAR = 3
-SAMPLE_FAR = 2
+NEAR_SAMPLE_SIZE = 3
+FAR_SAMPLE_SIZE = 2
 # Number of targets compared per call: all of a small service. In a large one
 # the best of a dozen is about as good and cheaper to find.
-SAMPLE_FINISH = 12
+FINISH_SAMPLE_SIZE = 12
 ERROR_COST = 20.0
-NEAR_EQUAL = 0.05
+JITTER_SHARE = 0.05
 REFUSING_LOAD = 1.5
 EXCESS_WEIGHT = 1.0
 LATENCY_BAND = 1.75
@@ -37,7 +37,7 @@
         group: Group,
         usable: list[Candidate],
         now: float,
-        need: Need = NO_NEED,
+        profile: CallProfile = DEFAULT_PROFILE,
     ) -> Candidate:
         """Return one of ``usable``, which is never empty."""
 
@@ -49,7 +49,7 @@
 class RandomPolicy:
     """Picks a candidate at random, regardless of load."""
 
-    def pick(self, group, usable, now, need=NO_NEED):
+    def pick(self, group, usable, now, profile=DEFAULT_PROFILE):
         return group.rng.choice(usable)
 
 
@@ -57,7 +57,7 @@
 class RoundRobinPolicy:
     """Picks the candidates in turn."""
 
-    def pick(self, group, usable, now, need=NO_NEED):
+    def pick(self, group, usable, now, profile=DEFAULT_PROFILE):
         group.turn += 1
         return usable[group.turn % len(usable)]
 
@@ -66,7 +66,7 @@
 class LeastCallsPolicy:
     """Picks the candidate with the fewest own calls in flight."""
 
-    def pick(self, group, usable, now, need=NO_NEED):
+    def pick(self, group, usable, now, profile=DEFAULT_PROFILE):
         rng = group.rng
         return min(usable, key=lambda c: (c.estimate.in_flight, rng.random()))
 
@@ -75,7 +75,7 @@
 class PowerOfTwoPolicy:
     """Picks the one of two random candidates with fewer own calls."""
 
-    def pick(self, group, usable, now, need=NO_NEED):
+    def pick(self, group, usable, now, profile=DEFAULT_PROFILE):
         rng = group.rng
         sample = sample_of(rng, usable, 2)
         return min(sample, key=lambda c: (c.estimate.in_flight, rng.random()))
@@ -91,10 +91,10 @@
     lists the changes and their reasons.
     """
 
-    def pick(self, group, usable, now, need=NO_NEED):
+    def pick(self, group, usable, now, profile=DEFAULT_PROFILE):
         best = None
         best_cost = 0.0
-        for candidate in near_first(group, usable):
+        for candidate in sample_mostly_near(group, usable):
             cost = expected_cost(group, candidate, now)
             if best is None or cost < best_cost:
                 best = candidate
@@ -109,18 +109,18 @@
     return rng.sample(items, count)
 
 
-def near_and_far(
+def sample_near_and_far(
     group: Group, usable: list[Candidate], count: int
 ) -> list[Candidate]:
     """Sample half of ``count`` near and half far, more if one is short."""
     if len(usable) <= count:
         return usable
-    near, far = split(group, usable)
+    near, far = split_by_place(group, usable)
     some = sample_of(group.rng, near, max(count // 2, count - len(far)))
     return some + sample_of(group.rng, far, count - len(some))
 
 
-def split(group: Group, usable: list[Candidate]) -> tuple[list, list]:
+def split_by_place(group: Group, usable: list[Candidate]) -> tuple[list, list]:
     """Return the candidates of this data centre and the others."""
     if usable is group.live:
         return group.near, group.far
@@ -129,12 +129,14 @@
     return near, far
 
 
-def near_first(group: Group, usable: list[Candidate]) -> list[Candidate]:
+def sample_mostly_near(
+    group: Group, usable: list[Candidate]
+) -> list[Candidate]:
     """Sample more candidates of this data centre than of the others."""
-    near, far = split(group, usable)
-    drawn = sample_of(group.rng, near, SAMPLE_NEAR)
-    spare = SAMPLE_NEAR - len(drawn)
-    return drawn + sample_of(group.rng, far, SAMPLE_FAR + spare)
+    near, far = split_by_place(group, usable)
+    drawn = sample_of(group.rng, near, NEAR_SAMPLE_SIZE)
+    spare = NEAR_SAMPLE_SIZE - len(drawn)
+    return drawn + sample_of(group.rng, far, FAR_SAMPLE_SIZE + spare)
 
 
 def relative_load(group: Group, candidate: Candidate, now: float) -> float:
@@ -163,50 +165,54 @@
     typical = group.typical()
     latency = estimate.expected_latency(typical, now)
     if estimate.in_flight:
-        latency = max(latency, estimate.overdue_age(typical, now))
+        latency = max(latency, estimate.in_flight_age(typical, now))
     load = relative_load(group, candidate, now)
     cost = typical * load**LOAD_POWER
     cost += EXCESS_WEIGHT * max(0.0, latency - LATENCY_BAND * typical)
     cost += group.distance(candidate)
     cost += typical * ERROR_COST * estimate.errors(now)
-    return cost + typical * NEAR_EQUAL * group.rng.random()
+    return cost + typical * JITTER_SHARE * group.rng.random()
 
 
 @POLICIES.register('expected_finish')
 class ExpectedFinishPolicy:
     """Picks the earliest expected answer by the last reports of gates."""
 
-    def pick(self, group, usable, now, need=NO_NEED):
-        drawn = near_and_far(group, usable, SAMPLE_FINISH)
-        costs = [(finish_cost(group, c, now, need), c) for c in drawn]
+    def pick(self, group, usable, now, profile=DEFAULT_PROFILE):
+        drawn = sample_near_and_far(group, usable, FINISH_SAMPLE_SIZE)
+        costs = [(finish_cost(group, c, now, profile), c) for c in drawn]
         return min(costs, key=lambda pair: pair[0])[1]
 
 
 def expected_seconds(
-    group: Group, candidate: Candidate, now: float, need: Need
+    group: Group, candidate: Candidate, now: float, profile: CallProfile
 ) -> float:
     """Return the expected time until this target answers."""
     estimate = candidate.estimate
-    load = estimate.load(need.work, now)
+    load = estimate.load(profile.work, now)
     slots = estimate.slots or candidate.slots
     slots = max(1.0, slots * group.ramp(candidate, now))
     age = now - estimate.pace_at
-    seconds = expected_work(need.work, estimate.pace, estimate.spell_left, age)
+    seconds = expected_work(
+        profile.work, estimate.pace, estimate.spell_left, age
+    )
     seconds += estimate.lag_now(now)
-    if need.body_seconds and candidate.instance != group.instance:
-        seconds += need.body_seconds + estimate.body_wait_now(now)
-    return seconds + queueing(load, slots, need.work)
+    if profile.body_seconds and candidate.instance != group.instance:
+        seconds += profile.body_seconds + estimate.body_wait_now(now)
+    return seconds + queueing_delay(load, slots, profile.work)
 
 
 def finish_cost(
-    group: Group, candidate: Candidate, now: float, need: Need
+    group: Group, candidate: Candidate, now: float, profile: CallProfile
 ) -> float:
     """Return the expected time with penalties for errors and distance."""
     estimate = candidate.estimate
-    cost = expected_seconds(group, candidate, now, need)
+    cost = expected_seconds(group, candidate, now, profile)
     near = group.is_near(candidate)
-    cost += distance_cost(need.kilobytes, near, need.work, group.far_kilobyte)
-    cost += need.work * ERROR_COST * estimate.errors(now)
+    cost += distance_cost(
+        profile.kilobytes, near, profile.work, group.far_kilobyte_cost
+    )
+    cost += profile.work * ERROR_COST * estimate.errors(now)
     if estimate.is_refusing(now):
-        cost += REFUSING_LOAD * need.work
-    return cost + need.work * NEAR_EQUAL * group.rng.random()
+        cost += REFUSING_LOAD * profile.work
+    return cost + profile.work * JITTER_SHARE * group.rng.random()
--- a/cyclamenlift/routing/probes.py
+++ b/cyclamenlift/routing/probes.py
@@ -4,13 +4,13 @@
 import math
 
 PROBES_PER_CALL = 0.05
-MAX_EARNED = 2.0
+MAX_ALLOWANCE = 2.0
 
 
-def share_of(budget: float, members: int) -> float:
+def probe_rate_per_member(budget: float, members: int) -> float:
     """Return one member's share of a service's probes per second.
 
-    >>> share_of(20.0, 12)
+    >>> probe_rate_per_member(20.0, 12)
     1.6666666666666667
     """
     return budget / max(1, members)
@@ -59,7 +59,7 @@
         self.earned = 0.0
 
     def note_call(self) -> None:
-        self.earned = min(MAX_EARNED, self.earned + PROBES_PER_CALL)
+        self.earned = min(MAX_ALLOWANCE, self.earned + PROBES_PER_CALL)
 
     def take(self, now: float) -> bool:
         if self.earned < 1.0 or not self.window.take(now):
--- a/cyclamenlift/routing/slow_start.py
+++ b/cyclamenlift/routing/slow_start.py
@@ -1,6 +1,6 @@
 """Slow start: the load ramp of a target that has just started."""
 
-FIRST_SHARE = 0.1
+MIN_RAMP_SHARE = 0.1
 
 
 def ramp_share(left: float, length: float) -> float:
@@ -11,4 +11,4 @@
     """
     if length <= 0.0:
         return 1.0
-    return min(1.0, max(FIRST_SHARE, 1.0 - left / length))
+    return min(1.0, max(MIN_RAMP_SHARE, 1.0 - left / length))
--- a/cyclamenlift/routing/state.py
+++ b/cyclamenlift/routing/state.py
@@ -11,15 +11,15 @@
 from cyclamenlift.core.streams import Address
 from cyclamenlift.models.rules import EventRules
 from cyclamenlift.models.rules import ServiceRule
-from cyclamenlift.routing.ejection import BAD_LEVEL
+from cyclamenlift.routing.ejection import EJECTION_ERROR_LEVEL
 from cyclamenlift.routing.estimates import ERROR_WEIGHT
-from cyclamenlift.routing.finish import FAR_KILOBYTE
+from cyclamenlift.routing.finish import FAR_KILOBYTE_COST
 from cyclamenlift.routing.group import Candidate
 from cyclamenlift.routing.group import Group
 from cyclamenlift.routing.hedging import HedgeDelay
+from cyclamenlift.routing.messages import CallProfile
 from cyclamenlift.routing.messages import Choice
-from cyclamenlift.routing.messages import Need
-from cyclamenlift.routing.messages import NO_NEED
+from cyclamenlift.routing.messages import DEFAULT_PROFILE
 from cyclamenlift.routing.messages import Outcome
 from cyclamenlift.routing.messages import ProbeOrder
 from cyclamenlift.routing.policies import expected_seconds
@@ -28,19 +28,19 @@
 from cyclamenlift.routing.policies import Policy
 from cyclamenlift.routing.policies import relative_load
 from cyclamenlift.routing.policies import sample_of
+from cyclamenlift.routing.probes import probe_rate_per_member
 from cyclamenlift.routing.probes import ProbeAllowance
-from cyclamenlift.routing.probes import share_of
 from cyclamenlift.routing.work import WorkTable
 from cyclamenlift.wire.gen.protocol.ttypes import LoadFigures
 from cyclamenlift.wire.gen.protocol.ttypes import MemberRecord
 from cyclamenlift.wire.gen.protocol.ttypes import MemberState
 from cyclamenlift.wire.gen.protocol.ttypes import TargetState
 
-GONE = (MemberState.DEAD, MemberState.LEFT)
-FIRST_RECORDS_SECONDS = 3.0
-PROBE_SAMPLE = 4
+DEPARTED_STATES = (MemberState.DEAD, MemberState.LEFT)
+INITIAL_RECORDS_SECONDS = 3.0
+PROBE_SAMPLE_SIZE = 4
 PROBE_AFTER_SECONDS = 0.1
-ERRORS = frozenset(ERROR_WEIGHT)
+ERROR_OUTCOMES = frozenset(ERROR_WEIGHT)
 
 
 class ServiceState:
@@ -66,7 +66,7 @@
         self.instance = ''
         # Bandwidth of this instance's link in bytes per second, 0 if unknown.
         self.link_rate = 0.0
-        self.far_kilobyte = FAR_KILOBYTE
+        self.far_kilobyte_cost = FAR_KILOBYTE_COST
         self.first_record_at: float | None = None
 
     # Updates.
@@ -80,7 +80,7 @@
             old = kept.get(name)
             group = Group(rule, self.data_centre, self.rng)
             group.instance = self.instance
-            group.far_kilobyte = self.far_kilobyte
+            group.far_kilobyte_cost = self.far_kilobyte_cost
             policy = POLICIES.get(rule.policy)()
             state = ServiceState(group, policy, 0.0)
             if old is not None:
@@ -93,7 +93,7 @@
             self.services[name] = state
         for record in self.records.values():
             self.place(record, 0.0, False)
-        self.share_probes()
+        self.update_probe_rates()
 
     def note_member(self, record: MemberRecord, now: float) -> None:
         """Store a new or changed member record."""
@@ -101,16 +101,16 @@
             self.first_record_at = now
         known = self.records.get(record.instance)
         count = len(self.records)
-        if record.state in GONE:
+        if record.state in DEPARTED_STATES:
             self.records.pop(record.instance, None)
         else:
             self.records[record.instance] = record
         if known is not None and known.service_name != record.service_name:
             self.remove(known)
-        young = now - self.first_record_at < FIRST_RECORDS_SECONDS
+        young = now - self.first_record_at < INITIAL_RECORDS_SECONDS
         self.place(record, now, not young)
         if len(self.records) != count:
-            self.share_probes()
+            self.update_probe_rates()
 
     def place(self, record: MemberRecord, now: float, ramp: bool) -> None:
         """Add a member to the group of its service, or remove it.
@@ -132,11 +132,11 @@
         if state is not None:
             state.group.remove(record.instance)
 
-    def share_probes(self) -> None:
+    def update_probe_rates(self) -> None:
         """Divide each service's probe budget among all entries."""
         for state in self.services.values():
             budget = state.group.rule.probes_per_second
-            rate = share_of(budget, len(self.records))
+            rate = probe_rate_per_member(budget, len(self.records))
             state.probes.window.set_rate(rate)
 
     # Decisions.
@@ -146,7 +146,7 @@
         service: str,
         now: float,
         exclude: frozenset[str] = frozenset(),
-        need: Need = NO_NEED,
+        profile: CallProfile = DEFAULT_PROFILE,
     ) -> Choice | None:
         """Return the target for a call, or None if there is none."""
         state = self.services.get(service)
@@ -156,16 +156,16 @@
         usable = self.usable(group, now, exclude)
         if not usable:
             return None
-        picked = state.policy.pick(group, usable, now, need)
-        picked = self.respect_ramp(state, usable, picked, now, need)
-        return self.as_choice(group, picked, now, need)
+        picked = state.policy.pick(group, usable, now, profile)
+        picked = self.apply_slow_start(state, usable, picked, now, profile)
+        return self.build_choice(group, picked, now, profile)
 
     def home(
         self,
         service: str,
         now: float,
         exclude: frozenset[str],
-        need: Need,
+        profile: CallProfile,
         fingerprint: bytes,
     ) -> Choice | None:
         """Return the target that a request's fingerprint maps to.
@@ -179,8 +179,8 @@
         usable = self.usable(state.group, now, exclude)
         if not usable:
             return None
-        picked = max(usable, key=lambda c: home_weight(c, fingerprint))
-        return self.as_choice(state.group, picked, now, need)
+        picked = max(usable, key=lambda c: rendezvous_weight(c, fingerprint))
+        return self.build_choice(state.group, picked, now, profile)
 
     def usable(
         self, group: Group, now: float, exclude: frozenset[str]
@@ -194,23 +194,23 @@
         # When too many look bad none is ejected, but a second try should still
         # avoid them while another target looks healthy.
         usable = [c for c in usable if not c.looks_bad(now)] or usable
-        return usable or self.last_resort(group, now, exclude)
+        return usable or self.fallback_targets(group, now, exclude)
 
-    def as_choice(
-        self, group: Group, picked: Candidate, now: float, need: Need
+    def build_choice(
+        self, group: Group, picked: Candidate, now: float, profile: CallProfile
     ) -> Choice:
         hot = relative_load(group, picked, now) >= HOT_SHARE
         return Choice(
             picked.instance,
             picked.address,
             hot,
-            expected_seconds(group, picked, now, need),
+            expected_seconds(group, picked, now, profile),
             picked.estimate.pace,
         )
 
-    def need(
+    def profile(
         self, route: str, body_bytes: int, objective: float = 0.0
-    ) -> Need:
+    ) -> CallProfile:
         """Return the properties of a call of ``route``.
 
         ``objective`` is the route's latency objective in seconds, 0 if none.
@@ -218,9 +218,9 @@
         kilobytes = body_bytes / 1024.0 + self.work.kilobytes(route)
         seconds = body_bytes / self.link_rate if self.link_rate else 0.0
         work = self.work.seconds(route, objective)
-        return Need(route, work, kilobytes, seconds)
+        return CallProfile(route, work, kilobytes, seconds)
 
-    def last_resort(self, group: Group, now: float, exclude) -> list:
+    def fallback_targets(self, group: Group, now: float, exclude) -> list:
         """Return ejected targets that are not excluded."""
         return [
             c
@@ -228,13 +228,13 @@
             if c.instance not in exclude and c.is_usable(now)
         ]
 
-    def respect_ramp(
+    def apply_slow_start(
         self,
         state: ServiceState,
         usable: list[Candidate],
         picked: Candidate,
         now: float,
-        need: Need,
+        profile: CallProfile,
     ) -> Candidate:
         """Pick again, by chance, if the picked target is in slow start."""
         share = state.group.ramp(picked, now)
@@ -243,7 +243,7 @@
         others = [c for c in usable if c is not picked]
         if not others:
             return picked
-        return state.policy.pick(state.group, others, now, need)
+        return state.policy.pick(state.group, others, now, profile)
 
     def probes_due(self, service: str, now: float) -> list[ProbeOrder]:
         """Return the probe to send now, if the budget allows one.
@@ -254,7 +254,7 @@
         state = self.services.get(service)
         if state is None or not state.group.live:
             return []
-        sample = sample_of(self.rng, state.group.live, PROBE_SAMPLE)
+        sample = sample_of(self.rng, state.group.live, PROBE_SAMPLE_SIZE)
         probed = min(sample, key=lambda c: c.estimate.load_at)
         if now - probed.estimate.load_at < PROBE_AFTER_SECONDS:
             return []
@@ -303,7 +303,7 @@
         estimate.call_ended(seconds, now)
         if outcome is Outcome.ANSWERED:
             self.note_answer(state, candidate, seconds, now)
-        elif outcome in ERRORS:
+        elif outcome in ERROR_OUTCOMES:
             self.note_error(state, candidate, outcome, seconds, now)
         elif outcome is Outcome.REFUSED_OVERLOAD:
             estimate.note_refusal(now)
@@ -340,7 +340,7 @@
         estimate.note_error(outcome, now)
         if outcome in (Outcome.TIMEOUT, Outcome.OVERTAKEN):
             self.note_slow(state.group, candidate, seconds, now)
-        if estimate.error_level >= BAD_LEVEL:
+        if estimate.error_level >= EJECTION_ERROR_LEVEL:
             state.group.note_bad(candidate, now)
 
     def note_slow(
@@ -368,7 +368,7 @@
 
     A record whose address cannot be parsed is ignored.
     """
-    if record.state in GONE:
+    if record.state in DEPARTED_STATES:
         return False
     try:
         Address.parse(record.peer_address or '')
@@ -378,7 +378,7 @@
     return rule.allows_target(target, record.data_centre)
 
 
-def home_weight(candidate: Candidate, fingerprint: bytes) -> int:
+def rendezvous_weight(candidate: Candidate, fingerprint: bytes) -> int:
     """Return the rendezvous weight of a target for a request."""
     name = candidate.instance.encode()
     return xxhash.xxh64_intdigest(name + fingerprint)
--- a/cyclamenlift/routing/work.py
+++ b/cyclamenlift/routing/work.py
@@ -3,23 +3,23 @@
 from cyclamenlift.routing.finish import PERCENT
 from cyclamenlift.routing.finish import SPELL_PACE
 
-WEIGHT = 0.05
+AVERAGE_WEIGHT = 0.05
 # Samples are clipped to this multiple of the mean, so that one long call does
 # not make all calls look long.
-CLIP = 3.0
+CLIP_FACTOR = 3.0
 # Assumed work in seconds before any answer, for routes without an objective.
-FIRST_GUESS = 0.1
+DEFAULT_WORK = 0.1
 # Assumed work as a share of the route's objective: at the sites seen so far
 # work is 0.30 to 0.38 of it.
-GUESS_SHARE = 0.33
+DEFAULT_WORK_SHARE = 0.33
 # Assumed mean deviation of a call's time before it is known, as a share of its
 # mean: that of calls whose times vary by a third.
-SPREAD_GUESS = 0.25
+DEFAULT_SPREAD_SHARE = 0.25
 # Answers are used to learn the work only up to this pace, in percent of the
 # usual. It includes targets that have just started, which run at about twice
 # the usual duration for seconds, because early samples are useful at once.
-MOST_PACE = SPELL_PACE
-FIRST_KILOBYTES = 1.0
+MAX_LEARNING_PACE = SPELL_PACE
+DEFAULT_KILOBYTES = 1.0
 
 
 class RouteWork:
@@ -37,13 +37,13 @@
         self.seconds = 0.0
         self.nested = 0.0
         self.spread = 0.0
-        self.kilobytes = FIRST_KILOBYTES
+        self.kilobytes = DEFAULT_KILOBYTES
 
     def note(self, seconds: float, size: int, nested: float = 0.0) -> None:
-        self.kilobytes += WEIGHT * (size / 1024.0 - self.kilobytes)
+        self.kilobytes += AVERAGE_WEIGHT * (size / 1024.0 - self.kilobytes)
         self.count += 1
-        weight = max(WEIGHT, 1.0 / self.count)
-        bounded = min(seconds, CLIP * self.seconds or seconds)
+        weight = max(AVERAGE_WEIGHT, 1.0 / self.count)
+        bounded = min(seconds, CLIP_FACTOR * self.seconds or seconds)
         if self.seconds:
             off = abs(bounded + nested - self.seconds - self.nested)
             self.spread += weight * (off - self.spread)
@@ -66,7 +66,7 @@
         nested: float = 0.0,
     ) -> None:
         """Add an answer's time, normalised to the usual pace of its target."""
-        if pace_percent > MOST_PACE or seconds <= 0.0:
+        if pace_percent > MAX_LEARNING_PACE or seconds <= 0.0:
             return
         known = self.routes.get(route)
         if known is None:
@@ -86,7 +86,9 @@
         known = self.routes.get(route)
         if known is not None:
             return known.seconds
-        return GUESS_SHARE * objective if objective > 0.0 else FIRST_GUESS
+        return (
+            DEFAULT_WORK_SHARE * objective if objective > 0.0 else DEFAULT_WORK
+        )
 
     def nested(self, route: str) -> float:
         """Return the mean time that a route's calls wait for nested calls."""
@@ -98,12 +100,12 @@
         known = self.routes.get(route)
         if known is not None and known.count > 1:
             return known.spread
-        return SPREAD_GUESS * self.seconds(route, objective)
+        return DEFAULT_SPREAD_SHARE * self.seconds(route, objective)
 
     def kilobytes(self, route: str) -> float:
         """Return the mean size of a route's answers."""
         known = self.routes.get(route)
-        return known.kilobytes if known else FIRST_KILOBYTES
+        return known.kilobytes if known else DEFAULT_KILOBYTES
 
 
 def at_usual_pace(seconds: float, pace_percent: int) -> float:
--- a/cyclamenlift/runtime/mechanisms.py
+++ b/cyclamenlift/runtime/mechanisms.py
@@ -191,12 +191,12 @@
 
 @mechanism('distance', 'keeps large bodies in their data centre')
 def without_distance(node: 'DaemonNode') -> None:
-    node.routing.far_kilobyte = 0.0
+    node.routing.far_kilobyte_cost = 0.0
 
 
 @mechanism('slow_hand_back', 'sends calls back that came to a slow target')
 def without_slow_hand_back(node: 'DaemonNode') -> None:
-    node.calls.slow_asked = 0
+    node.calls.max_pace_checks = 0
 
 
 @mechanism('time_used_up', 'counts the objective from the first try')
--- a/tests/calls/test_attempt.py
+++ b/tests/calls/test_attempt.py
@@ -1,6 +1,6 @@
 """Request bodies sent within the flow-control credit of a gate."""
 
-from cyclamenlift.calls.attempt import CHUNK
+from cyclamenlift.calls.attempt import CHUNK_BYTES
 from cyclamenlift.calls.attempt import Try
 from cyclamenlift.wire.gen.protocol.ttypes import BodyChunk
 from cyclamenlift.wire.gen.protocol.ttypes import CallStart
@@ -23,7 +23,7 @@
             self.received.append(message)
             self.attempt.take_credit(len(message.data))
         else:
-            self.attempt.take_credit(2 * CHUNK)
+            self.attempt.take_credit(2 * CHUNK_BYTES)
         return b'frame'
 
 
--- a/tests/calls/test_returning.py
+++ b/tests/calls/test_returning.py
@@ -1,7 +1,7 @@
 """Detection of callers that retry after a refusal, by their timeouts."""
 
-from cyclamenlift.calls.returning import LEAST_SEEN
-from cyclamenlift.calls.returning import REMEMBERED
+from cyclamenlift.calls.returning import MAX_REMEMBERED
+from cyclamenlift.calls.returning import MIN_SEEN
 from cyclamenlift.calls.returning import UsualTimes
 
 
@@ -13,7 +13,7 @@
 
 
 def test_no_usual_timeout_from_a_few_requests():
-    times = seen(*[1000] * (LEAST_SEEN - 2))
+    times = seen(*[1000] * (MIN_SEEN - 2))
     assert times.used_up('look-up', 700) == 0
 
 
@@ -35,7 +35,7 @@
 
 
 def test_a_new_usual_timeout_replaces_the_old_one():
-    times = seen(*[1000] * 80, *[600] * REMEMBERED)
+    times = seen(*[1000] * 80, *[600] * MAX_REMEMBERED)
     assert times.used_up('look-up', 600) == 0
     assert times.used_up('look-up', 500) == 100
 
--- a/tests/membership/test_ends.py
+++ b/tests/membership/test_ends.py
@@ -2,7 +2,7 @@
 
 from cyclamenlift.membership.budget import BURST_BYTES
 from cyclamenlift.membership.packets import MAX_PACKET_BYTES
-from cyclamenlift.quarantine.wire import MOST_FINGERPRINTS
+from cyclamenlift.quarantine.wire import MAX_FINGERPRINTS
 from cyclamenlift.wire.codec import decode_packet
 from cyclamenlift.wire.gen.protocol.ttypes import EndReport
 from cyclamenlift.wire.gen.protocol.ttypes import GossipPacket
@@ -25,7 +25,7 @@
 
 
 def test_the_largest_report_fits_in_a_packet():
-    sent = member().push_ends(report(MOST_FINGERPRINTS), FANOUT, 0.0, own=True)
+    sent = member().push_ends(report(MAX_FINGERPRINTS), FANOUT, 0.0, own=True)
     assert len(sent) == FANOUT
     assert all(len(item.data) <= MAX_PACKET_BYTES for item in sent)
 
@@ -52,7 +52,7 @@
 def test_many_ends_at_once_are_passed_on_within_the_budget_of_bytes():
     """A hundred targets of a large fleet end together, and come again."""
     one = member()
-    largest = report(MOST_FINGERPRINTS)
+    largest = report(MAX_FINGERPRINTS)
     sent = [
         item
         for _ in range(1000)
--- a/tests/quarantine/test_state.py
+++ b/tests/quarantine/test_state.py
@@ -7,8 +7,8 @@
 from cyclamenlift.quarantine import Evidence
 from cyclamenlift.quarantine import Report
 from cyclamenlift.quarantine import Standing
-from cyclamenlift.quarantine.state import MOST_ANSWERS
-from cyclamenlift.quarantine.state import MOST_REPORTS
+from cyclamenlift.quarantine.state import MAX_ANSWERS
+from cyclamenlift.quarantine.state import MAX_REPORTS
 from tests.quarantine.builders import end
 from tests.quarantine.builders import name
 
@@ -157,13 +157,13 @@
 @pytest.mark.parametrize('seed', range(3))
 def test_memory_is_bounded_under_many_suspects(seed):
     evidence = Evidence()
-    for number in range(2 * MOST_REPORTS):
+    for number in range(2 * MAX_REPORTS):
         at = number + seed * 0.1
         evidence.add(end(at, f's{number}', 'x'), at)
         evidence.note_answer('prices', name(f'n{number}'), at)
-    assert len(evidence.reports) == MOST_REPORTS
-    assert len(evidence.answered_at) <= MOST_ANSWERS
-    assert len(evidence.against) <= MOST_REPORTS + 1
+    assert len(evidence.reports) == MAX_REPORTS
+    assert len(evidence.answered_at) <= MAX_ANSWERS
+    assert len(evidence.against) <= MAX_REPORTS + 1
 
 
 def test_the_digest_does_not_depend_on_the_order_of_reports():
--- a/tests/quarantine/test_wire.py
+++ b/tests/quarantine/test_wire.py
@@ -3,7 +3,7 @@
 import pytest
 
 from cyclamenlift.quarantine.wire import from_wire
-from cyclamenlift.quarantine.wire import MOST_FINGERPRINTS
+from cyclamenlift.quarantine.wire import MAX_FINGERPRINTS
 from cyclamenlift.quarantine.wire import to_wire
 from cyclamenlift.wire.gen.protocol.ttypes import EndReport
 from tests.quarantine.builders import end
@@ -40,7 +40,7 @@
         {'service_name': None},
         {'fingerprints': [b'short']},
         {'fingerprints': None},
-        {'fingerprints': [name('a')] * (MOST_FINGERPRINTS + 1)},
+        {'fingerprints': [name('a')] * (MAX_FINGERPRINTS + 1)},
         {'age_ms': -1},
         {'age_ms': None},
         {'ran_ms': []},
--- a/tests/routing/builders.py
+++ b/tests/routing/builders.py
@@ -74,7 +74,7 @@
 def without_distance(state: RoutingState) -> RoutingState:
     """Disable the distance cost, so that far targets are used as well."""
     for service in state.services.values():
-        service.group.far_kilobyte = 0.0
+        service.group.far_kilobyte_cost = 0.0
     return state
 
 
--- a/tests/routing/test_finish.py
+++ b/tests/routing/test_finish.py
@@ -6,14 +6,14 @@
 
 import pytest
 
-from cyclamenlift.routing.messages import Need
+from cyclamenlift.routing.messages import CallProfile
 from cyclamenlift.wire.gen.protocol.ttypes import LoadFigures
 from tests.routing.builders import build_state
 from tests.routing.builders import SERVICE
 from tests.routing.builders import without_distance
 
-NEED = Need('look-up', 0.160, 1.0)
-UPLOAD = Need('upload', 0.190, 64.0)
+NEED = CallProfile('look-up', 0.160, 1.0)
+UPLOAD = CallProfile('upload', 0.190, 64.0)
 
 
 def pace(percent: int) -> LoadFigures:
@@ -28,9 +28,11 @@
     return state
 
 
-def chosen(state, now: float, need: Need, draws: int = 60) -> set[str]:
+def chosen(
+    state, now: float, profile: CallProfile, draws: int = 60
+) -> set[str]:
     found = (
-        state.choose(SERVICE, now, frozenset(), need) for _ in range(draws)
+        state.choose(SERVICE, now, frozenset(), profile) for _ in range(draws)
     )
     return {choice.instance for choice in found}
 
@@ -72,7 +74,7 @@
 
 # The following tests send bodies of 60 KB on links that take 0.11 s for each,
 # with several to one instance at a time.
-SLOW_LINK = Need('upload', 0.190, 1.0, body_seconds=0.11)
+SLOW_LINK = CallProfile('upload', 0.190, 1.0, body_seconds=0.11)
 
 
 def waits(seconds: float) -> LoadFigures:
@@ -98,8 +100,8 @@
 
 
 def test_an_unknown_link_rate_adds_no_cost(state):
-    assert state.need('upload', 60_000).body_seconds == 0.0
+    assert state.profile('upload', 60_000).body_seconds == 0.0
     state.link_rate = 537_500.0
-    assert state.need('upload', 60_000).body_seconds == pytest.approx(
+    assert state.profile('upload', 60_000).body_seconds == pytest.approx(
         0.11, 0.02
     )
--- a/tests/routing/test_hedging.py
+++ b/tests/routing/test_hedging.py
@@ -8,11 +8,11 @@
 
 import pytest
 
-from cyclamenlift.calls.budgets import LEAST_CAP
+from cyclamenlift.calls.budgets import MIN_CAP
 from cyclamenlift.calls.budgets import RetryBudget
 from cyclamenlift.calls.budgets import SharedRetryBudget
 from cyclamenlift.routing.hedging import HedgeDelay
-from cyclamenlift.routing.hedging import last_in_time
+from cyclamenlift.routing.hedging import latest_hedge_time
 
 WORK = 0.660
 OBJECTIVE = 2.2
@@ -32,7 +32,7 @@
     for _ in range(20):
         delay.note(WORK)
     assert delay.seconds is None
-    due = last_in_time(OBJECTIVE, WORK)
+    due = latest_hedge_time(OBJECTIVE, WORK)
     # Well after the usual answer time, and early enough for a second try.
     assert 1.75 * WORK < due < OBJECTIVE - WORK
 
@@ -40,7 +40,7 @@
 @pytest.mark.parametrize('entries', [1, 20, ENTRIES, 680])
 def test_the_budget_allows_an_early_hedge_in_a_fleet_of_any_size(entries):
     budget = shared(entries)
-    assert budget.balance >= LEAST_CAP
+    assert budget.balance >= MIN_CAP
     assert budget.take(budget.kept)
 
 
--- a/tests/routing/test_home.py
+++ b/tests/routing/test_home.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from cyclamenlift.routing.messages import NO_NEED
+from cyclamenlift.routing.messages import DEFAULT_PROFILE
 from cyclamenlift.wire.gen.protocol.ttypes import TargetState
 from tests.routing.builders import build_record
 from tests.routing.builders import build_state
@@ -16,7 +16,7 @@
 
 
 def home(state, request: bytes, exclude=NOBODY) -> str:
-    found = state.home(SERVICE, 1.0, exclude, NO_NEED, request)
+    found = state.home(SERVICE, 1.0, exclude, DEFAULT_PROFILE, request)
     return found.instance if found else ''
 
 
--- a/tests/routing/test_near.py
+++ b/tests/routing/test_near.py
@@ -8,14 +8,14 @@
 
 import pytest
 
-from cyclamenlift.routing.messages import Need
+from cyclamenlift.routing.messages import CallProfile
 from tests.routing.builders import build_record
 from tests.routing.builders import build_state
 from tests.routing.builders import SERVICE
 from tests.runtime.builders import build_pace
 
 TARGETS = 100
-NEED = Need('look-up', 0.660, 1.3)
+NEED = CallProfile('look-up', 0.660, 1.3)
 
 
 @pytest.fixture
--- a/tests/routing/test_properties.py
+++ b/tests/routing/test_properties.py
@@ -178,4 +178,4 @@
             start = starts.pop(len(starts) // 2)
             estimate.call_ended(now - start, now)
         assert estimate.in_flight == len(starts) == len(estimate.starts)
-        assert estimate.overdue_age(0.01, now) >= 0.0
+        assert estimate.in_flight_age(0.01, now) >= 0.0
--- a/tools/mutants_quarantine.py
+++ b/tools/mutants_quarantine.py
@@ -11,8 +11,8 @@
     Mutant(
         'one end convicts all that a target ran',
         STATE,
-        'FEWEST_ENDS = 2',
-        'FEWEST_ENDS = 1',
+        'MIN_ENDS = 2',
+        'MIN_ENDS = 1',
         STATE_TESTS,
     ),
     Mutant(
@@ -32,8 +32,8 @@
     Mutant(
         'targets that end together count one by one',
         STATE,
-        'TOGETHER = 0.1',
-        'TOGETHER = 0.0',
+        'SAME_CAUSE_SECONDS = 0.1',
+        'SAME_CAUSE_SECONDS = 0.0',
         STATE_TESTS,
     ),
     Mutant(
@@ -81,7 +81,7 @@
     Mutant(
         'who starts believes others that have just started',
         'cyclamenlift/quarantine/tasks.py',
-        'if seen.digest or seen.from_control or elders_heard:',
+        'if seen.digest or seen.from_control or peers_trusted:',
         'if True:',
         'tests/quarantine/test_tasks.py',
     ),
