--- a/cyclamenlift/calls/attempt.py
+++ b/cyclamenlift/calls/attempt.py
@@ -35,8 +35,8 @@
     headers: list[Header] = dataclasses.field(default_factory=list)
     length: int = -1
     answering: bool = False
-    gathered: list[bytes] = dataclasses.field(default_factory=list)
-    gathered_size: int = 0
+    buffered: list[bytes] = dataclasses.field(default_factory=list)
+    buffered_size: int = 0
     start_frame: bytes = b''
     body_frames: list[bytes] = dataclasses.field(default_factory=list)
 
@@ -79,7 +79,7 @@
         self.window += allowed
         self.send_more()
 
-    def never_left(self) -> bool:
+    def was_never_sent(self) -> bool:
         """Return whether the gate cannot have received any of this try."""
         return not self.link.was_up or self.link.holds(self.start_frame)
 
--- a/cyclamenlift/calls/budgets.py
+++ b/cyclamenlift/calls/budgets.py
@@ -37,7 +37,7 @@
         self.balance = min(MAX_BALANCE, self.balance + self.share)
 
     @property
-    def kept(self) -> float:
+    def rescue_reserve(self) -> float:
         """The balance that early hedges must leave."""
         return RESCUE_RESERVE_SHARE * MAX_BALANCE
 
@@ -75,7 +75,7 @@
         self.window = window
         self.members = 1
         self.balance = self.cap()
-        self.filled_at = now()
+        self.refilled_at = now()
 
     def set_members(self, members: int) -> None:
         """Divide the slack among this many entries from now on."""
@@ -87,24 +87,24 @@
         return max(MIN_CAP, self.slack / self.members / 2.0)
 
     @property
-    def kept(self) -> float:
+    def rescue_reserve(self) -> float:
         """The balance that early hedges must leave."""
         return RESCUE_RESERVE_SHARE * self.cap()
 
-    def fill(self) -> None:
+    def refill(self) -> None:
         now = self.now()
-        gained = (now - self.filled_at) * self.cap() / self.window
-        self.filled_at = now
+        gained = (now - self.refilled_at) * self.cap() / self.window
+        self.refilled_at = now
         self.balance = min(self.cap(), self.balance + gained)
 
     def earn(self) -> None:
         """Credit one first try."""
-        self.fill()
+        self.refill()
         self.balance = min(self.cap(), self.balance + self.share)
 
     def take(self, keep: float = 0.0) -> bool:
         """Spend one retry, leaving at least ``keep``; False if it cannot."""
-        self.fill()
+        self.refill()
         if self.balance - keep < 1.0:
             return False
         self.balance -= 1.0
--- a/cyclamenlift/calls/intake.py
+++ b/cyclamenlift/calls/intake.py
@@ -6,7 +6,7 @@
 from returns.result import Result
 from returns.result import Success
 
-from cyclamenlift.calls.shares import ShareTurns
+from cyclamenlift.calls.shares import WeightedRoundRobin
 from cyclamenlift.core.clock import MILLISECONDS
 from cyclamenlift.core.codes import ResultCode
 from cyclamenlift.core.problems import Problem
@@ -65,7 +65,7 @@
     exchange: Exchange,
     rules: EventRules | None,
     max_depth: int,
-    turns: ShareTurns,
+    turns: WeightedRoundRobin,
 ) -> Result[Request, Problem]:
     """Validate the head of a request against the event document."""
     if rules is None:
@@ -76,7 +76,7 @@
 
 
 def read_routed(
-    exchange: Exchange, rules: EventRules, turns: ShareTurns
+    exchange: Exchange, rules: EventRules, turns: WeightedRoundRobin
 ) -> Result[Request, Problem]:
     """Validate a request whose service is chosen by a route."""
     dialect = exchange.dialect
--- a/cyclamenlift/calls/keyed.py
+++ b/cyclamenlift/calls/keyed.py
@@ -36,7 +36,7 @@
 }
 
 
-class KeyedEnd:
+class ClaimHolder:
     """Claims the key of one call and ends the claim exactly once."""
 
     def __init__(self, call: 'Call'):
@@ -106,7 +106,7 @@
         )
         self.end(ClaimEnding.ANSWERED, answer)
 
-    def unknown(self) -> None:
+    def mark_unknown(self) -> None:
         self.end(ClaimEnding.UNKNOWN, None)
 
     def settle(self, problem: Problem) -> bool:
@@ -119,14 +119,14 @@
         if not self.held:
             return False
         if not is_not_run(problem.code):
-            self.unknown()
+            self.mark_unknown()
             return False
-        self.end(ClaimEnding.RELEASED, None, lambda _done: self.tell(problem))
+        self.end(ClaimEnding.RELEASED, None, lambda _done: self.reply(problem))
         return True
 
-    def tell(self, problem: Problem) -> None:
+    def reply(self, problem: Problem) -> None:
         if not self.call.answered:
-            self.call.say(problem)
+            self.call.send_problem(problem)
 
     def end(
         self,
--- a/cyclamenlift/calls/life.py
+++ b/cyclamenlift/calls/life.py
@@ -5,7 +5,7 @@
 from cyclamenlift.calls.answers import answer_headers
 from cyclamenlift.calls.attempt import Try
 from cyclamenlift.calls.intake import Request
-from cyclamenlift.calls.keyed import KeyedEnd
+from cyclamenlift.calls.keyed import ClaimHolder
 from cyclamenlift.calls.nested import Parent
 from cyclamenlift.calls.relay import Relay
 from cyclamenlift.calls.relay import relay_headers
@@ -63,7 +63,7 @@
         self.tries = Tries(self)
         self.relay: Relay | None = None
         self.fallback: Try | None = None
-        self.keyed: KeyedEnd | None = None
+        self.claim_holder: ClaimHolder | None = None
         self.answered = False
         self.status = 0
         self.service_seconds: float | None = None
@@ -114,8 +114,8 @@
         self.body.clear()
         self.fingerprint = self.hash.digest()
         if self.request.key:
-            self.keyed = KeyedEnd(self)
-            self.keyed.claim()
+            self.claim_holder = ClaimHolder(self)
+            self.claim_holder.claim()
             return
         self.tries.start()
 
@@ -129,17 +129,17 @@
         """
         self.tries.forget(attempt)
         now = self.calls.now()
-        self.note_trail(attempt, ending, now)
+        self.record_trail(attempt, ending, now)
         step = self.state.try_ended(ending, now)
         if step is Step.ANSWER:
-            self.answer_whole(attempt)
-        self.tries.tell_routing(attempt, outcome)
+            self.respond_buffered(attempt)
+        self.tries.report_outcome(attempt, outcome)
         if step is Step.RETRY:
             self.tries.start()
         elif step is Step.GIVE_UP:
             self.finish_failed()
 
-    def note_trail(self, attempt: Try, ending: Ending, now: float) -> None:
+    def record_trail(self, attempt: Try, ending: Ending, now: float) -> None:
         """Record how a try ended, for the log line of the call."""
         milliseconds = int((now - attempt.started_at) * MILLISECONDS)
         pace = f' begun at {attempt.pace_percent}%'
@@ -192,7 +192,7 @@
         self.end_unknown(attempt, Outcome.CANCELLED, code)
 
     def on_link_lost(self, attempt: Try) -> None:
-        if attempt.never_left():
+        if attempt.was_never_sent():
             self.end_unsent(attempt)
             return
         self.end_unknown(attempt, Outcome.LOST, ResultCode.PEER_LOST)
@@ -206,7 +206,7 @@
     ) -> None:
         if self.relay is not None and self.relay.attempt is attempt:
             self.tries.drop(attempt, outcome)
-            self.break_off()
+            self.abort_relay()
             return
         ending = Ending(EndKind.UNKNOWN, code, detail=detail)
         self.end_try(attempt, outcome, ending)
@@ -221,8 +221,8 @@
         attempt.headers = answer.headers
         attempt.length = answer.body_length
         if answer.body:
-            attempt.gathered.append(answer.body)
-            attempt.gathered_size = len(answer.body)
+            attempt.buffered.append(answer.body)
+            attempt.buffered_size = len(answer.body)
         if answer.body_complete:
             self.end_answered(attempt)
         elif answer.body_length > self.request.rule.whole_answer_bytes:
@@ -233,11 +233,11 @@
             self.relay_body(attempt, chunk)
             return
         if chunk.data:
-            attempt.gathered.append(chunk.data)
-            attempt.gathered_size += len(chunk.data)
+            attempt.buffered.append(chunk.data)
+            attempt.buffered_size += len(chunk.data)
         if chunk.last:
             self.end_answered(attempt)
-        elif attempt.gathered_size > self.request.rule.whole_answer_bytes:
+        elif attempt.buffered_size > self.request.rule.whole_answer_bytes:
             self.start_relay(attempt)
         else:
             self.calls.credit(attempt, len(chunk.data))
@@ -245,7 +245,7 @@
     def end_answered(self, attempt: Try) -> None:
         """Handle a whole answer; an idempotent call may retry an error."""
         failed = attempt.status >= SERVER_ERROR
-        if attempt.length >= 0 and attempt.gathered_size != attempt.length:
+        if attempt.length >= 0 and attempt.buffered_size != attempt.length:
             # The answer to HEAD announces a length without a body.
             if self.exchange.method != 'HEAD':
                 code = ResultCode.BAD_TARGET_ANSWER
@@ -254,23 +254,23 @@
         if not failed:
             self.calls.quarantine.note_answer(self.service, self.fingerprint)
         outcome = Outcome.TARGET_ERROR if failed else Outcome.ANSWERED
-        retry = failed and not self.refused_deeper(attempt)
+        retry = failed and not self.overloaded_downstream(attempt)
         if retry:
             self.fallback = attempt
         kind = EndKind.TARGET_ERROR if retry else EndKind.ANSWERED
         self.end_try(attempt, outcome, Ending(kind))
 
-    def refused_deeper(self, attempt: Try) -> bool:
+    def overloaded_downstream(self, attempt: Try) -> bool:
         """Return whether a service further downstream was overloaded.
 
         Retrying at every level of a call chain would multiply the load.
         """
         return any(h.name == OVERLOAD_HEADER for h in attempt.headers)
 
-    def answer_whole(self, attempt: Try) -> None:
-        body = b''.join(attempt.gathered)
-        if self.keyed is not None:
-            self.keyed.record(attempt, body)
+    def respond_buffered(self, attempt: Try) -> None:
+        body = b''.join(attempt.buffered)
+        if self.claim_holder is not None:
+            self.claim_holder.record(attempt, body)
         headers = relay_headers(attempt)
         self.respond(ResultCode.ANSWERED, attempt.status, headers, body)
 
@@ -293,16 +293,16 @@
             self.relay.send(chunk.data)
         if not chunk.last:
             return
-        if self.keyed is not None:
-            self.keyed.record(attempt, None)
+        if self.claim_holder is not None:
+            self.claim_holder.record(attempt, None)
         self.tries.drop(attempt, Outcome.ANSWERED)
         if not self.caller_gone:
             self.relay.finish()
         self.close(ResultCode.ANSWERED)
 
-    def break_off(self) -> None:
-        if self.keyed is not None:
-            self.keyed.unknown()
+    def abort_relay(self) -> None:
+        if self.claim_holder is not None:
+            self.claim_holder.mark_unknown()
         if not self.caller_gone:
             self.relay.abort()
         self.close(ResultCode.TARGET_BROKE_OFF)
@@ -316,7 +316,7 @@
         reporting "not run" after it would be wrong.
         """
         if self.fallback is not None:
-            self.answer_whole(self.fallback)
+            self.respond_buffered(self.fallback)
             return
         code = self.state.final_code()
         self.give_up(Problem(code, '', '', '', self.state.retry_after_ms))
@@ -325,9 +325,9 @@
         if self.answered:
             return
         if self.fallback is not None:
-            self.answer_whole(self.fallback)
+            self.respond_buffered(self.fallback)
             return
-        code = self.state.deadline_code(self.tries.none_left())
+        code = self.state.deadline_code(self.tries.none_sent())
         self.tries.cancel(Outcome.TIMEOUT)
         self.give_up(Problem(code))
 
@@ -340,11 +340,11 @@
         if self.answered:
             return
         self.state.done = True
-        if self.keyed is not None and self.keyed.settle(problem):
+        if self.claim_holder is not None and self.claim_holder.settle(problem):
             return
-        self.say(problem)
+        self.send_problem(problem)
 
-    def say(self, problem: Problem) -> None:
+    def send_problem(self, problem: Problem) -> None:
         headers = problem_headers(problem, self.exchange.dialect)
         if problem.code in OVERLOAD_CODES:
             headers.append((OVERLOAD_HEADER, 'here'))
@@ -379,9 +379,9 @@
         self.reserved = 0
         self.whole_body = b''
         self.calls.finished(self, code)
-        self.let_go()
+        self.release_references()
 
-    def let_go(self) -> None:
+    def release_references(self) -> None:
         """Break the reference cycles through this call.
 
         Its objects are then freed at once, instead of by the cyclic garbage
@@ -399,7 +399,7 @@
         A keyed call continues, so that its outcome is recorded.
         """
         self.caller_gone = True
-        if self.answered or self.keyed is not None:
+        if self.answered or self.claim_holder is not None:
             return
         self.tries.cancel(Outcome.CANCELLED)
         self.close(ResultCode.CANCELLED_NOT_RUN)
--- a/cyclamenlift/calls/relay.py
+++ b/cyclamenlift/calls/relay.py
@@ -20,22 +20,22 @@
     def __init__(self, exchange: Exchange, attempt: Try):
         self.exchange = exchange
         self.attempt = attempt
-        self.owed = 0
+        self.uncredited = 0
 
     def start(self) -> None:
         attempt = self.attempt
         length = attempt.length if attempt.length >= 0 else None
         self.exchange.on_drained = self.on_drained
         self.exchange.start(attempt.status, relay_headers(attempt), length)
-        waiting = b''.join(attempt.gathered)
-        attempt.gathered.clear()
+        waiting = b''.join(attempt.buffered)
+        attempt.buffered.clear()
         if waiting:
             self.send(waiting)
 
     def send(self, data: bytes) -> None:
         """Forward data; credit is granted as the caller reads it."""
         self.exchange.send(data)
-        self.owed += len(data)
+        self.uncredited += len(data)
         if self.exchange.pending < WINDOW_BYTES:
             self.give_credit()
 
@@ -43,9 +43,9 @@
         self.give_credit()
 
     def give_credit(self) -> None:
-        if self.owed:
-            credit = Credit(self.attempt.number, self.owed)
-            self.owed = 0
+        if self.uncredited:
+            credit = Credit(self.attempt.number, self.uncredited)
+            self.uncredited = 0
             self.attempt.link.send(credit)
 
     def finish(self) -> None:
--- a/cyclamenlift/calls/returning.py
+++ b/cyclamenlift/calls/returning.py
@@ -27,7 +27,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class TimesSeen:
+class RecentTimeouts:
     """The timeouts stated by the latest callers of a route, in ms."""
 
     last: collections.deque[int] = dataclasses.field(
@@ -37,9 +37,9 @@
         default_factory=collections.Counter
     )
 
-    def note(self, asked_ms: int) -> None:
-        self.last.append(asked_ms)
-        self.counts[asked_ms] += 1
+    def note(self, timeout_ms: int) -> None:
+        self.last.append(timeout_ms)
+        self.counts[timeout_ms] += 1
         if len(self.last) > MAX_REMEMBERED:
             oldest = self.last.popleft()
             self.counts[oldest] -= 1
@@ -54,26 +54,26 @@
         return value if count >= MIN_USUAL_SHARE * len(self.last) else 0
 
 
-class UsualTimes:
+class UsualTimeouts:
     """The usual timeout of the callers of each route."""
 
     def __init__(self) -> None:
-        self.routes: dict[Hashable, TimesSeen] = {}
+        self.routes: dict[Hashable, RecentTimeouts] = {}
 
-    def used_up(self, route: Hashable, asked_ms: int) -> int:
+    def elapsed_ms(self, route: Hashable, timeout_ms: int) -> int:
         """Record a caller's timeout; return the ms already used up.
 
-        >>> times = UsualTimes()
-        >>> [times.used_up('r', 1000) for _ in range(9)][-1]
+        >>> times = UsualTimeouts()
+        >>> [times.elapsed_ms('r', 1000) for _ in range(9)][-1]
         0
-        >>> times.used_up('r', 850)
+        >>> times.elapsed_ms('r', 850)
         150
         """
         seen = self.routes.get(route)
         if seen is None:
-            seen = self.routes[route] = TimesSeen()
-        seen.note(asked_ms)
-        return max(0, seen.usual() - asked_ms)
+            seen = self.routes[route] = RecentTimeouts()
+        seen.note(timeout_ms)
+        return max(0, seen.usual() - timeout_ms)
 
     def keep_only(self, routes: set[str]) -> None:
         """Drop all other routes."""
--- a/cyclamenlift/calls/shares.py
+++ b/cyclamenlift/calls/shares.py
@@ -5,7 +5,7 @@
 from cyclamenlift.models.rules import RouteRule
 
 
-class ShareTurns:
+class WeightedRoundRobin:
     """Smooth weighted round robin over the services of each route.
 
     On each request every service earns its weight; the one with the highest
@@ -26,7 +26,7 @@
         earned = self.earned.get(route.name)
         names = {share.service for share in route.shares}
         if earned is None or set(earned) != names:
-            earned = self.first_turns(route)
+            earned = self.initial_balances(route)
             self.earned[route.name] = earned
         total = 0
         for share in route.shares:
@@ -37,7 +37,7 @@
         earned[best] -= total
         return best
 
-    def first_turns(self, route: RouteRule) -> dict[str, float]:
+    def initial_balances(self, route: RouteRule) -> dict[str, float]:
         """Return a random position in the round-robin cycle."""
         return {
             share.service: share.weight * self.rng.random()
--- a/cyclamenlift/calls/state.py
+++ b/cyclamenlift/calls/state.py
@@ -81,13 +81,13 @@
     retry_after_ms: int = 0
     done: bool = False
     gate_refusals_free: bool = False
-    asked: int = 0
+    gates_asked: int = 0
     ended_targets: int = 0
 
     def try_started(self) -> None:
-        if self.asked == 0:
+        if self.gates_asked == 0:
             self.budget.earn()
-        self.asked += 1
+        self.gates_asked += 1
         self.tries += 1
         self.open_tries += 1
 
@@ -116,7 +116,7 @@
         if ending.kind is EndKind.ANSWERED:
             return Step.ANSWER
         if ending.code == ResultCode.REQUEST_QUARANTINED:
-            self.set_aside(ending.retry_after_ms)
+            self.mark_quarantined(ending.retry_after_ms)
         if self.is_free_refusal(ending):
             self.tries -= 1
         if ending.kind is not EndKind.TARGET_ERROR:
@@ -149,7 +149,7 @@
             self.ended_targets += 1
         self.last_code = ending.code
 
-    def set_aside(self, retry_after_ms: int) -> None:
+    def mark_quarantined(self, retry_after_ms: int) -> None:
         """Mark the call as quarantined, so that no other target is tried.
 
         This replaces the retry delays of gates without free slots.
@@ -167,7 +167,7 @@
         if ending.kind is not EndKind.NOT_RUN and not self.idempotent:
             return False
         if self.is_free_refusal(ending):
-            return self.asked < MAX_GATES_ASKED
+            return self.gates_asked < MAX_GATES_ASKED
         if ending.kind is EndKind.NOT_RUN and ending.code in UNCHARGED_CODES:
             return True
         return self.budget.take()
--- a/cyclamenlift/calls/tasks.py
+++ b/cyclamenlift/calls/tasks.py
@@ -18,8 +18,8 @@
 from cyclamenlift.calls.life import as_headers
 from cyclamenlift.calls.life import Call
 from cyclamenlift.calls.nested import Parent
-from cyclamenlift.calls.returning import UsualTimes
-from cyclamenlift.calls.shares import ShareTurns
+from cyclamenlift.calls.returning import UsualTimeouts
+from cyclamenlift.calls.shares import WeightedRoundRobin
 from cyclamenlift.calls.tries import MAX_PACE_CHECKS
 from cyclamenlift.core.clock import MICROSECONDS
 from cyclamenlift.core.clock import MILLISECONDS
@@ -88,14 +88,14 @@
         self.instance = instance
         self.max_depth = max_depth
         self.own_service = own_service
-        self.turns = ShareTurns(routing.rng)
-        self.times = UsualTimes()
+        self.turns = WeightedRoundRobin(routing.rng)
+        self.usual_timeouts = UsualTimeouts()
         self.quarantine = Quarantine(scheduler)
         self.boot = uuid.uuid4().hex[:12]
         self.numbers = itertools.count(1)
         self.body_budget = BodyBudget(body_budget)
         self.retry_budgets: dict[str, RetryBudget | SharedRetryBudget] = {}
-        self.make_budget: Callable[[], SharedRetryBudget] | None = None
+        self.budget_factory: Callable[[], SharedRetryBudget] | None = None
         self.entries = 1
         self.max_pace_checks = MAX_PACE_CHECKS
         self.rules: EventRules | None = None
@@ -126,53 +126,55 @@
         if rules.routes is not None:
             names = {route.name for route in rules.routes.routes}
             self.turns.keep_only(names)
-            self.times.keep_only(names)
+            self.usual_timeouts.keep_only(names)
 
     def take(self, exchange: Exchange) -> None:
         """Accept a request from the HTTP server."""
         result = read_request(exchange, self.rules, self.max_depth, self.turns)
         if not isinstance(result, Success):
-            self.refuse(exchange, self.unless_behind(result.failure()))
+            self.refuse(exchange, self.unless_rules_behind(result.failure()))
             return
         request = result.unwrap()
         parent = self.parent_of(request.call_id)
         request.nested = self.is_nested(exchange, parent)
-        self.note_return(request)
+        self.detect_return(request)
         if not request.call_id:
             request.call_id = self.new_call_id()
         call = Call(self, exchange, request)
         self.open_calls.add(call)
         if parent is not None:
-            self.note_parent(call, parent)
+            self.link_parent(call, parent)
         call.begin()
         self.send_probes(call.service)
 
-    def note_return(self, request: Request) -> None:
+    def detect_return(self, request: Request) -> None:
         """Bring the objective nearer by the time an earlier try used up."""
         if request.nested or not request.asked_ms:
             return
-        used_ms = self.times.used_up(request.route_name, request.asked_ms)
+        used_ms = self.usual_timeouts.elapsed_ms(
+            request.route_name, request.asked_ms
+        )
         request.returned = used_ms > 0
         request.objective_deadline -= used_ms / MILLISECONDS
 
-    def note_entries(self, entries: int) -> None:
+    def set_entries(self, entries: int) -> None:
         """Divide the retry budgets among all entries, with this one."""
         self.entries = entries
-        if self.make_budget is not None:
+        if self.budget_factory is not None:
             for budget in self.retry_budgets.values():
                 budget.set_members(entries)
 
-    def note_parent(self, call: Call, parent: Parent) -> None:
+    def link_parent(self, call: Call, parent: Parent) -> None:
         """Link a nested call to its parent call.
 
         A nested call counts as a repeat if its parent is one.
         """
         call.parent = parent
         parent.nested_began()
-        if parent.repeated and self.make_budget is not None:
+        if parent.repeated and self.budget_factory is not None:
             call.state.budget.debit(1.0)
 
-    def unless_behind(self, problem: Problem) -> Problem:
+    def unless_rules_behind(self, problem: Problem) -> Problem:
         """Return the problem, or RULES_BEHIND if newer rules are coming.
 
         A service or route that the current rules lack may be in the newer
@@ -255,8 +257,8 @@
         """Return log fields on a request and its quarantine reports."""
         fields: dict[str, object] = {'fingerprint': call.fingerprint.hex()}
         if code is ResultCode.REQUEST_QUARANTINED:
-            judgement = self.quarantine.judge(call.service, call.fingerprint)
-            fields['reports'] = list(judgement.report_ids)
+            assessment = self.quarantine.assess(call.service, call.fingerprint)
+            fields['reports'] = list(assessment.report_ids)
         return fields
 
     def next_number(self) -> int:
@@ -274,14 +276,14 @@
         if budget is None:
             budget = self.new_budget(rule)
             self.retry_budgets[rule.name] = budget
-        if self.make_budget is None:
+        if self.budget_factory is None:
             budget.share = rule.retry_share
         return budget
 
     def new_budget(self, rule: ServiceRule) -> RetryBudget | SharedRetryBudget:
-        if self.make_budget is None:
+        if self.budget_factory is None:
             return RetryBudget(rule.retry_share)
-        budget = self.make_budget()
+        budget = self.budget_factory()
         budget.set_members(self.entries)
         return budget
 
@@ -345,9 +347,9 @@
     def on_load_news(self, link, news: LoadNews) -> None:
         """Store a load change that a gate sent unsolicited."""
         if link.hello is not None and news.load is not None:
-            self.note_news(link.hello.instance, news.load)
+            self.note_load_change(link.hello.instance, news.load)
 
-    def note_news(self, instance: str, load: LoadFigures) -> None:
+    def note_load_change(self, instance: str, load: LoadFigures) -> None:
         record = self.routing.records.get(instance)
         if record is None:
             return
@@ -388,7 +390,7 @@
     def on_broken(self, link, broken: Broken) -> None:
         if broken.end is not None:
             # Must precede the retry of the call that broke off.
-            self.quarantine.on_told(broken.end)
+            self.quarantine.on_report(broken.end)
         found = self.find(link, broken.call_id)
         if found is not None:
             call, attempt = found
--- a/cyclamenlift/calls/tries.py
+++ b/cyclamenlift/calls/tries.py
@@ -8,7 +8,7 @@
 from cyclamenlift.core.clock import MICROSECONDS
 from cyclamenlift.core.clock import MILLISECONDS
 from cyclamenlift.core.clock import time_left
-from cyclamenlift.quarantine.state import Standing
+from cyclamenlift.quarantine.state import QuarantineStatus
 from cyclamenlift.routing.hedging import latest_hedge_time
 from cyclamenlift.routing.messages import CallProfile
 from cyclamenlift.routing.messages import Choice
@@ -63,13 +63,13 @@
         if rescue:
             excluded = frozenset(t.instance for t in self.open.values())
         quarantine = self.calls.quarantine
-        judgement = quarantine.judge(self.service, call.fingerprint)
-        if judgement.standing is not Standing.CLEAR and hedge:
+        assessment = quarantine.assess(self.service, call.fingerprint)
+        if assessment.status is not QuarantineStatus.CLEAR and hedge:
             return
-        if judgement.standing is Standing.QUARANTINED:
-            self.set_aside(judgement.until - now)
+        if assessment.status is QuarantineStatus.QUARANTINED:
+            self.refuse_quarantined(assessment.until - now)
             return
-        choice = self.choose(now, excluded, judgement.standing)
+        choice = self.choose(now, excluded, assessment.status)
         if choice is None or (hedge and choice.hot and not rescue):
             if not self.open:
                 call.finish_failed()
@@ -93,7 +93,7 @@
         self.open.pop(attempt.number, None)
         self.calls.tries.pop(attempt.number, None)
 
-    def tell_routing(self, attempt: Try, outcome: Outcome) -> None:
+    def report_outcome(self, attempt: Try, outcome: Outcome) -> None:
         """Report the end of a try to the estimate of its target."""
         now = self.calls.now()
         seconds = now - attempt.started_at
@@ -103,7 +103,7 @@
 
     def drop(self, attempt: Try, outcome: Outcome) -> None:
         self.forget(attempt)
-        self.tell_routing(attempt, outcome)
+        self.report_outcome(attempt, outcome)
 
     def cancel(self, outcome: Outcome, except_for: Try | None = None) -> None:
         """Cancel the open tries that are no longer needed.
@@ -119,7 +119,7 @@
             self.call.state.open_tries -= 1
             if not attempt.withdraw():
                 attempt.link.send(Cancel(attempt.number))
-            self.tell_routing(attempt, outcome)
+            self.report_outcome(attempt, outcome)
 
     def close(self) -> None:
         """Stop hedging and drop the reference to the finished call."""
@@ -127,17 +127,17 @@
             self.hedge_timer.cancel()
         self.call = None
 
-    def set_aside(self, wait: float) -> None:
+    def refuse_quarantined(self, wait: float) -> None:
         """End a quarantined call, which must not be sent to a target."""
         call = self.call
-        call.state.set_aside(int(wait * MILLISECONDS))
+        call.state.mark_quarantined(int(wait * MILLISECONDS))
         if not self.open:
             call.finish_failed()
 
     # -- queries ----------------------------------------------------------
 
     def choose(
-        self, now: float, excluded: frozenset[str], standing: Standing
+        self, now: float, excluded: frozenset[str], status: QuarantineStatus
     ) -> Choice | None:
         """Return where to send the call next, or None.
 
@@ -145,16 +145,16 @@
         that it ends only one target at a time if it is harmful.
         """
         routing = self.calls.routing
-        if standing is Standing.SUSPECT:
+        if status is QuarantineStatus.SUSPECT:
             fingerprint = self.call.fingerprint
-            return routing.home(
+            return routing.choose_by_hash(
                 self.service, now, excluded, self.profile(), fingerprint
             )
         return routing.choose(self.service, now, excluded, self.profile())
 
-    def none_left(self) -> bool:
+    def none_sent(self) -> bool:
         """Return whether none of the open tries was sent at all."""
-        return all(attempt.never_left() for attempt in self.open.values())
+        return all(attempt.was_never_sent() for attempt in self.open.values())
 
     def profile(self) -> CallProfile:
         """Return the properties of the call for the choice of a target."""
@@ -189,7 +189,7 @@
             nested=request.nested,
             returned=request.returned,
             route_name=request.route_name,
-            repeated=call_was_sent(self.call),
+            repeated=may_have_been_sent(self.call),
             fingerprint=self.call.fingerprint,
             sent_at_us=int(machine_seconds() * MICROSECONDS),
         )
@@ -203,7 +203,7 @@
         state = self.call.state
         if (
             not state.gate_refusals_free
-            or state.asked >= self.calls.max_pace_checks
+            or state.gates_asked >= self.calls.max_pace_checks
         ):
             return 0
         return max(SLOW_PACE, choice.pace_percent)
@@ -240,7 +240,7 @@
             return
         now = self.calls.now()
         rescue = now >= self.rescue_at
-        keep = 0.0 if rescue else self.call.state.budget.kept
+        keep = 0.0 if rescue else self.call.state.budget.rescue_reserve
         if rescue:
             left = time_left(self.call.request.deadline, now)
             self.rescue_at = now + max(MIN_HEDGE_WAIT, left / 3)
@@ -251,6 +251,6 @@
             self.start(hedge=True, rescue=rescue)
 
 
-def call_was_sent(call: 'Call') -> bool:
+def may_have_been_sent(call: 'Call') -> bool:
     """Return whether a target may have received the call already."""
     return call.state.tries > 0
--- a/cyclamenlift/gate/suspects.py
+++ b/cyclamenlift/gate/suspects.py
@@ -3,7 +3,7 @@
 import typing
 
 from cyclamenlift.core.codes import ResultCode
-from cyclamenlift.quarantine.state import Standing
+from cyclamenlift.quarantine.state import QuarantineStatus
 
 if typing.TYPE_CHECKING:
     from cyclamenlift.gate.running import GateCall
@@ -34,17 +34,17 @@
         if not fingerprint:
             return False
         gate = self.gate
-        judgement = gate.quarantine.judge(gate.service, fingerprint)
-        if judgement.standing is Standing.CLEAR:
+        assessment = gate.quarantine.assess(gate.service, fingerprint)
+        if assessment.status is QuarantineStatus.CLEAR:
             return False
-        if judgement.standing is Standing.QUARANTINED:
-            wait = judgement.until - self.gate.now()
+        if assessment.status is QuarantineStatus.QUARANTINED:
+            wait = assessment.until - self.gate.now()
             self.refuse(call, 'targets ended while they ran it', wait)
             return True
         if self.is_running(fingerprint):
             self.refuse(call, 'a suspect that runs here', RUNNING_RETRY)
             return True
-        return judgement.is_trial and self.turn_away_trial(call, fingerprint)
+        return assessment.is_trial and self.turn_away_trial(call, fingerprint)
 
     def turn_away_trial(self, call: 'GateCall', fingerprint: bytes) -> bool:
         """Let one trial through, and others wait until it has shown much."""
--- a/cyclamenlift/quarantine/__init__.py
+++ b/cyclamenlift/quarantine/__init__.py
@@ -2,18 +2,18 @@
 
 from cyclamenlift.quarantine.fingerprints import FINGERPRINT_BYTES
 from cyclamenlift.quarantine.fingerprints import RequestHash
-from cyclamenlift.quarantine.state import Evidence
-from cyclamenlift.quarantine.state import Judgement
+from cyclamenlift.quarantine.state import Assessment
+from cyclamenlift.quarantine.state import EndHistory
+from cyclamenlift.quarantine.state import QuarantineStatus
 from cyclamenlift.quarantine.state import Report
-from cyclamenlift.quarantine.state import Standing
 from cyclamenlift.quarantine.tasks import Quarantine
 
 __all__ = [
-    'Evidence',
+    'Assessment',
+    'EndHistory',
     'FINGERPRINT_BYTES',
-    'Judgement',
     'Quarantine',
+    'QuarantineStatus',
     'Report',
     'RequestHash',
-    'Standing',
 ]
--- a/cyclamenlift/quarantine/queries.py
+++ b/cyclamenlift/quarantine/queries.py
@@ -2,8 +2,8 @@
 
 import dataclasses
 
-from cyclamenlift.quarantine.state import Evidence
-from cyclamenlift.quarantine.state import Standing
+from cyclamenlift.quarantine.state import EndHistory
+from cyclamenlift.quarantine.state import QuarantineStatus
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -20,29 +20,29 @@
     reports: tuple[str, ...]
 
 
-def rows(evidence: Evidence, now: float) -> list[QuarantineRow]:
+def rows(history: EndHistory, now: float) -> list[QuarantineRow]:
     """Return the suspect and quarantined requests, longest time first."""
     found = []
-    for subject in evidence.against:
-        judgement = evidence.judge(subject.service, subject.fingerprint, now)
-        if judgement.standing is Standing.CLEAR:
+    for request in history.ends_by_request:
+        assessment = history.assess(request.service, request.fingerprint, now)
+        if assessment.status is QuarantineStatus.CLEAR:
             continue
-        ends = evidence.counted(subject)
+        ends = history.counted_ends(request)
         found.append(
             QuarantineRow(
-                subject.fingerprint.hex(),
-                subject.service,
-                judgement.standing.value,
-                round(max(0.0, judgement.until - now), 1),
+                request.fingerprint.hex(),
+                request.service,
+                assessment.status.value,
+                round(max(0.0, assessment.until - now), 1),
                 tuple(end.report.report_id for end in ends),
             )
         )
     return sorted(found, key=lambda row: (-row.seconds_left, row.fingerprint))
 
 
-def quarantined(evidence: Evidence, now: float) -> int:
+def quarantined(history: EndHistory, now: float) -> int:
     """Return the number of requests that are quarantined now."""
     return sum(
-        row.standing == Standing.QUARANTINED.value
-        for row in rows(evidence, now)
+        row.standing == QuarantineStatus.QUARANTINED.value
+        for row in rows(history, now)
     )
--- a/cyclamenlift/quarantine/state.py
+++ b/cyclamenlift/quarantine/state.py
@@ -43,7 +43,7 @@
 REPORT_KEY_BYTES = 8
 
 
-class Standing(enum.Enum):
+class QuarantineStatus(enum.Enum):
     """The quarantine status of a request."""
 
     CLEAR = 'clear'
@@ -51,7 +51,7 @@
     QUARANTINED = 'quarantined'
 
 
-class Subject(typing.NamedTuple):
+class ServiceRequest(typing.NamedTuple):
     """A request to one service."""
 
     service: str
@@ -73,9 +73,9 @@
     begun_at: tuple[float, ...] = ()
     lifted: bool = False
 
-    def subjects(self) -> list[Subject]:
+    def requests(self) -> list[ServiceRequest]:
         """Return the requests that the report is about."""
-        return [Subject(self.service, f) for f in self.fingerprints]
+        return [ServiceRequest(self.service, f) for f in self.fingerprints]
 
     @property
     def key(self) -> int:
@@ -87,7 +87,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class End:
+class TargetEnd:
     """One end that counts against one request, with its start time there."""
 
     report: Report
@@ -99,22 +99,22 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Judgement:
+class Assessment:
     """The status of a request; ``until`` is the end of a quarantine.
 
     ``is_trial`` marks a suspect whose quarantine has expired.
     """
 
-    standing: Standing
+    status: QuarantineStatus
     until: float = 0.0
     report_ids: tuple[str, ...] = ()
     is_trial: bool = False
 
 
-CLEAR = Judgement(Standing.CLEAR)
+CLEAR = Assessment(QuarantineStatus.CLEAR)
 
 
-class Evidence:
+class EndHistory:
     """The known ends of targets and the latest answers.
 
     A request is assessed separately for each service, since one service may
@@ -129,26 +129,28 @@
         self.digest = 0
         # The ends that involved each request, oldest first, and the time up to
         # which they no longer count.
-        self.against: dict[Subject, list[End]] = {}
-        self.lifted_at: dict[Subject, float] = {}
+        self.ends_by_request: dict[ServiceRequest, list[TargetEnd]] = {}
+        self.lifted_at: dict[ServiceRequest, float] = {}
         # The services whose targets ended while running a request.
         self.services: dict[bytes, set[str]] = {}
-        self.answered_at: collections.OrderedDict[Subject, float] = (
+        self.answered_at: collections.OrderedDict[ServiceRequest, float] = (
             collections.OrderedDict()
         )
 
     # -- queries ----------------------------------------------------------
 
-    def judge(self, service: str, fingerprint: bytes, now: float) -> Judgement:
+    def assess(
+        self, service: str, fingerprint: bytes, now: float
+    ) -> Assessment:
         """Return the status of a request to a service."""
         services = self.services.get(fingerprint)
         if services is None:
             return CLEAR
-        subject = Subject(service, fingerprint)
-        counted = self.counted(subject)
-        number = self.weight(subject, counted)
+        request = ServiceRequest(service, fingerprint)
+        counted = self.counted_ends(request)
+        number = self.effective_ends(request, counted)
         if number < MIN_ENDS and any(
-            self.is_proven(Subject(other, fingerprint))
+            self.is_proven_harmful(ServiceRequest(other, fingerprint))
             for other in services
             if other != service
         ):
@@ -157,39 +159,46 @@
             number = number + MIN_ENDS if counted else 1
         if not number:
             return CLEAR
-        return sentence(number, counted, now)
+        return assess_ends(number, counted, now)
 
-    def weight(self, subject: Subject, counted: list[End]) -> int:
+    def effective_ends(
+        self, request: ServiceRequest, counted: list[TargetEnd]
+    ) -> int:
         """Return how many ends count against a request at one service."""
-        number = count_separate(counted)
+        number = count_separate_causes(counted)
         if number != MIN_ENDS:
             return number
         far_apart = counted[-1].at - counted[0].at > SUSPECT_SECONDS
-        if far_apart or self.has_company(subject, counted):
+        if far_apart or self.has_common_request(request, counted):
             # Answers by other instances in between are not reported to all, so
             # the request may be harmless.
             return 1
         return number
 
-    def is_proven(self, subject: Subject) -> bool:
-        return self.weight(subject, self.counted(subject)) >= MIN_ENDS
+    def is_proven_harmful(self, request: ServiceRequest) -> bool:
+        return (
+            self.effective_ends(request, self.counted_ends(request))
+            >= MIN_ENDS
+        )
 
-    def counted(self, subject: Subject) -> list[End]:
+    def counted_ends(self, request: ServiceRequest) -> list[TargetEnd]:
         """Return the ends that count against a request, oldest first."""
-        ends = self.against.get(subject, [])
-        since = self.lifted_at.get(subject)
+        ends = self.ends_by_request.get(request, [])
+        since = self.lifted_at.get(request)
         if since is None:
             return ends
         return [end for end in ends if end.at > since]
 
-    def has_company(self, subject: Subject, counted: list[End]) -> bool:
+    def has_common_request(
+        self, request: ServiceRequest, counted: list[TargetEnd]
+    ) -> bool:
         """Return whether another request was running at all of these ends."""
         shared = set(counted[0].report.fingerprints)
         for end in counted[1:]:
             shared.intersection_update(end.report.fingerprints)
-        shared.discard(subject.fingerprint)
+        shared.discard(request.fingerprint)
         first = counted[0].at
-        others = (Subject(subject.service, other) for other in shared)
+        others = (ServiceRequest(request.service, other) for other in shared)
         return any(
             self.lifted_at.get(other, -math.inf) < first for other in others
         )
@@ -205,9 +214,9 @@
         known = set(keys)
         return [r for key, r in self.reports.items() if key not in known]
 
-    def was_answered(self, subject: Subject, now: float) -> bool:
+    def was_answered(self, request: ServiceRequest, now: float) -> bool:
         """Return whether a target has recently answered a request."""
-        answered_at = self.answered_at.get(subject)
+        answered_at = self.answered_at.get(request)
         return answered_at is not None and now - answered_at <= ANSWER_SECONDS
 
     # -- changes ----------------------------------------------------------
@@ -225,25 +234,25 @@
         if report.lifted:
             self.lift(report)
         else:
-            self.accuse(report)
+            self.add_ends(report)
         while len(self.reports) > MAX_REPORTS:
             self.drop(next(iter(self.reports)))
         if report.lifted:
             return []
         return [
-            subject.fingerprint
-            for subject in report.subjects()
-            if self.excuse(subject, now)
+            request.fingerprint
+            for request in report.requests()
+            if self.clear_if_answered(request, now)
         ]
 
-    def accuse(self, report: Report) -> None:
-        for subject, begun_at in zip(
-            report.subjects(), report.begun_at, strict=True
+    def add_ends(self, report: Report) -> None:
+        for request, begun_at in zip(
+            report.requests(), report.begun_at, strict=True
         ):
-            services = self.services.setdefault(subject.fingerprint, set())
-            services.add(subject.service)
-            ends = self.against.setdefault(subject, [])
-            ends.append(End(report, begun_at))
+            services = self.services.setdefault(request.fingerprint, set())
+            services.add(request.service)
+            ends = self.ends_by_request.setdefault(request, [])
+            ends.append(TargetEnd(report, begun_at))
             ends.sort(key=lambda end: end.at)
 
     def lift(self, report: Report) -> None:
@@ -253,22 +262,22 @@
             if not report.service:
                 services = self.services.get(fingerprint, [])
             for service in services:
-                self.clear(Subject(service, fingerprint), report.at)
+                self.clear(ServiceRequest(service, fingerprint), report.at)
 
-    def clear(self, subject: Subject, at: float) -> None:
+    def clear(self, request: ServiceRequest, at: float) -> None:
         """Stop counting ends up to ``at`` against a request."""
-        self.lifted_at[subject] = max(at, self.lifted_at.get(subject, at))
+        self.lifted_at[request] = max(at, self.lifted_at.get(request, at))
 
-    def excuse(self, subject: Subject, now: float) -> bool:
+    def clear_if_answered(self, request: ServiceRequest, now: float) -> bool:
         """Clear a recently answered request; return whether to tell others.
 
         A single end has little effect on a harmless request, so other
         instances are told only if they would quarantine it.
         """
-        if not self.was_answered(subject, now):
+        if not self.was_answered(request, now):
             return False
-        number = count_separate(self.counted(subject))
-        self.clear(subject, now)
+        number = count_separate_causes(self.counted_ends(request))
+        self.clear(request, now)
         return number >= MIN_ENDS
 
     def note_answer(
@@ -278,15 +287,15 @@
 
         Return whether other instances should be told that it is cleared.
         """
-        subject = Subject(service, fingerprint)
+        request = ServiceRequest(service, fingerprint)
         answered = self.answered_at
-        answered[subject] = now
-        answered.move_to_end(subject)
+        answered[request] = now
+        answered.move_to_end(request)
         if len(answered) > MAX_ANSWERS:
             answered.popitem(last=False)
-        if subject not in self.against:
+        if request not in self.ends_by_request:
             return False
-        return self.excuse(subject, now)
+        return self.clear_if_answered(request, now)
 
     def forget_old(self, now: float) -> None:
         """Drop reports older than any quarantine."""
@@ -304,56 +313,58 @@
         self.digest ^= key
         if report.lifted:
             return
-        for subject in report.subjects():
-            ends = self.against[subject]
+        for request in report.requests():
+            ends = self.ends_by_request[request]
             left = [end for end in ends if end.report is not report]
             if left:
-                self.against[subject] = left
+                self.ends_by_request[request] = left
             else:
-                self.forget(subject)
+                self.forget(request)
 
-    def forget(self, subject: Subject) -> None:
-        del self.against[subject]
-        self.lifted_at.pop(subject, None)
-        services = self.services[subject.fingerprint]
-        services.discard(subject.service)
+    def forget(self, request: ServiceRequest) -> None:
+        del self.ends_by_request[request]
+        self.lifted_at.pop(request, None)
+        services = self.services[request.fingerprint]
+        services.discard(request.service)
         if not services:
-            del self.services[subject.fingerprint]
+            del self.services[request.fingerprint]
 
 
-def sentence(number: int, counted: list[End], now: float) -> Judgement:
+def assess_ends(
+    number: int, counted: list[TargetEnd], now: float
+) -> Assessment:
     """Return the status after ``number`` ends; ``counted`` may be empty."""
     last = counted[-1].at if counted else now
     if number < MIN_ENDS:
         young = now - last < SUSPECT_SECONDS
-        return Judgement(Standing.SUSPECT) if young else CLEAR
+        return Assessment(QuarantineStatus.SUSPECT) if young else CLEAR
     seconds = QUARANTINE_SECONDS.get(number, MAX_QUARANTINE_SECONDS)
     if now >= last + seconds:
-        return Judgement(Standing.SUSPECT, is_trial=True)
+        return Assessment(QuarantineStatus.SUSPECT, is_trial=True)
     names = tuple(end.report.report_id for end in counted)
-    return Judgement(Standing.QUARANTINED, last + seconds, names)
+    return Assessment(QuarantineStatus.QUARANTINED, last + seconds, names)
 
 
-def count_separate(ends: list[End]) -> int:
+def count_separate_causes(ends: list[TargetEnd]) -> int:
     """Return how many of the ends, oldest first, had separate causes.
 
     >>> def end(at, begun_at):
-    ...     return End(Report('', '', (), at), begun_at)
-    >>> count_separate([end(1.0, 0.5), end(1.05, 0.5), end(1.2, 0.5)])
+    ...     return TargetEnd(Report('', '', (), at), begun_at)
+    >>> count_separate_causes([end(1.0, 0.5), end(1.05, 0.5), end(1.2, 0.5)])
     2
-    >>> count_separate([end(1.0, 0.5), end(1.05, 1.01)])
+    >>> count_separate_causes([end(1.0, 0.5), end(1.05, 1.01)])
     2
     """
     number = 0
     first = -math.inf
     for end in ends:
-        if is_separate(end, first):
+        if has_separate_cause(end, first):
             number += 1
             first = end.at
     return number
 
 
-def is_separate(end: End, before: float) -> bool:
+def has_separate_cause(end: TargetEnd, before: float) -> bool:
     """Return whether an end had another cause than the one before."""
     apart = end.at - before
     if end.begun_at > before - LATER_START_SECONDS:
@@ -361,10 +372,10 @@
     return apart > SAME_CAUSE_SECONDS
 
 
-def split(items: Iterable, size: int) -> list[tuple]:
+def batched(items: Iterable, size: int) -> list[tuple]:
     """Return the items in batches of at most ``size``, in order.
 
-    >>> split('abc', 2)
+    >>> batched('abc', 2)
     [('a', 'b'), ('c',)]
     """
     rest = iter(items)
--- a/cyclamenlift/quarantine/tasks.py
+++ b/cyclamenlift/quarantine/tasks.py
@@ -13,12 +13,12 @@
 import structlog
 
 from cyclamenlift.core.streams import Address
-from cyclamenlift.quarantine.state import Evidence
-from cyclamenlift.quarantine.state import Judgement
+from cyclamenlift.quarantine.state import Assessment
+from cyclamenlift.quarantine.state import batched
+from cyclamenlift.quarantine.state import EndHistory
+from cyclamenlift.quarantine.state import QuarantineStatus
 from cyclamenlift.quarantine.state import Report
-from cyclamenlift.quarantine.state import split
-from cyclamenlift.quarantine.state import Standing
-from cyclamenlift.quarantine.state import Subject
+from cyclamenlift.quarantine.state import ServiceRequest
 from cyclamenlift.quarantine.wire import from_wire
 from cyclamenlift.quarantine.wire import MAX_FINGERPRINTS
 from cyclamenlift.quarantine.wire import to_wire
@@ -64,13 +64,13 @@
         self.clock = scheduler.clock
         self.instance = instance
         self.rng = rng or random.Random()
-        self.evidence = Evidence()
+        self.history = EndHistory()
         self.network: 'PeerNetwork | None' = None
         self.membership: 'Membership | None' = None
         self.ask_again_at = 0.0
         self.ask_seconds = MIN_ASK_SECONDS
         self.synced = False
-        self.others_know_more = False
+        self.is_missing_reports = False
         self.sync_deadline = 0.0
         self.distrust_deadline = 0.0
 
@@ -82,7 +82,7 @@
         self.distrust_deadline = self.now() + DISTRUST_SECONDS
         network.subscribe(EndsRequest, self.on_request)
         network.subscribe(EndsAnswer, self.on_answer)
-        membership.subscribe_ends(self.on_told, self.on_digest)
+        membership.subscribe_ends(self.on_report, self.on_digest)
         self.scheduler.every(FORGET_SECONDS, self.forget_old)
 
     # -- queries ----------------------------------------------------------
@@ -90,9 +90,9 @@
     def now(self) -> float:
         return self.clock.now()
 
-    def judge(self, service: str, fingerprint: bytes) -> Judgement:
+    def assess(self, service: str, fingerprint: bytes) -> Assessment:
         """Return the status of a request to a service."""
-        return self.evidence.judge(service, fingerprint, self.now())
+        return self.history.assess(service, fingerprint, self.now())
 
     def is_synced(self) -> bool:
         """Return whether the reports that others had at the start are here."""
@@ -103,14 +103,14 @@
 
         If no member has announced any reports, calls must not wait.
         """
-        return self.others_know_more and not self.is_synced()
+        return self.is_missing_reports and not self.is_synced()
 
     # -- commands ---------------------------------------------------------
 
     def note_answer(self, service: str, fingerprint: bytes) -> None:
         """Record that a target ran and answered a request."""
-        if self.evidence.note_answer(service, fingerprint, self.now()):
-            self.plan_lift(service, [fingerprint])
+        if self.history.note_answer(service, fingerprint, self.now()):
+            self.schedule_lift(service, [fingerprint])
 
     def note_end(
         self, service: str, ran: Mapping[bytes, float], incarnation: str
@@ -120,24 +120,24 @@
         ``ran`` maps the requests that it was running to their start times.
         """
         now = self.now()
-        accused = [
+        suspects = [
             (fingerprint, begun_at)
             for fingerprint, begun_at in ran.items()
-            if not self.evidence.was_answered(
-                Subject(service, fingerprint), now
+            if not self.history.was_answered(
+                ServiceRequest(service, fingerprint), now
             )
         ]
         name = f'{self.instance}/{incarnation[:MAX_INCARNATION_LENGTH]}'
         name = f'{name}/{self.clock.unix_ms()}'
         reports = []
-        for number, part in enumerate(split(accused, MAX_FINGERPRINTS)):
+        for number, part in enumerate(batched(suspects, MAX_FINGERPRINTS)):
             fingerprints, begun_at = zip(*part, strict=True)
             report_id = f'{name}/{number}'
             reports.append(
                 Report(report_id, service, fingerprints, now, begun_at)
             )
         for report in reports:
-            self.take(report, FIRST_FANOUT)
+            self.accept(report, FIRST_FANOUT)
         return [to_wire(report, now) for report in reports]
 
     def lift(self, fingerprints: list[bytes], service: str = '') -> None:
@@ -149,28 +149,28 @@
         number = self.rng.getrandbits(48)
         name = f'{self.instance}/lifted/{number:x}'
         for part_number, part in enumerate(
-            split(fingerprints, MAX_FINGERPRINTS)
+            batched(fingerprints, MAX_FINGERPRINTS)
         ):
             report_id = f'{name}/{part_number}'
             report = Report(report_id, service, part, now, lifted=True)
-            self.take(report, FIRST_FANOUT)
+            self.accept(report, FIRST_FANOUT)
 
-    def take(self, report: Report, fanout: int) -> bool:
+    def accept(self, report: Report, fanout: int) -> bool:
         """Store and forward a new report; return False if it is known."""
-        if self.evidence.knows(report):
+        if self.history.knows(report):
             return False
-        cleared = self.evidence.add(report, self.now())
-        self.log_taken(report)
+        cleared = self.history.add(report, self.now())
+        self.log_accepted(report)
         if self.membership is not None:
-            self.membership.set_ends_digest(self.evidence.digest)
-            told = to_wire(report, self.now())
+            self.membership.set_ends_digest(self.history.digest)
+            message = to_wire(report, self.now())
             own = fanout == FIRST_FANOUT
-            self.membership.spread_ends(told, fanout, own)
+            self.membership.spread_ends(message, fanout, own)
         if cleared:
-            self.plan_lift(report.service, cleared)
+            self.schedule_lift(report.service, cleared)
         return True
 
-    def log_taken(self, report: Report) -> None:
+    def log_accepted(self, report: Report) -> None:
         """Log the effect of a report on its requests."""
         names = [f.hex() for f in report.fingerprints]
         if report.lifted:
@@ -182,18 +182,18 @@
             return
         now = self.now()
         for fingerprint in report.fingerprints:
-            judgement = self.evidence.judge(report.service, fingerprint, now)
-            if judgement.standing is Standing.QUARANTINED:
+            assessment = self.history.assess(report.service, fingerprint, now)
+            if assessment.status is QuarantineStatus.QUARANTINED:
                 LOG.warning(
                     'request_quarantined',
                     fingerprint=fingerprint.hex(),
                     service=report.service,
-                    reports=judgement.report_ids,
+                    reports=assessment.report_ids,
                     age_ms=int((now - report.at) * 1000),
-                    seconds_left=round(judgement.until - now, 1),
+                    seconds_left=round(assessment.until - now, 1),
                 )
 
-    def plan_lift(self, service: str, fingerprints: list[bytes]) -> None:
+    def schedule_lift(self, service: str, fingerprints: list[bytes]) -> None:
         """Report that requests were answered, unless another instance does."""
         planned_at = self.now()
 
@@ -217,30 +217,32 @@
             and report.service in ('', service)
             and report.at >= since - MAX_LIFT_DELAY
             and fingerprint in report.fingerprints
-            for report in reversed(self.evidence.reports.values())
+            for report in reversed(self.history.reports.values())
         )
 
     def forget_old(self) -> None:
-        self.evidence.forget_old(self.now())
+        self.history.forget_old(self.now())
         if self.membership is not None:
-            self.membership.set_ends_digest(self.evidence.digest)
+            self.membership.set_ends_digest(self.history.digest)
 
     # -- messages ---------------------------------------------------------
 
-    def on_told(self, told: EndReport, fanout: int = FORWARD_FANOUT) -> bool:
+    def on_report(
+        self, message: EndReport, fanout: int = FORWARD_FANOUT
+    ) -> bool:
         """Handle a report of a peer; return whether it was new."""
-        report = from_wire(told, self.now())
+        report = from_wire(message, self.now())
         if report is None:
-            LOG.warning('report_unsound', report=str(told)[:200])
+            LOG.warning('report_unsound', report=str(message)[:200])
             return False
-        return self.take(report, fanout)
+        return self.accept(report, fanout)
 
     def on_digest(self, seen: 'DigestSeen') -> None:
         """Compare a peer's digest with the local one."""
-        if seen.digest == self.evidence.digest:
-            self.note_same(seen)
+        if seen.digest == self.history.digest:
+            self.on_same_digest(seen)
             return
-        self.others_know_more = True
+        self.is_missing_reports = True
         now = self.now()
         if now < self.ask_again_at:
             return
@@ -252,9 +254,9 @@
             return
         self.ask_again_at = now + self.ask_seconds
         self.ask_seconds = min(MAX_ASK_SECONDS, 2 * self.ask_seconds)
-        self.network.send(address, EndsRequest(self.evidence.keys()))
+        self.network.send(address, EndsRequest(self.history.keys()))
 
-    def note_same(self, seen: 'DigestSeen') -> None:
+    def on_same_digest(self, seen: 'DigestSeen') -> None:
         """Handle a peer whose digest equals the local one.
 
         Daemons that start together have no reports at first; control instances
@@ -266,7 +268,7 @@
 
     def on_request(self, link: 'Link', request: EndsRequest) -> None:
         """Send a peer the reports that it lacks, the newest first."""
-        unknown = self.evidence.unknown_to(request.known or ())
+        unknown = self.history.unknown_to(request.known or ())
         unknown.sort(key=lambda report: report.at, reverse=True)
         now = self.now()
         given = [to_wire(report, now) for report in unknown[:MAX_REPORTS_SENT]]
@@ -274,7 +276,7 @@
 
     def on_answer(self, _link: 'Link', answer: EndsAnswer) -> None:
         """Store a peer's reports, which other members have as well."""
-        news = [self.on_told(told, 0) for told in answer.reports or ()]
+        news = [self.on_report(message, 0) for message in answer.reports or ()]
         if any(news):
             self.ask_seconds = MIN_ASK_SECONDS
             self.ask_again_at = 0.0
--- a/cyclamenlift/quarantine/wire.py
+++ b/cyclamenlift/quarantine/wire.py
@@ -28,18 +28,18 @@
     )
 
 
-def from_wire(told: EndReport, now: float) -> Report | None:
+def from_wire(message: EndReport, now: float) -> Report | None:
     """Return a peer's report, or None if it is invalid."""
-    if not is_sound(told):
+    if not is_valid(message):
         return None
-    at = now - told.age_ms / MILLISECONDS
+    at = now - message.age_ms / MILLISECONDS
     return Report(
-        told.report_id,
-        told.service_name,
-        tuple(told.fingerprints),
+        message.report_id,
+        message.service_name,
+        tuple(message.fingerprints),
         at,
-        tuple(at - ran_ms / MILLISECONDS for ran_ms in told.ran_ms or ()),
-        bool(told.lifted),
+        tuple(at - ran_ms / MILLISECONDS for ran_ms in message.ran_ms or ()),
+        bool(message.lifted),
     )
 
 
@@ -47,26 +47,26 @@
     return min(MAX_AGE_MS, max(0, int(seconds * MILLISECONDS)))
 
 
-def is_sound(told: EndReport) -> bool:
+def is_valid(message: EndReport) -> bool:
     """Return whether a report from the network is valid."""
     return (
-        isinstance(told.report_id, str)
-        and 0 < len(told.report_id) <= MAX_TEXT_LENGTH
-        and isinstance(told.service_name, str)
-        and len(told.service_name) <= MAX_TEXT_LENGTH
-        and isinstance(told.age_ms, int)
-        and 0 <= told.age_ms <= MAX_AGE_MS
-        and isinstance(told.fingerprints, list)
-        and len(told.fingerprints) <= MAX_FINGERPRINTS
-        and all(is_fingerprint(f) for f in told.fingerprints)
-        and (bool(told.lifted) or fits_times(told))
+        isinstance(message.report_id, str)
+        and 0 < len(message.report_id) <= MAX_TEXT_LENGTH
+        and isinstance(message.service_name, str)
+        and len(message.service_name) <= MAX_TEXT_LENGTH
+        and isinstance(message.age_ms, int)
+        and 0 <= message.age_ms <= MAX_AGE_MS
+        and isinstance(message.fingerprints, list)
+        and len(message.fingerprints) <= MAX_FINGERPRINTS
+        and all(is_fingerprint(f) for f in message.fingerprints)
+        and (bool(message.lifted) or has_valid_times(message))
     )
 
 
-def fits_times(told: EndReport) -> bool:
+def has_valid_times(message: EndReport) -> bool:
     """Return whether there is one valid time for each request that ran."""
-    times = told.ran_ms or []
-    return len(times) == len(told.fingerprints) and all(
+    times = message.ran_ms or []
+    return len(times) == len(message.fingerprints) and all(
         isinstance(ran_ms, int) and ran_ms >= 0 for ran_ms in times
     )
 
--- a/cyclamenlift/routing/state.py
+++ b/cyclamenlift/routing/state.py
@@ -160,7 +160,7 @@
         picked = self.apply_slow_start(state, usable, picked, now, profile)
         return self.build_choice(group, picked, now, profile)
 
-    def home(
+    def choose_by_hash(
         self,
         service: str,
         now: float,
--- a/cyclamenlift/runtime/admin.py
+++ b/cyclamenlift/runtime/admin.py
@@ -46,7 +46,7 @@
             names = order.unwrap().fingerprints
             self.node.quarantine.lift([bytes.fromhex(n) for n in names])
         kept = self.node.quarantine
-        found = rows(kept.evidence, kept.now())
+        found = rows(kept.history, kept.now())
         return json_answer(
             {'requests': [dataclasses.asdict(row) for row in found]}
         )
--- a/cyclamenlift/runtime/daemon.py
+++ b/cyclamenlift/runtime/daemon.py
@@ -142,7 +142,7 @@
         )
         calls.quarantine = self.quarantine
         if self.settings.retry_slack:
-            calls.make_budget = self.make_retry_budget
+            calls.budget_factory = self.make_retry_budget
         return calls
 
     def make_retry_budget(self) -> SharedRetryBudget:
@@ -248,7 +248,9 @@
             self.gate.slots_hooks.append(self.on_slots)
             self.calls.parent_of = self.gate.parent_of
             self.gate.news.hooks.append(
-                lambda load: self.calls.note_news(self.settings.instance, load)
+                lambda load: self.calls.note_load_change(
+                    self.settings.instance, load
+                )
             )
         self.network.subscribe(BodyChunk, self.on_body_chunk)
         self.network.subscribe(Credit, self.on_credit)
@@ -329,7 +331,7 @@
             return
         self.on_daemon(record)
         self.routing.note_member(record, self.scheduler.clock.now())
-        self.calls.note_entries(len(self.routing.records))
+        self.calls.set_entries(len(self.routing.records))
 
     def on_daemon(self, record: MemberRecord) -> None:
         """Ask no daemon as a control instance, though it may be a seed."""
--- a/cyclamenlift/runtime/mechanisms.py
+++ b/cyclamenlift/runtime/mechanisms.py
@@ -201,7 +201,7 @@
 
 @mechanism('time_used_up', 'counts the objective from the first try')
 def without_time_used_up(node: 'DaemonNode') -> None:
-    node.calls.note_return = lambda _request: None
+    node.calls.detect_return = lambda _request: None
 
 
 @mechanism('quick_join', 'asks for the other members soon after a start')
--- a/cyclamenlift/runtime/observing.py
+++ b/cyclamenlift/runtime/observing.py
@@ -65,7 +65,7 @@
         kept = node.quarantine
         watch(
             'cyclamenlift.requests.quarantined',
-            lambda: quarantined(kept.evidence, kept.now()),
+            lambda: quarantined(kept.history, kept.now()),
         )
         if node.gate is not None:
             self.watch_gate(node.gate)
--- a/tests/calls/test_shares.py
+++ b/tests/calls/test_shares.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from cyclamenlift.calls.shares import ShareTurns
+from cyclamenlift.calls.shares import WeightedRoundRobin
 from cyclamenlift.models.rules import RouteRule
 from cyclamenlift.models.rules import RouteShare
 
@@ -17,7 +17,7 @@
 
 @pytest.mark.parametrize('weights', [{'a': 90, 'b': 10}, {'a': 1, 'b': 2}])
 def test_any_run_of_requests_is_split_by_the_weights(weights):
-    turns = ShareTurns(random.Random(4))
+    turns = WeightedRoundRobin(random.Random(4))
     wanted = route(**weights)
     counts = collections.Counter(
         turns.next_service(wanted) for _ in range(300)
@@ -28,7 +28,7 @@
 
 
 def test_a_service_of_zero_weight_gets_no_requests():
-    turns = ShareTurns(random.Random(4))
+    turns = WeightedRoundRobin(random.Random(4))
     wanted = route(a=0, b=5)
     assert {turns.next_service(wanted) for _ in range(50)} == {'b'}
 
@@ -36,13 +36,14 @@
 def test_many_entries_do_not_all_begin_with_the_same_service():
     wanted = route(a=50, b=50)
     firsts = {
-        ShareTurns(random.Random(n)).next_service(wanted) for n in range(20)
+        WeightedRoundRobin(random.Random(n)).next_service(wanted)
+        for n in range(20)
     }
     assert firsts == {'a', 'b'}
 
 
 def test_changed_weights_count_from_the_next_request():
-    turns = ShareTurns(random.Random(4))
+    turns = WeightedRoundRobin(random.Random(4))
     for _ in range(5):
         turns.next_service(route(a=100, b=1))
     changed = route(a=0, b=1)
--- a/tests/gate/test_suspects.py
+++ b/tests/gate/test_suspects.py
@@ -5,8 +5,8 @@
 from cyclamenlift.core.codes import ResultCode
 from cyclamenlift.http.target import FailureKind
 from cyclamenlift.http.target import TargetFailure
+from cyclamenlift.quarantine import QuarantineStatus
 from cyclamenlift.quarantine import Report
-from cyclamenlift.quarantine import Standing
 from cyclamenlift.wire.gen.protocol.ttypes import BodyChunk
 from cyclamenlift.wire.gen.protocol.ttypes import Cancel
 from tests.gate.builders import GateBench
@@ -25,7 +25,7 @@
     """Let targets elsewhere end at these times while they ran ``BAD``."""
     for at in times:
         report = Report(f'r{at}', 'prices', (BAD,), at, (at - 0.1,))
-        bench.gate.quarantine.take(report, 0)
+        bench.gate.quarantine.accept(report, 0)
 
 
 def codes(bench: GateBench) -> list[int]:
@@ -86,7 +86,7 @@
 def test_a_gate_that_starts_lets_nothing_in_while_others_know_more(bench):
     quarantine = bench.gate.quarantine
     quarantine.sync_deadline = 1.0
-    quarantine.others_know_more = True
+    quarantine.is_missing_reports = True
     bench.call(1, fingerprint=OTHER)
     assert codes(bench) == [ResultCode.NO_TARGET]
     quarantine.synced = True
@@ -128,8 +128,8 @@
     bench.call(1, fingerprint=BAD)
     bench.gate.on_cancel(bench.gate_end, Cancel(1))
     bench.gate.ends.note_nobody_listens()
-    judgement = bench.gate.quarantine.judge('prices', BAD)
-    assert judgement.standing is Standing.SUSPECT
+    assessment = bench.gate.quarantine.assess('prices', BAD)
+    assert assessment.status is QuarantineStatus.SUSPECT
 
 
 def test_what_broke_off_and_was_never_explained_is_forgotten(bench):
--- a/tests/quarantine/test_tasks.py
+++ b/tests/quarantine/test_tasks.py
@@ -10,7 +10,7 @@
 from structlog.testing import capture_logs
 
 from cyclamenlift.membership.packets import DigestSeen
-from cyclamenlift.quarantine import Standing
+from cyclamenlift.quarantine import QuarantineStatus
 from tests.quarantine.builders import Group
 from tests.quarantine.builders import name
 
@@ -30,13 +30,15 @@
 def keep_away(group: Group) -> int:
     """Return how many instances quarantine the harmful request."""
     return sum(
-        m.judge('prices', BAD).standing is Standing.QUARANTINED
+        m.assess('prices', BAD).status is QuarantineStatus.QUARANTINED
         for m in group.members.values()
     )
 
 
 def is_clear(member, fingerprint: bytes) -> bool:
-    return member.judge('prices', fingerprint).standing is Standing.CLEAR
+    return (
+        member.assess('prices', fingerprint).status is QuarantineStatus.CLEAR
+    )
 
 
 @pytest.mark.parametrize(('count', 'seed'), [(13, 1), (13, 2), (700, 3)])
@@ -68,14 +70,14 @@
     group.run(0.2)
     late = group.add()
     assert not late.is_synced()
-    while not late.evidence.reports:
-        heard = late.others_know_more
+    while not late.history.reports:
+        heard = late.is_missing_reports
         assert late.is_behind() == heard
         group.heap.run(0.001)
     assert heard
     assert late.is_synced()
     assert not late.is_behind()
-    assert late.judge('prices', BAD).standing is Standing.QUARANTINED
+    assert late.assess('prices', BAD).status is QuarantineStatus.QUARANTINED
 
 
 def test_instances_started_together_do_not_trust_empty_digests_at_once():
@@ -136,7 +138,7 @@
     member = next(iter(group.members.values()))
     member.note_answer('prices', OTHER)
     note_end(member, OTHER)
-    assert member.evidence.reports == {}
+    assert member.history.reports == {}
 
 
 def test_a_log_line_names_the_reports_behind_a_quarantine():
--- a/tests/routing/test_hedging.py
+++ b/tests/routing/test_hedging.py
@@ -41,13 +41,13 @@
 def test_the_budget_allows_an_early_hedge_in_a_fleet_of_any_size(entries):
     budget = shared(entries)
     assert budget.balance >= MIN_CAP
-    assert budget.take(budget.kept)
+    assert budget.take(budget.rescue_reserve)
 
 
 def test_early_hedges_leave_budget_for_late_ones():
     budget = RetryBudget(0.2)
     early = 0
-    while budget.take(budget.kept):
+    while budget.take(budget.rescue_reserve):
         early += 1
     assert early
     assert budget.take()
--- a/tests/routing/test_home.py
+++ b/tests/routing/test_home.py
@@ -16,7 +16,9 @@
 
 
 def home(state, request: bytes, exclude=NOBODY) -> str:
-    found = state.home(SERVICE, 1.0, exclude, DEFAULT_PROFILE, request)
+    found = state.choose_by_hash(
+        SERVICE, 1.0, exclude, DEFAULT_PROFILE, request
+    )
     return found.instance if found else ''
 
 
--- a/tests/runtime/test_ending_targets.py
+++ b/tests/runtime/test_ending_targets.py
@@ -97,7 +97,7 @@
     for _ in range(4):
         found = path.ask(path=BAD)
         assert found.result == ResultCode.TARGET_BROKE_OFF
-    assert path.calls.quarantine.evidence.reports == {}
+    assert path.calls.quarantine.history.reports == {}
 
 
 def test_a_target_that_is_back_gets_calls_again(bed):
--- a/tools/mutants_calls.py
+++ b/tools/mutants_calls.py
@@ -46,8 +46,8 @@
     Mutant(
         'a keyed call runs without its claim',
         'cyclamenlift/calls/life.py',
-        'self.keyed.claim()\n            return',
-        'self.keyed.held = True',
+        'self.claim_holder.claim()\n            return',
+        'self.claim_holder.held = True',
         PATH_TESTS,
     ),
     Mutant(
@@ -67,7 +67,7 @@
     Mutant(
         'overload from deeper is tried again',
         'cyclamenlift/calls/life.py',
-        'failed and not self.refused_deeper(attempt)',
+        'failed and not self.overloaded_downstream(attempt)',
         'failed',
         PATH_TESTS,
     ),
--- a/tools/mutants_quarantine.py
+++ b/tools/mutants_quarantine.py
@@ -18,15 +18,15 @@
     Mutant(
         'two that were at both ends are both convicted',
         STATE,
-        'if far_apart or self.has_company(subject, counted):',
+        'if far_apart or self.has_common_request(request, counted):',
         'if far_apart:',
         STATE_TESTS,
     ),
     Mutant(
         'two ends an hour apart convict',
         STATE,
-        'if far_apart or self.has_company(subject, counted):',
-        'if self.has_company(subject, counted):',
+        'if far_apart or self.has_common_request(request, counted):',
+        'if self.has_common_request(request, counted):',
         STATE_TESTS,
     ),
     Mutant(
@@ -39,7 +39,7 @@
     Mutant(
         'an answer clears nobody',
         STATE,
-        'self.clear(subject, now)\n        return number',
+        'self.clear(request, now)\n        return number',
         'return number',
         STATE_TESTS,
     ),
@@ -53,7 +53,7 @@
     Mutant(
         'a gate lets in what is kept away',
         'cyclamenlift/gate/suspects.py',
-        'if judgement.standing is Standing.CLEAR:',
+        'if assessment.status is QuarantineStatus.CLEAR:',
         'if True:',
         GATE_TESTS,
     ),
