--- a/cyclamenlift/calls/life.py
+++ b/cyclamenlift/calls/call.py
@@ -4,8 +4,8 @@
 
 from cyclamenlift.calls.answers import answer_headers
 from cyclamenlift.calls.attempt import Try
+from cyclamenlift.calls.claim_holder import ClaimHolder
 from cyclamenlift.calls.intake import Request
-from cyclamenlift.calls.keyed import ClaimHolder
 from cyclamenlift.calls.nested import Parent
 from cyclamenlift.calls.relay import Relay
 from cyclamenlift.calls.relay import relay_headers
--- a/cyclamenlift/calls/keyed.py
+++ b/cyclamenlift/calls/claim_holder.py
@@ -20,7 +20,7 @@
 from cyclamenlift.wire.gen.protocol.ttypes import RecordedAnswer
 
 if typing.TYPE_CHECKING:
-    from cyclamenlift.calls.life import Call
+    from cyclamenlift.calls.call import Call
 
 # How long the end of a claim is resent to a ledger that does not confirm it.
 END_RETRY_SECONDS = 30.0
--- a/cyclamenlift/calls/shares.py
+++ b/cyclamenlift/calls/shares.py
@@ -17,24 +17,24 @@
 
     def __init__(self, rng: random.Random):
         self.rng = rng
-        self.earned: dict[str, dict[str, float]] = {}
+        self.balances: dict[str, dict[str, float]] = {}
 
     def next_service(self, route: RouteRule) -> str:
         """Return the service for the next request of a route."""
         if len(route.shares) == 1:
             return route.shares[0].service
-        earned = self.earned.get(route.name)
+        balances = self.balances.get(route.name)
         names = {share.service for share in route.shares}
-        if earned is None or set(earned) != names:
-            earned = self.initial_balances(route)
-            self.earned[route.name] = earned
+        if balances is None or set(balances) != names:
+            balances = self.initial_balances(route)
+            self.balances[route.name] = balances
         total = 0
         for share in route.shares:
-            earned[share.service] += share.weight
+            balances[share.service] += share.weight
             total += share.weight
         weighty = [s.service for s in route.shares if s.weight]
-        best = max(weighty, key=earned.__getitem__)
-        earned[best] -= total
+        best = max(weighty, key=balances.__getitem__)
+        balances[best] -= total
         return best
 
     def initial_balances(self, route: RouteRule) -> dict[str, float]:
@@ -46,4 +46,4 @@
 
     def keep_only(self, names: set[str]) -> None:
         """Drop all other routes."""
-        self.earned = {n: e for n, e in self.earned.items() if n in names}
+        self.balances = {n: e for n, e in self.balances.items() if n in names}
--- a/cyclamenlift/calls/tries.py
+++ b/cyclamenlift/calls/tries.py
@@ -17,7 +17,7 @@
 from cyclamenlift.wire.gen.protocol.ttypes import Cancel
 
 if typing.TYPE_CHECKING:
-    from cyclamenlift.calls.life import Call
+    from cyclamenlift.calls.call import Call
 
 # The gate gets slightly less time than the entry has, so that its proof of
 # "not run" arrives before the entry has to answer without it.
--- a/cyclamenlift/gate/learning.py
+++ b/cyclamenlift/gate/learning.py
@@ -14,7 +14,7 @@
 from cyclamenlift.http.dialects import TargetLoad
 from cyclamenlift.routing.finish import best_start
 from cyclamenlift.routing.finish import PERCENT
-from cyclamenlift.routing.finish import Start
+from cyclamenlift.routing.finish import StartPlan
 from cyclamenlift.routing.work import at_usual_pace
 from cyclamenlift.routing.work import MAX_LEARNING_PACE
 from cyclamenlift.routing.work import WorkTable
@@ -184,7 +184,7 @@
         """Return how many calls are worth running at once now."""
         return self.crowding.limit(now, self.pace.is_usual(now))
 
-    def expect(self, asking: Asking, running: int, now: float) -> Start:
+    def expect(self, asking: Asking, running: int, now: float) -> StartPlan:
         """Return how a call beside ``running`` others is done soonest.
 
         The calls that it makes are a part of it.
@@ -193,17 +193,17 @@
         work *= self.crowding.slowness(running + 1)
         start = self.best_start(work, now)
         nested = self.work.nested(asking.route)
-        return Start(start.held, start.seconds + nested)
+        return StartPlan(start.held, start.seconds + nested)
 
-    def best_start(self, work: float, now: float) -> Start:
+    def best_start(self, work: float, now: float) -> StartPlan:
         """Return how ``work`` is done soonest at the pace of now."""
         percent = self.pace.percent(now) or USUAL_PACE
         left = self.pace.spell_left(now)
         if not self.keeping.kept:
-            return Start(0.0, followed_work(work, percent, left))
+            return StartPlan(0.0, followed_work(work, percent, left))
         return best_start(work, percent, left)
 
-    def spread(self, asking: Asking, start: Start, now: float) -> float:
+    def spread(self, asking: Asking, start: StartPlan, now: float) -> float:
         """Return how far a call's time may well lie from its mean."""
         spread = self.work.spread(asking.route, asking.objective)
         if start.held or not self.keeping.kept:
--- a/cyclamenlift/gate/state.py
+++ b/cyclamenlift/gate/state.py
@@ -26,7 +26,7 @@
 from cyclamenlift.gate.learning import Learning
 from cyclamenlift.gate.occupancy import Occupancy
 from cyclamenlift.http.dialects import TargetLoad
-from cyclamenlift.routing.finish import Start
+from cyclamenlift.routing.finish import StartPlan
 from cyclamenlift.wire.gen.protocol.ttypes import LoadFigures
 from cyclamenlift.wire.gen.protocol.ttypes import TargetState
 
@@ -334,17 +334,17 @@
         held = typical_hold(self.holds.values(), usual)
         return seconds_until_slot(ahead, len(self.running), room, held)
 
-    def expect(self, asking: Asking, now: float) -> Start:
+    def expect(self, asking: Asking, now: float) -> StartPlan:
         """Return how a call is done soonest, those that it makes too."""
         if asking.useful_deadline is None:
-            return Start(0.0, self.service_time.mean)
+            return StartPlan(0.0, self.service_time.mean)
         return self.learning.expect(asking, len(self.running), now)
 
     def pace_percent(self, now: float) -> int:
         """Return how long work takes now, 100 as usual, 0 unknown."""
         return self.learning.pace.percent(now)
 
-    def is_wasted(self, asking: Asking, best: Start, now: float) -> bool:
+    def is_wasted(self, asking: Asking, best: StartPlan, now: float) -> bool:
         """Tell whether a slot would be lost to a call that will be late.
 
         Only where others wait for slots; in a roomy target it is served.
--- a/cyclamenlift/routing/finish.py
+++ b/cyclamenlift/routing/finish.py
@@ -47,7 +47,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Start:
+class StartPlan:
     """The faster of two options: begin a call now, or hold it back.
 
     ``held`` is how long to hold the call until the pace should be back to
@@ -59,23 +59,23 @@
     seconds: float
 
 
-def best_start(work: float, pace_percent: int, spell_left: float) -> Start:
+def best_start(work: float, pace_percent: int, spell_left: float) -> StartPlan:
     """Return the start that completes ``work`` soonest at this pace.
 
     ``spell_left`` is the expected remaining time of the spell, in seconds.
 
     >>> best_start(0.66, 100, 0.0)
-    Start(held=0.0, seconds=0.66)
+    StartPlan(held=0.0, seconds=0.66)
     >>> best_start(0.66, 700, 0.25)
-    Start(held=0.25, seconds=0.91)
+    StartPlan(held=0.25, seconds=0.91)
     >>> best_start(0.015, 700, 0.25)
-    Start(held=0.0, seconds=0.105)
+    StartPlan(held=0.0, seconds=0.105)
     """
     begun_now = work * max(1.0, pace_percent / PERCENT)
     held = spell_left + work
     if pace_percent <= SPELL_PACE or begun_now <= held:
-        return Start(0.0, begun_now)
-    return Start(spell_left, held)
+        return StartPlan(0.0, begun_now)
+    return StartPlan(spell_left, held)
 
 
 def expected_work(
--- a/cyclamenlift/routing/group.py
+++ b/cyclamenlift/routing/group.py
@@ -79,7 +79,7 @@
         return min((d for d in later if d > now), default=NEVER)
 
 
-class Group:
+class TargetGroup:
     """All candidates of one service and the lists that policies draw from.
 
     The lists are rebuilt only when a candidate changes or a deadline passes,
@@ -101,7 +101,7 @@
         self.far: list[Candidate] = []
         self.rebuild_deadline = 0.0
         self.typical_latency = 0.0
-        self.typical_gate = 0.0
+        self.typical_gate_latency = 0.0
         self.distances: dict[str, float] = {}
         self.turn = 0
 
@@ -185,7 +185,7 @@
 
     def typical(self) -> float:
         """Return the typical answer time in seconds, 1 while unknown."""
-        return self.typical_gate or self.typical_latency or 1.0
+        return self.typical_gate_latency or self.typical_latency or 1.0
 
     def note_distance(self, candidate: Candidate, seconds: float) -> None:
         """Average the part of an answer's time spent outside its target.
@@ -195,11 +195,13 @@
         gate = candidate.estimate.gate_latency
         if gate <= 0.0:
             return
-        if self.typical_gate == 0.0:
-            self.typical_gate = gate
-        bounded = min(gate, GATE_CLIP * self.typical_gate)
-        self.typical_gate += AVERAGE_WEIGHT * (bounded - self.typical_gate)
-        outside = min(seconds - gate, self.typical_gate)
+        if self.typical_gate_latency == 0.0:
+            self.typical_gate_latency = gate
+        bounded = min(gate, GATE_CLIP * self.typical_gate_latency)
+        self.typical_gate_latency += AVERAGE_WEIGHT * (
+            bounded - self.typical_gate_latency
+        )
+        outside = min(seconds - gate, self.typical_gate_latency)
         name = candidate.data_centre
         known = self.distances.get(name)
         if known is None:
--- a/cyclamenlift/routing/policies.py
+++ b/cyclamenlift/routing/policies.py
@@ -11,7 +11,7 @@
 from cyclamenlift.routing.finish import expected_work
 from cyclamenlift.routing.finish import queueing_delay
 from cyclamenlift.routing.group import Candidate
-from cyclamenlift.routing.group import Group
+from cyclamenlift.routing.group import TargetGroup
 from cyclamenlift.routing.messages import CallProfile
 from cyclamenlift.routing.messages import DEFAULT_PROFILE
 
@@ -34,7 +34,7 @@
 
     def pick(
         self,
-        group: Group,
+        group: TargetGroup,
         usable: list[Candidate],
         now: float,
         profile: CallProfile = DEFAULT_PROFILE,
@@ -110,7 +110,7 @@
 
 
 def sample_near_and_far(
-    group: Group, usable: list[Candidate], count: int
+    group: TargetGroup, usable: list[Candidate], count: int
 ) -> list[Candidate]:
     """Sample half of ``count`` near and half far, more if one is short."""
     if len(usable) <= count:
@@ -120,7 +120,9 @@
     return some + sample_of(group.rng, far, count - len(some))
 
 
-def split_by_place(group: Group, usable: list[Candidate]) -> tuple[list, list]:
+def split_by_place(
+    group: TargetGroup, usable: list[Candidate]
+) -> tuple[list, list]:
     """Return the candidates of this data centre and the others."""
     if usable is group.live:
         return group.near, group.far
@@ -130,7 +132,7 @@
 
 
 def sample_mostly_near(
-    group: Group, usable: list[Candidate]
+    group: TargetGroup, usable: list[Candidate]
 ) -> list[Candidate]:
     """Sample more candidates of this data centre than of the others."""
     near, far = split_by_place(group, usable)
@@ -139,7 +141,9 @@
     return drawn + sample_of(group.rng, far, FAR_SAMPLE_SIZE + spare)
 
 
-def relative_load(group: Group, candidate: Candidate, now: float) -> float:
+def relative_load(
+    group: TargetGroup, candidate: Candidate, now: float
+) -> float:
     """Return the estimated calls at a target relative to its slots."""
     estimate = candidate.estimate
     slots = candidate.slots * group.ramp(candidate, now)
@@ -149,7 +153,9 @@
     return load
 
 
-def expected_cost(group: Group, candidate: Candidate, now: float) -> float:
+def expected_cost(
+    group: TargetGroup, candidate: Candidate, now: float
+) -> float:
     """Return the expected answer time with a penalty for errors.
 
     The cost is a sum in seconds: the wait for a slot, which grows with the
@@ -185,7 +191,7 @@
 
 
 def expected_seconds(
-    group: Group, candidate: Candidate, now: float, profile: CallProfile
+    group: TargetGroup, candidate: Candidate, now: float, profile: CallProfile
 ) -> float:
     """Return the expected time until this target answers."""
     estimate = candidate.estimate
@@ -203,7 +209,7 @@
 
 
 def finish_cost(
-    group: Group, candidate: Candidate, now: float, profile: CallProfile
+    group: TargetGroup, candidate: Candidate, now: float, profile: CallProfile
 ) -> float:
     """Return the expected time with penalties for errors and distance."""
     estimate = candidate.estimate
--- a/cyclamenlift/routing/state.py
+++ b/cyclamenlift/routing/state.py
@@ -15,7 +15,7 @@
 from cyclamenlift.routing.estimates import ERROR_WEIGHT
 from cyclamenlift.routing.finish import FAR_KILOBYTE_COST
 from cyclamenlift.routing.group import Candidate
-from cyclamenlift.routing.group import Group
+from cyclamenlift.routing.group import TargetGroup
 from cyclamenlift.routing.hedging import HedgeDelay
 from cyclamenlift.routing.messages import CallProfile
 from cyclamenlift.routing.messages import Choice
@@ -46,7 +46,7 @@
 class ServiceState:
     """The routing state that an entry keeps for one service."""
 
-    def __init__(self, group: Group, policy: Policy, probe_rate: float):
+    def __init__(self, group: TargetGroup, policy: Policy, probe_rate: float):
         self.group = group
         self.policy = policy
         self.delay = HedgeDelay()
@@ -78,7 +78,7 @@
         self.services = {}
         for name, rule in rules.services.items():
             old = kept.get(name)
-            group = Group(rule, self.data_centre, self.rng)
+            group = TargetGroup(rule, self.data_centre, self.rng)
             group.instance = self.instance
             group.far_kilobyte_cost = self.far_kilobyte_cost
             policy = POLICIES.get(rule.policy)()
@@ -86,7 +86,7 @@
             if old is not None:
                 group.candidates = old.group.candidates
                 group.typical_latency = old.group.typical_latency
-                group.typical_gate = old.group.typical_gate
+                group.typical_gate_latency = old.group.typical_gate_latency
                 group.distances = old.group.distances
                 state.delay = old.delay
                 state.probes = old.probes
@@ -183,7 +183,7 @@
         return self.build_choice(state.group, picked, now, profile)
 
     def usable(
-        self, group: Group, now: float, exclude: frozenset[str]
+        self, group: TargetGroup, now: float, exclude: frozenset[str]
     ) -> list[Candidate]:
         """Return the targets that may take a call, without excluded ones."""
         group.refresh(now)
@@ -197,7 +197,11 @@
         return usable or self.fallback_targets(group, now, exclude)
 
     def build_choice(
-        self, group: Group, picked: Candidate, now: float, profile: CallProfile
+        self,
+        group: TargetGroup,
+        picked: Candidate,
+        now: float,
+        profile: CallProfile,
     ) -> Choice:
         hot = relative_load(group, picked, now) >= HOT_SHARE
         return Choice(
@@ -220,7 +224,9 @@
         work = self.work.seconds(route, objective)
         return CallProfile(route, work, kilobytes, seconds)
 
-    def fallback_targets(self, group: Group, now: float, exclude) -> list:
+    def fallback_targets(
+        self, group: TargetGroup, now: float, exclude
+    ) -> list:
         """Return ejected targets that are not excluded."""
         return [
             c
@@ -344,7 +350,11 @@
             state.group.note_bad(candidate, now)
 
     def note_slow(
-        self, group: Group, candidate: Candidate, seconds: float, now: float
+        self,
+        group: TargetGroup,
+        candidate: Candidate,
+        seconds: float,
+        now: float,
     ) -> None:
         """Use the time of an unanswered call as latency if it is higher."""
         estimate = candidate.estimate
--- a/cyclamenlift/runtime/mechanisms.py
+++ b/cyclamenlift/runtime/mechanisms.py
@@ -16,7 +16,7 @@
 from cyclamenlift.core.registry import Registry
 from cyclamenlift.gate.crowding import AllSlots
 from cyclamenlift.routing.finish import PERCENT
-from cyclamenlift.routing.finish import Start
+from cyclamenlift.routing.finish import StartPlan
 
 if TYPE_CHECKING:
     from cyclamenlift.gate.learning import Learning
@@ -131,10 +131,10 @@
     learning.best_start = lambda work, now: begin_now(learning, work, now)
 
 
-def begin_now(learning: 'Learning', work: float, now: float) -> Start:
+def begin_now(learning: 'Learning', work: float, now: float) -> StartPlan:
     """Return how long ``work`` takes that begins whatever the pace is."""
     percent = learning.pace.percent(now) or PERCENT
-    return Start(0.0, work * max(1.0, percent / PERCENT))
+    return StartPlan(0.0, work * max(1.0, percent / PERCENT))
 
 
 @mechanism('ask_pace', 'asks a target for its pace before a call begins')
--- a/cyclamenlift/runtime/observing.py
+++ b/cyclamenlift/runtime/observing.py
@@ -2,7 +2,7 @@
 
 import typing
 
-from cyclamenlift.calls.life import Call
+from cyclamenlift.calls.call import Call
 from cyclamenlift.core.codes import ResultCode
 from cyclamenlift.core.metrics import Metrics
 from cyclamenlift.quarantine.queries import quarantined
--- a/tests/calls/test_returning.py
+++ b/tests/calls/test_usual_timeouts.py
@@ -1,8 +1,8 @@
 """Detection of callers that retry after a refusal, by their timeouts."""
 
-from cyclamenlift.calls.returning import MAX_REMEMBERED
-from cyclamenlift.calls.returning import MIN_SEEN
-from cyclamenlift.calls.returning import UsualTimeouts
+from cyclamenlift.calls.usual_timeouts import MAX_REMEMBERED
+from cyclamenlift.calls.usual_timeouts import MIN_SEEN
+from cyclamenlift.calls.usual_timeouts import UsualTimeouts
 
 
 def seen(*asked: int) -> UsualTimeouts:
--- a/tests/gate/test_slow_spells.py
+++ b/tests/gate/test_slow_spells.py
@@ -23,7 +23,7 @@
 from cyclamenlift.gate.state import GateState
 from cyclamenlift.gate.state import Verdict
 from cyclamenlift.http.dialects import TargetLoad
-from cyclamenlift.routing.finish import Start
+from cyclamenlift.routing.finish import StartPlan
 from tests.gate.builders import look_up
 
 SLOTS = 8
@@ -172,7 +172,7 @@
 
 def begin_at_once(day: SpellDay) -> None:
     """Let the gate begin each call whatever the pace is."""
-    day.state.learning.best_start = lambda work, _now: Start(0.0, work)
+    day.state.learning.best_start = lambda work, _now: StartPlan(0.0, work)
 
 
 @pytest.mark.parametrize('seed', range(3))
--- a/tests/runtime/test_path.py
+++ b/tests/runtime/test_path.py
@@ -7,7 +7,7 @@
 import pytest
 import structlog
 
-from cyclamenlift.calls.life import Call
+from cyclamenlift.calls.call import Call
 from cyclamenlift.calls.tries import Tries
 from cyclamenlift.core.codes import ResultCode
 from cyclamenlift.core.streams import Address
