--- a/cyclamenlift/calls/shares.py
+++ b/cyclamenlift/calls/shares.py
@@ -32,8 +32,8 @@
         for share in route.shares:
             balances[share.service] += share.weight
             total += share.weight
-        weighty = [s.service for s in route.shares if s.weight]
-        best = max(weighty, key=balances.__getitem__)
+        candidates = [s.service for s in route.shares if s.weight]
+        best = max(candidates, key=balances.__getitem__)
         balances[best] -= total
         return best
 
--- a/cyclamenlift/calls/tasks.py
+++ b/cyclamenlift/calls/tasks.py
@@ -47,7 +47,7 @@
 
 LOG = structlog.get_logger('calls')
 ANSWERED_CODES = (ResultCode.ANSWERED, ResultCode.ANSWERED_FROM_RECORD)
-# Refusals because the current rules do not contain what was requested.
+# Refusals because the current rules lack the requested service or route.
 UNKNOWN_NAME_CODES = (ResultCode.NO_ROUTE, ResultCode.UNKNOWN_SERVICE)
 # Retry delay in milliseconds while newer rules are being distributed: a change
 # of 40 KB was active on the last of 65 daemons after 0.34 s, and on nine
@@ -215,11 +215,11 @@
         self.open_calls.discard(call)
         if call.parent is not None:
             call.parent.nested_ended()
-        self.log_end(call, code)
+        self.log_outcome(call, code)
         for hook in self.finished_hooks:
             hook(call, code)
 
-    def log_end(self, call: Call, code: ResultCode) -> None:
+    def log_outcome(self, call: Call, code: ResultCode) -> None:
         """Log the outcome of a call and its tries.
 
         Answered calls and refusals of the default dialect are logged at debug
@@ -248,12 +248,12 @@
             retry_after_ms=call.state.retry_after_ms,
             hedged=call.tries.hedged,
             budget=round(call.state.budget.balance, 1),
-            **({} if code in ANSWERED_CODES else self.explain(call, code)),
+            **({} if code in ANSWERED_CODES else self.log_details(call, code)),
         )
 
     # -- queries ----------------------------------------------------------
 
-    def explain(self, call: Call, code: ResultCode) -> dict[str, object]:
+    def log_details(self, call: Call, code: ResultCode) -> dict[str, object]:
         """Return log fields on a request and its quarantine reports."""
         fields: dict[str, object] = {'fingerprint': call.fingerprint.hex()}
         if code is ResultCode.REQUEST_QUARANTINED:
@@ -344,10 +344,10 @@
             len(answer.body or b''),
         )
 
-    def on_load_news(self, link, news: LoadNews) -> None:
+    def on_load_news(self, link, update: LoadNews) -> None:
         """Store a load change that a gate sent unsolicited."""
-        if link.hello is not None and news.load is not None:
-            self.note_load_change(link.hello.instance, news.load)
+        if link.hello is not None and update.load is not None:
+            self.note_load_change(link.hello.instance, update.load)
 
     def note_load_change(self, instance: str, load: LoadFigures) -> None:
         record = self.routing.records.get(instance)
--- a/cyclamenlift/quarantine/tasks.py
+++ b/cyclamenlift/quarantine/tasks.py
@@ -276,8 +276,10 @@
 
     def on_answer(self, _link: 'Link', answer: EndsAnswer) -> None:
         """Store a peer's reports, which other members have as well."""
-        news = [self.on_report(message, 0) for message in answer.reports or ()]
-        if any(news):
+        are_new = [
+            self.on_report(message, 0) for message in answer.reports or ()
+        ]
+        if any(are_new):
             self.ask_seconds = MIN_ASK_SECONDS
             self.ask_again_at = 0.0
         self.synced = True
--- a/cyclamenlift/routing/estimates.py
+++ b/cyclamenlift/routing/estimates.py
@@ -132,7 +132,7 @@
             level = min(1.0, figures.error_permille / PERMILLE)
             self.raise_error_level(level, now)
 
-    def lag_now(self, now: float) -> float:
+    def current_lag(self, now: float) -> float:
         """Return the expected delay of a call sent now on its way to the gate.
 
         The reported delay shrinks with its age, since what was queued on the
@@ -140,7 +140,7 @@
         """
         return max(0.0, self.lag - (now - self.pace_at))
 
-    def body_wait_now(self, now: float) -> float:
+    def current_body_wait(self, now: float) -> float:
         """Return how long a body sent now waits behind other bodies."""
         return max(0.0, self.body_wait - (now - self.pace_at))
 
--- a/cyclamenlift/routing/finish.py
+++ b/cyclamenlift/routing/finish.py
@@ -118,7 +118,7 @@
     work: float = 0.0,
     far_kilobyte_cost: float = FAR_KILOBYTE_COST,
 ) -> float:
-    """Return the cost of sending a call to a target's place, in seconds.
+    """Return the cost of the distance to a target, in seconds.
 
     >>> distance_cost(60.0, True), distance_cost(1.0, False)
     (0.0, 0.0)
--- a/cyclamenlift/routing/group.py
+++ b/cyclamenlift/routing/group.py
@@ -124,7 +124,7 @@
     def is_near(self, candidate: Candidate) -> bool:
         return candidate.data_centre == self.data_centre
 
-    def note_record(self, record: MemberRecord, now: float, ramp: bool):
+    def update_candidate(self, record: MemberRecord, now: float, ramp: bool):
         """Add or update a candidate; start the ramp of a (re)started one."""
         known = self.candidates.get(record.instance)
         was_usable = known is not None and known.is_usable(now)
@@ -156,7 +156,7 @@
         candidate.drain_deadline = now + DRAIN_SECONDS
         self.invalidate()
 
-    def note_bad(self, candidate: Candidate, now: float) -> None:
+    def eject(self, candidate: Candidate, now: float) -> None:
         """Eject a target for a time that doubles with each repetition."""
         if now < candidate.bad_deadline:
             return
@@ -171,7 +171,7 @@
             return 1.0
         return ramp_share(left, self.rule.slow_start_seconds)
 
-    def note_typical(self, seconds: float) -> None:
+    def update_typical(self, seconds: float) -> None:
         """Update the moving average of the service's answer times.
 
         Samples are clipped, so that uploads do not dominate the average.
--- a/cyclamenlift/routing/policies.py
+++ b/cyclamenlift/routing/policies.py
@@ -202,9 +202,9 @@
     seconds = expected_work(
         profile.work, estimate.pace, estimate.spell_left, age
     )
-    seconds += estimate.lag_now(now)
+    seconds += estimate.current_lag(now)
     if profile.body_seconds and candidate.instance != group.instance:
-        seconds += profile.body_seconds + estimate.body_wait_now(now)
+        seconds += profile.body_seconds + estimate.current_body_wait(now)
     return seconds + queueing_delay(load, slots, profile.work)
 
 
--- a/cyclamenlift/routing/state.py
+++ b/cyclamenlift/routing/state.py
@@ -92,7 +92,7 @@
                 state.probes = old.probes
             self.services[name] = state
         for record in self.records.values():
-            self.place(record, 0.0, False)
+            self.update_group(record, 0.0, False)
         self.update_probe_rates()
 
     def note_member(self, record: MemberRecord, now: float) -> None:
@@ -108,11 +108,13 @@
         if known is not None and known.service_name != record.service_name:
             self.remove(known)
         young = now - self.first_record_at < INITIAL_RECORDS_SECONDS
-        self.place(record, now, not young)
+        self.update_group(record, now, not young)
         if len(self.records) != count:
             self.update_probe_rates()
 
-    def place(self, record: MemberRecord, now: float, ramp: bool) -> None:
+    def update_group(
+        self, record: MemberRecord, now: float, ramp: bool
+    ) -> None:
         """Add a member to the group of its service, or remove it.
 
         Records received just after this entry's start are of members that have
@@ -122,7 +124,7 @@
         if state is None:
             return
         if is_allowed(record, state.group.rule):
-            state.group.note_record(record, now, ramp)
+            state.group.update_candidate(record, now, ramp)
         else:
             state.group.remove(record.instance)
 
@@ -329,7 +331,7 @@
         estimate.note_success(now)
         if candidate.bad_streak and estimate.error_level == 0.0:
             candidate.bad_streak = 0
-        group.note_typical(seconds)
+        group.update_typical(seconds)
         group.note_distance(candidate, seconds)
         state.delay.note(seconds)
 
@@ -347,7 +349,7 @@
         if outcome in (Outcome.TIMEOUT, Outcome.OVERTAKEN):
             self.note_slow(state.group, candidate, seconds, now)
         if estimate.error_level >= EJECTION_ERROR_LEVEL:
-            state.group.note_bad(candidate, now)
+            state.group.eject(candidate, now)
 
     def note_slow(
         self,
--- a/tests/quarantine/builders.py
+++ b/tests/quarantine/builders.py
@@ -109,7 +109,7 @@
         group = self.group
         others = [n for n in group.members if n != self.owner]
         for peer in group.rng.sample(others, min(fanout, len(others))):
-            group.told += 1
+            group.sent += 1
             if group.rng.random() >= group.loss:
                 hook = group.members[peer].membership.on_end
                 group.heap.after(group.delay(), lambda h=hook: h(report))
@@ -122,7 +122,7 @@
         self.heap = EventHeap()
         self.rng = random.Random(seed)
         self.loss = loss
-        self.told = 0
+        self.sent = 0
         self.ports = itertools.count(1)
         self.names: dict[int, str] = {}
         self.members: dict[str, Quarantine] = {}
--- a/tests/quarantine/test_state.py
+++ b/tests/quarantine/test_state.py
@@ -14,8 +14,8 @@
 
 CLEAR, SUSPECT = QuarantineStatus.CLEAR, QuarantineStatus.SUSPECT
 QUARANTINED = QuarantineStatus.QUARANTINED
-ALLOWED_LATER = 3
-LONG_DAY = 7200.0
+MAX_LATER_ENDS = 3
+TRIAL_SECONDS = 7200.0
 
 
 def status(history: EndHistory, text: str, now: float) -> QuarantineStatus:
@@ -145,13 +145,13 @@
     history = after(end(0.0, 'bad'), end(1.0, 'bad'))
     ends = [0.0, 1.0]
     now = 1.0
-    while now < LONG_DAY:
+    while now < TRIAL_SECONDS:
         if status(history, 'bad', now) is not QUARANTINED:
             ends.append(now)
             history.add(end(now, 'bad'), now)
         now += 0.5
     later = [at for at in ends if at > ends[2] + 3.0]
-    assert len(later) <= ALLOWED_LATER
+    assert len(later) <= MAX_LATER_ENDS
 
 
 @pytest.mark.parametrize('seed', range(3))
@@ -173,5 +173,5 @@
     history = after(one)
     history.add(one, 1.0)
     assert history.digest == after(one).digest
-    history.forget_old(1.0 + 10 * LONG_DAY)
+    history.forget_old(1.0 + 10 * TRIAL_SECONDS)
     assert (history.digest, history.ends_by_request) == (0, {})
--- a/tests/quarantine/test_tasks.py
+++ b/tests/quarantine/test_tasks.py
@@ -27,7 +27,7 @@
     member.note_end('prices', dict.fromkeys(ran, now - 0.1), 'x-1')
 
 
-def keep_away(group: Group) -> int:
+def count_quarantining(group: Group) -> int:
     """Return how many instances quarantine the harmful request."""
     return sum(
         m.assess('prices', BAD).status is QuarantineStatus.QUARANTINED
@@ -51,14 +51,14 @@
     group.run(0.5)
     note_end(members[1], BAD)
     group.run(KNOWN_SECONDS)
-    assert keep_away(group) == count
+    assert count_quarantining(group) == count
 
 
 def test_the_bytes_of_an_end_do_not_grow_with_the_number_of_daemons():
     group = Group(700, 1)
     note_end(next(iter(group.members.values())), BAD)
     group.run(1.0)
-    assert group.told * BYTES_OF_REPORT / 700 < AIM_BYTES / 2
+    assert group.sent * BYTES_OF_REPORT / 700 < AIM_BYTES / 2
 
 
 def test_a_new_instance_is_synced_before_it_takes_callers():
@@ -105,7 +105,7 @@
         del group.members[group.names.pop(port)]
     started = [group.add() for _ in range(5)]
     group.run(KNOWN_SECONDS)
-    assert keep_away(group) == 1 + len(started)
+    assert count_quarantining(group) == 1 + len(started)
 
 
 def test_an_answered_request_is_soon_clear_everywhere():
@@ -127,10 +127,10 @@
     for member in members[:3]:
         note_end(member, BAD)
         group.run(0.5)
-    assert keep_away(group) == len(members)
+    assert count_quarantining(group) == len(members)
     members[7].lift([BAD])
     group.run(KNOWN_SECONDS)
-    assert keep_away(group) == 0
+    assert count_quarantining(group) == 0
 
 
 def test_a_recently_answered_request_is_not_reported():
--- a/tests/quarantine/test_wire.py
+++ b/tests/quarantine/test_wire.py
@@ -10,7 +10,7 @@
 from tests.quarantine.builders import name
 
 
-def told(**fields) -> EndReport:
+def build_end_report(**fields) -> EndReport:
     values = {
         'report_id': 'r',
         'service_name': 'prices',
@@ -50,4 +50,4 @@
     ids=repr,
 )
 def test_invalid_reports_are_rejected(wrong):
-    assert from_wire(told(**wrong), 0.0) is None
+    assert from_wire(build_end_report(**wrong), 0.0) is None
