--- a/cyclamenlift/calls/call.py
+++ b/cyclamenlift/calls/call.py
@@ -68,7 +68,7 @@
         self.status = 0
         self.service_seconds: float | None = None
         self.trail: list[str] = []
-        self.caller_gone = False
+        self.caller_disconnected = False
         self.parent: Parent | None = None
         self.timer = calls.scheduler.at(request.deadline, self.on_deadline)
 
@@ -137,7 +137,7 @@
         if step is Step.RETRY:
             self.tries.start()
         elif step is Step.GIVE_UP:
-            self.finish_failed()
+            self.respond_failed()
 
     def record_trail(self, attempt: Try, ending: Ending, now: float) -> None:
         """Record how a try ended, for the log line of the call."""
@@ -283,33 +283,33 @@
         self.status = attempt.status
         self.tries.cancel(Outcome.OVERTAKEN, except_for=attempt)
         self.timer.cancel()
-        if not self.caller_gone:
+        if not self.caller_disconnected:
             self.relay.start()
 
     def relay_body(self, attempt: Try, chunk: BodyChunk) -> None:
         if self.relay.attempt is not attempt:
             return
-        if chunk.data and not self.caller_gone:
+        if chunk.data and not self.caller_disconnected:
             self.relay.send(chunk.data)
         if not chunk.last:
             return
         if self.claim_holder is not None:
             self.claim_holder.record(attempt, None)
         self.tries.drop(attempt, Outcome.ANSWERED)
-        if not self.caller_gone:
+        if not self.caller_disconnected:
             self.relay.finish()
         self.close(ResultCode.ANSWERED)
 
     def abort_relay(self) -> None:
         if self.claim_holder is not None:
             self.claim_holder.mark_unknown()
-        if not self.caller_gone:
+        if not self.caller_disconnected:
             self.relay.abort()
         self.close(ResultCode.TARGET_BROKE_OFF)
 
     # -- giving up --------------------------------------------------------
 
-    def finish_failed(self) -> None:
+    def respond_failed(self) -> None:
         """Answer a call whose tries have all ended without success.
 
         An error that a target returned on an earlier try is an answer:
@@ -364,7 +364,7 @@
         self.state.done = True
         self.status = status
         # The answer is sent before the cleanup, which would delay it.
-        if not self.caller_gone:
+        if not self.caller_disconnected:
             self.exchange.respond(status, headers, body)
         self.tries.cancel(Outcome.OVERTAKEN)
         self.close(code)
@@ -398,7 +398,7 @@
 
         A keyed call continues, so that its outcome is recorded.
         """
-        self.caller_gone = True
+        self.caller_disconnected = True
         if self.answered or self.claim_holder is not None:
             return
         self.tries.cancel(Outcome.CANCELLED)
--- a/cyclamenlift/calls/tries.py
+++ b/cyclamenlift/calls/tries.py
@@ -72,7 +72,7 @@
         choice = self.choose(now, excluded, assessment.status)
         if choice is None or (hedge and choice.hot and not rescue):
             if not self.open:
-                call.finish_failed()
+                call.respond_failed()
             return
         link = self.calls.link_to(choice)
         number = self.calls.next_number()
@@ -132,7 +132,7 @@
         call = self.call
         call.state.mark_quarantined(int(wait * MILLISECONDS))
         if not self.open:
-            call.finish_failed()
+            call.respond_failed()
 
     # -- queries ----------------------------------------------------------
 
@@ -221,7 +221,7 @@
             return
         left = time_left(request.deadline, now)
         self.rescue_at = now + left * RESCUE_SHARE
-        wait = self.calls.routing.hedge_after(self.service, now)
+        wait = self.calls.routing.hedge_delay(self.service, now)
         due = self.rescue_at if wait is None else now + wait
         if request.route is not None:
             work = self.profile().work
--- a/cyclamenlift/quarantine/tasks.py
+++ b/cyclamenlift/quarantine/tasks.py
@@ -40,8 +40,8 @@
 FORWARD_FANOUT = 3
 # Minimum and maximum delay between requests for missing reports, in seconds.
 # The delay doubles after each answer without new reports.
-MIN_ASK_SECONDS = 0.25
-MAX_ASK_SECONDS = 30.0
+MIN_REQUEST_INTERVAL = 0.25
+MAX_REQUEST_INTERVAL = 30.0
 # Number of reports in one answer: about 20 KB, 0.1 s on a link of 2 Mbit/s.
 MAX_REPORTS_SENT = 64
 # How long a starting daemon waits for the reports of others, in seconds.
@@ -67,8 +67,8 @@
         self.history = EndHistory()
         self.network: 'PeerNetwork | None' = None
         self.membership: 'Membership | None' = None
-        self.ask_again_at = 0.0
-        self.ask_seconds = MIN_ASK_SECONDS
+        self.next_request_at = 0.0
+        self.request_interval = MIN_REQUEST_INTERVAL
         self.synced = False
         self.is_missing_reports = False
         self.sync_deadline = 0.0
@@ -197,7 +197,7 @@
         """Report that requests were answered, unless another instance does."""
         planned_at = self.now()
 
-        def tell() -> None:
+        def lift_remaining() -> None:
             left = [
                 fingerprint
                 for fingerprint in fingerprints
@@ -206,7 +206,9 @@
             if left:
                 self.lift(left, service)
 
-        self.scheduler.after(self.rng.uniform(0.0, MAX_LIFT_DELAY), tell)
+        self.scheduler.after(
+            self.rng.uniform(0.0, MAX_LIFT_DELAY), lift_remaining
+        )
 
     def was_lifted(
         self, service: str, fingerprint: bytes, since: float
@@ -244,7 +246,7 @@
             return
         self.is_missing_reports = True
         now = self.now()
-        if now < self.ask_again_at:
+        if now < self.next_request_at:
             return
         try:
             address = Address.parse(seen.peer_address)
@@ -252,8 +254,10 @@
             peer = seen.peer_address[:100]
             LOG.warning('reports_peer_unreadable', address=peer)
             return
-        self.ask_again_at = now + self.ask_seconds
-        self.ask_seconds = min(MAX_ASK_SECONDS, 2 * self.ask_seconds)
+        self.next_request_at = now + self.request_interval
+        self.request_interval = min(
+            MAX_REQUEST_INTERVAL, 2 * self.request_interval
+        )
         self.network.send(address, EndsRequest(self.history.keys()))
 
     def on_same_digest(self, seen: 'DigestSeen') -> None:
@@ -280,6 +284,6 @@
             self.on_report(message, 0) for message in answer.reports or ()
         ]
         if any(are_new):
-            self.ask_seconds = MIN_ASK_SECONDS
-            self.ask_again_at = 0.0
+            self.request_interval = MIN_REQUEST_INTERVAL
+            self.next_request_at = 0.0
         self.synced = True
--- a/cyclamenlift/routing/estimates.py
+++ b/cyclamenlift/routing/estimates.py
@@ -202,7 +202,7 @@
             count += 1
         return total / count if count else 0.0
 
-    def errors(self, now: float) -> float:
+    def current_errors(self, now: float) -> float:
         """Return the error level from 0 to 1, decayed to ``now``."""
         if self.error_level == 0.0:
             return 0.0
@@ -211,18 +211,20 @@
 
     def raise_error_level(self, level: float, now: float) -> None:
         """Raise the error level to at least ``level``."""
-        self.error_level = max(level, self.errors(now))
+        self.error_level = max(level, self.current_errors(now))
         self.error_at = now
 
     def note_error(self, outcome: Outcome, now: float) -> None:
-        level = self.errors(now)
+        level = self.current_errors(now)
         weight = ERROR_WEIGHT[outcome]
         self.error_level = level + weight * (1.0 - level)
         self.error_at = now
 
     def note_success(self, now: float) -> None:
         if self.error_level:
-            self.error_level = self.errors(now) * ERROR_DECAY_ON_SUCCESS
+            self.error_level = (
+                self.current_errors(now) * ERROR_DECAY_ON_SUCCESS
+            )
             self.error_at = now
             if self.error_level < 0.01:
                 self.error_level = 0.0
--- a/cyclamenlift/routing/group.py
+++ b/cyclamenlift/routing/group.py
@@ -103,7 +103,7 @@
         self.typical_latency = 0.0
         self.typical_gate_latency = 0.0
         self.distances: dict[str, float] = {}
-        self.turn = 0
+        self.next_index = 0
 
     def invalidate(self) -> None:
         """Mark the lists as stale, to be rebuilt before the next choice."""
--- a/cyclamenlift/routing/policies.py
+++ b/cyclamenlift/routing/policies.py
@@ -58,8 +58,8 @@
     """Picks the candidates in turn."""
 
     def pick(self, group, usable, now, profile=DEFAULT_PROFILE):
-        group.turn += 1
-        return usable[group.turn % len(usable)]
+        group.next_index += 1
+        return usable[group.next_index % len(usable)]
 
 
 @POLICIES.register('least_calls')
@@ -176,7 +176,7 @@
     cost = typical * load**LOAD_POWER
     cost += EXCESS_WEIGHT * max(0.0, latency - LATENCY_BAND * typical)
     cost += group.distance(candidate)
-    cost += typical * ERROR_COST * estimate.errors(now)
+    cost += typical * ERROR_COST * estimate.current_errors(now)
     return cost + typical * JITTER_SHARE * group.rng.random()
 
 
@@ -218,7 +218,7 @@
     cost += distance_cost(
         profile.kilobytes, near, profile.work, group.far_kilobyte_cost
     )
-    cost += profile.work * ERROR_COST * estimate.errors(now)
+    cost += profile.work * ERROR_COST * estimate.current_errors(now)
     if estimate.is_refusing(now):
         cost += REFUSING_LOAD * profile.work
     return cost + profile.work * JITTER_SHARE * group.rng.random()
--- a/cyclamenlift/routing/state.py
+++ b/cyclamenlift/routing/state.py
@@ -271,7 +271,7 @@
         probed.estimate.load_at = now
         return [ProbeOrder(service, probed.instance, probed.address)]
 
-    def hedge_after(self, service: str, now: float) -> float | None:
+    def hedge_delay(self, service: str, now: float) -> float | None:
         """Return the delay in seconds before a hedge, None for no hedge."""
         state = self.services.get(service)
         if state is None or not state.group.rule.hedge:
--- a/cyclamenlift/runtime/observing.py
+++ b/cyclamenlift/runtime/observing.py
@@ -29,7 +29,7 @@
 
     def on_finished(self, call: Call, code: ResultCode) -> None:
         """Count a call, unless its caller left before the answer."""
-        if call.caller_gone:
+        if call.caller_disconnected:
             return
         now = self.node.scheduler.clock.now()
         seconds = now - call.exchange.received_at
--- a/tests/routing/test_state.py
+++ b/tests/routing/test_state.py
@@ -237,12 +237,12 @@
 
 def test_hedges_wait_for_a_quantile_of_answer_times():
     state = build_state(2)
-    assert state.hedge_after(SERVICE, 1.0) is None
+    assert state.hedge_delay(SERVICE, 1.0) is None
     for step in range(100):
         call(state, 1.0, seconds=0.001 * (step + 1))
-    assert 0.05 < state.hedge_after(SERVICE, 2.0) < 0.1
+    assert 0.05 < state.hedge_delay(SERVICE, 2.0) < 0.1
     state.set_rules(build_rules(2, hedge=False))
-    assert state.hedge_after(SERVICE, 2.0) is None
+    assert state.hedge_delay(SERVICE, 2.0) is None
 
 
 def test_probes_follow_calls_and_the_share_of_the_budget():
--- a/tests/runtime/test_path.py
+++ b/tests/runtime/test_path.py
@@ -335,7 +335,7 @@
     slow = ScriptedTarget(late(3.0, answer(b'slow')))
     fast = ScriptedTarget(answer(b'fast'))
     path = bed(slow, fast, hedge=True, policy='round_robin')
-    path.routing.hedge_after = lambda service, now: 0.02
+    path.routing.hedge_delay = lambda service, now: 0.02
     found = [path.ask().body for _ in range(2)]
     assert found == [b'fast', b'fast']
     path.run_until(lambda: all(g.is_idle() for g in path.gates))
@@ -345,7 +345,7 @@
     """Too few answers to know a delay once meant no hedge at all."""
     frozen = ScriptedTarget(late(5.0, answer(b'late')))
     path = bed(frozen, ScriptedTarget(answer(b'good')), hedge=True)
-    assert path.routing.hedge_after('prices', 0.0) is None
+    assert path.routing.hedge_delay('prices', 0.0) is None
     assert {path.ask().body for _ in range(4)} == {b'good'}
 
 
@@ -353,7 +353,7 @@
     """A slow spell once used up the budget; then a frozen target cost 504."""
     frozen = ScriptedTarget(late(5.0, answer(b'late')))
     path = bed(frozen, ScriptedTarget(answer(b'good')), hedge=True)
-    path.routing.hedge_after = lambda service, now: 0.01
+    path.routing.hedge_delay = lambda service, now: 0.01
     budget = path.calls.retry_budget(path.rules.services['prices'])
     budget.balance = 5.0
     began = path.loop.scheduler.clock.now()
@@ -373,7 +373,7 @@
     frozen = ScriptedTarget(late(8.0, answer(b'late')))
     busy = ScriptedTarget(held, answer(b'good'))
     path = bed(frozen, busy, hedge=True, max_tries=2, queue_limit=0, slots=1)
-    path.routing.hedge_after = lambda service, now: 0.01
+    path.routing.hedge_delay = lambda service, now: 0.01
     choose = path.routing.choose
 
     def busy_first(service, now, exclude, need):
