--- a/cyclamenlift/calls/attempt.py
+++ b/cyclamenlift/calls/attempt.py
@@ -6,13 +6,13 @@
 from cyclamenlift.wire.gen.protocol.ttypes import CallStart
 from cyclamenlift.wire.gen.protocol.ttypes import Header
 
-# Bodies up to this size travel in one frame with the call: 4 ms of a link
-# of 32 Mbit/s. Larger ones wait for the gate's word, one way and back, so
-# that a gate that sends the call back has not been sent its body.
-INLINE_BODY = 16 * 1024
-# Bytes of an answer that may be on their way without a credit.
-WINDOW = 256 * 1024
-CHUNK = 16 * 1024
+# Bodies up to this size are sent in the same frame as the call: 4 ms on a link
+# of 32 Mbit/s. Larger ones wait one round trip for the gate's credit, so that
+# a gate that sends the call back has not received its body in vain.
+MAX_INLINE_BYTES = 16 * 1024
+# Flow-control window: bytes of an answer that may be sent without credit.
+WINDOW_BYTES = 256 * 1024
+CHUNK_BYTES = 16 * 1024
 
 
 @dataclasses.dataclass(slots=True)
@@ -29,19 +29,20 @@
     window: int = 0
     sending: bool = False
     status: int = 0
-    # The pace at which its target began it, in percent; 0 if not told.
+    # The target's pace when it began the call, in percent of the usual
+    # duration; 0 if unknown.
     pace_percent: int = 0
     headers: list[Header] = dataclasses.field(default_factory=list)
     length: int = -1
     answering: bool = False
-    gathered: list[bytes] = dataclasses.field(default_factory=list)
-    gathered_size: int = 0
+    buffered: list[bytes] = dataclasses.field(default_factory=list)
+    buffered_size: int = 0
     start_frame: bytes = b''
     body_frames: list[bytes] = dataclasses.field(default_factory=list)
 
     def send(self, start: CallStart, body: bytes) -> bool:
         """Send the call; False proves that nothing left this process."""
-        whole = len(body) <= INLINE_BODY
+        whole = len(body) <= MAX_INLINE_BYTES
         start.call_id = self.number
         start.body = body if whole else b''
         start.body_complete = whole
@@ -54,16 +55,17 @@
         return True
 
     def send_more(self) -> None:
-        """Send body chunks as far as the gate's credit goes.
+        """Send body chunks up to the gate's credit.
 
-        A gate in this process gives credit while it takes a chunk: the loop
-        that sends that chunk goes on with it, not one inside it.
+        A gate in this process grants credit while it receives a chunk. The
+        loop that is already running continues with that credit; a nested loop
+        would recurse for each chunk.
         """
         if self.sending:
             return
         self.sending = True
         while self.window > 0 and self.offset < len(self.body):
-            size = min(CHUNK, self.window, len(self.body) - self.offset)
+            size = min(CHUNK_BYTES, self.window, len(self.body) - self.offset)
             part = self.body[self.offset : self.offset + size]
             self.offset += size
             self.window -= size
@@ -77,12 +79,12 @@
         self.window += allowed
         self.send_more()
 
-    def never_left(self) -> bool:
-        """Tell whether the gate can not have heard of this try."""
+    def was_never_sent(self) -> bool:
+        """Return whether the gate cannot have received any of this try."""
         return not self.link.was_up or self.link.holds(self.start_frame)
 
     def withdraw(self) -> bool:
-        """Take back what has not gone out; True proves that nothing has."""
+        """Remove unsent frames; True proves that none has been sent."""
         for frame in self.body_frames:
             self.link.withdraw(frame)
         return self.link.withdraw(self.start_frame)
--- a/cyclamenlift/calls/life.py
+++ b/cyclamenlift/calls/call.py
@@ -1,11 +1,11 @@
-"""The life of one call at the entry, from its head to its final answer."""
+"""The lifecycle of one call at the entry, up to its final answer."""
 
 import typing
 
 from cyclamenlift.calls.answers import answer_headers
 from cyclamenlift.calls.attempt import Try
+from cyclamenlift.calls.claim_holder import ClaimHolder
 from cyclamenlift.calls.intake import Request
-from cyclamenlift.calls.keyed import KeyedEnd
 from cyclamenlift.calls.nested import Parent
 from cyclamenlift.calls.relay import Relay
 from cyclamenlift.calls.relay import relay_headers
@@ -63,19 +63,19 @@
         self.tries = Tries(self)
         self.relay: Relay | None = None
         self.fallback: Try | None = None
-        self.keyed: KeyedEnd | None = None
+        self.claim_holder: ClaimHolder | None = None
         self.answered = False
         self.status = 0
         self.service_seconds: float | None = None
         self.trail: list[str] = []
-        self.caller_gone = False
+        self.caller_disconnected = False
         self.parent: Parent | None = None
         self.timer = calls.scheduler.at(request.deadline, self.on_deadline)
 
     # -- the request ------------------------------------------------------
 
     def begin(self) -> None:
-        """Gather the body, if there is one, then go on."""
+        """Read the body, if there is one, then start the call."""
         self.exchange.on_gone = self.on_gone
         self.exchange.on_broken = self.give_up
         length = self.exchange.body_length
@@ -114,33 +114,33 @@
         self.body.clear()
         self.fingerprint = self.hash.digest()
         if self.request.key:
-            self.keyed = KeyedEnd(self)
-            self.keyed.claim()
+            self.claim_holder = ClaimHolder(self)
+            self.claim_holder.claim()
             return
         self.tries.start()
 
     # -- ends of tries ----------------------------------------------------
 
     def end_try(self, attempt: Try, outcome: Outcome, ending: Ending) -> None:
-        """Note how a try ended and do what follows from it.
+        """Record how a try ended and take the next step.
 
-        An answer leaves before routing takes note of it; a retry needs
-        routing to know first.
+        An answer is sent before routing is updated; a retry needs the updated
+        routing state first.
         """
         self.tries.forget(attempt)
         now = self.calls.now()
-        self.note_trail(attempt, ending, now)
+        self.record_trail(attempt, ending, now)
         step = self.state.try_ended(ending, now)
         if step is Step.ANSWER:
-            self.answer_whole(attempt)
-        self.tries.tell_routing(attempt, outcome)
+            self.respond_buffered(attempt)
+        self.tries.report_outcome(attempt, outcome)
         if step is Step.RETRY:
             self.tries.start()
         elif step is Step.GIVE_UP:
-            self.finish_failed()
+            self.respond_failed()
 
-    def note_trail(self, attempt: Try, ending: Ending, now: float) -> None:
-        """Keep how a try ended, for the line that explains the call."""
+    def record_trail(self, attempt: Try, ending: Ending, now: float) -> None:
+        """Record how a try ended, for the log line of the call."""
         milliseconds = int((now - attempt.started_at) * MILLISECONDS)
         pace = f' begun at {attempt.pace_percent}%'
         self.trail.append(
@@ -157,7 +157,7 @@
     def on_refused(self, attempt: Try, refused: Refused) -> None:
         code = ResultCode(refused.code)
         if code == ResultCode.TARGET_SLOW:
-            # Its new pace is known now; it may still be the best of all.
+            # Its current pace is known now; it may still be the best choice.
             self.tries.tried.discard(attempt.instance)
         draining = code == ResultCode.DRAINING
         outcome = (
@@ -182,7 +182,7 @@
         self.end_unknown(attempt, outcome, code, broken.detail or '')
 
     def on_cancelled(self, attempt: Try, cancelled: Cancelled) -> None:
-        """A cancellation was confirmed for a call that still matters."""
+        """Handle the confirmed cancellation of a try that was still needed."""
         if cancelled.not_run:
             code = ResultCode.CANCELLED_NOT_RUN
             ending = Ending(EndKind.NOT_RUN, code)
@@ -192,7 +192,7 @@
         self.end_unknown(attempt, Outcome.CANCELLED, code)
 
     def on_link_lost(self, attempt: Try) -> None:
-        if attempt.never_left():
+        if attempt.was_never_sent():
             self.end_unsent(attempt)
             return
         self.end_unknown(attempt, Outcome.LOST, ResultCode.PEER_LOST)
@@ -206,7 +206,7 @@
     ) -> None:
         if self.relay is not None and self.relay.attempt is attempt:
             self.tries.drop(attempt, outcome)
-            self.break_off()
+            self.abort_relay()
             return
         ending = Ending(EndKind.UNKNOWN, code, detail=detail)
         self.end_try(attempt, outcome, ending)
@@ -221,8 +221,8 @@
         attempt.headers = answer.headers
         attempt.length = answer.body_length
         if answer.body:
-            attempt.gathered.append(answer.body)
-            attempt.gathered_size = len(answer.body)
+            attempt.buffered.append(answer.body)
+            attempt.buffered_size = len(answer.body)
         if answer.body_complete:
             self.end_answered(attempt)
         elif answer.body_length > self.request.rule.whole_answer_bytes:
@@ -233,20 +233,20 @@
             self.relay_body(attempt, chunk)
             return
         if chunk.data:
-            attempt.gathered.append(chunk.data)
-            attempt.gathered_size += len(chunk.data)
+            attempt.buffered.append(chunk.data)
+            attempt.buffered_size += len(chunk.data)
         if chunk.last:
             self.end_answered(attempt)
-        elif attempt.gathered_size > self.request.rule.whole_answer_bytes:
+        elif attempt.buffered_size > self.request.rule.whole_answer_bytes:
             self.start_relay(attempt)
         else:
             self.calls.credit(attempt, len(chunk.data))
 
     def end_answered(self, attempt: Try) -> None:
-        """Take a whole answer; an error of an idempotent call may retry."""
+        """Handle a whole answer; an idempotent call may retry an error."""
         failed = attempt.status >= SERVER_ERROR
-        if attempt.length >= 0 and attempt.gathered_size != attempt.length:
-            # A HEAD answer names a length that it does not carry.
+        if attempt.length >= 0 and attempt.buffered_size != attempt.length:
+            # The answer to HEAD announces a length without a body.
             if self.exchange.method != 'HEAD':
                 code = ResultCode.BAD_TARGET_ANSWER
                 self.end_unknown(attempt, Outcome.LOST, code)
@@ -254,28 +254,28 @@
         if not failed:
             self.calls.quarantine.note_answer(self.service, self.fingerprint)
         outcome = Outcome.TARGET_ERROR if failed else Outcome.ANSWERED
-        retry = failed and not self.refused_deeper(attempt)
+        retry = failed and not self.overloaded_downstream(attempt)
         if retry:
             self.fallback = attempt
         kind = EndKind.TARGET_ERROR if retry else EndKind.ANSWERED
         self.end_try(attempt, outcome, Ending(kind))
 
-    def refused_deeper(self, attempt: Try) -> bool:
-        """Tell whether a service further down was overloaded.
+    def overloaded_downstream(self, attempt: Try) -> bool:
+        """Return whether a service further downstream was overloaded.
 
-        Trying again at each level of a chain would multiply the load.
+        Retrying at every level of a call chain would multiply the load.
         """
         return any(h.name == OVERLOAD_HEADER for h in attempt.headers)
 
-    def answer_whole(self, attempt: Try) -> None:
-        body = b''.join(attempt.gathered)
-        if self.keyed is not None:
-            self.keyed.record(attempt, body)
+    def respond_buffered(self, attempt: Try) -> None:
+        body = b''.join(attempt.buffered)
+        if self.claim_holder is not None:
+            self.claim_holder.record(attempt, body)
         headers = relay_headers(attempt)
         self.respond(ResultCode.ANSWERED, attempt.status, headers, body)
 
     def start_relay(self, attempt: Try) -> None:
-        """Stream a large answer: from here on this try is the answer."""
+        """Stream a large answer; the call is committed to this try."""
         if self.answered:
             return
         self.state.done = True
@@ -283,40 +283,40 @@
         self.status = attempt.status
         self.tries.cancel(Outcome.OVERTAKEN, except_for=attempt)
         self.timer.cancel()
-        if not self.caller_gone:
+        if not self.caller_disconnected:
             self.relay.start()
 
     def relay_body(self, attempt: Try, chunk: BodyChunk) -> None:
         if self.relay.attempt is not attempt:
             return
-        if chunk.data and not self.caller_gone:
+        if chunk.data and not self.caller_disconnected:
             self.relay.send(chunk.data)
         if not chunk.last:
             return
-        if self.keyed is not None:
-            self.keyed.record(attempt, None)
+        if self.claim_holder is not None:
+            self.claim_holder.record(attempt, None)
         self.tries.drop(attempt, Outcome.ANSWERED)
-        if not self.caller_gone:
+        if not self.caller_disconnected:
             self.relay.finish()
         self.close(ResultCode.ANSWERED)
 
-    def break_off(self) -> None:
-        if self.keyed is not None:
-            self.keyed.unknown()
-        if not self.caller_gone:
+    def abort_relay(self) -> None:
+        if self.claim_holder is not None:
+            self.claim_holder.mark_unknown()
+        if not self.caller_disconnected:
             self.relay.abort()
         self.close(ResultCode.TARGET_BROKE_OFF)
 
     # -- giving up --------------------------------------------------------
 
-    def finish_failed(self) -> None:
-        """Answer a call whose tries have all ended without an answer.
+    def respond_failed(self) -> None:
+        """Answer a call whose tries have all ended without success.
 
-        An error that a target gave on an earlier try is an answer: to say
-        "not run" after it would be false.
+        An error that a target returned on an earlier try is an answer:
+        reporting "not run" after it would be wrong.
         """
         if self.fallback is not None:
-            self.answer_whole(self.fallback)
+            self.respond_buffered(self.fallback)
             return
         code = self.state.final_code()
         self.give_up(Problem(code, '', '', '', self.state.retry_after_ms))
@@ -325,26 +325,26 @@
         if self.answered:
             return
         if self.fallback is not None:
-            self.answer_whole(self.fallback)
+            self.respond_buffered(self.fallback)
             return
-        code = self.state.deadline_code(self.tries.none_left())
+        code = self.state.deadline_code(self.tries.none_sent())
         self.tries.cancel(Outcome.TIMEOUT)
         self.give_up(Problem(code))
 
     def give_up(self, problem: Problem) -> None:
-        """Give the final answer at once, with the time to come back.
+        """Answer with a problem at once, including when to retry.
 
-        Only a key's release goes before it: a caller that is told "not
-        run" must find its key free.
+        Only the release of a key comes first: a caller that is told "not run"
+        must be able to reuse its key.
         """
         if self.answered:
             return
         self.state.done = True
-        if self.keyed is not None and self.keyed.settle(problem):
+        if self.claim_holder is not None and self.claim_holder.settle(problem):
             return
-        self.say(problem)
+        self.send_problem(problem)
 
-    def say(self, problem: Problem) -> None:
+    def send_problem(self, problem: Problem) -> None:
         headers = problem_headers(problem, self.exchange.dialect)
         if problem.code in OVERLOAD_CODES:
             headers.append((OVERLOAD_HEADER, 'here'))
@@ -352,7 +352,7 @@
         self.respond(problem.code, status, headers, problem_body(problem))
 
     def answer_record(self, record: RecordedAnswer) -> None:
-        """Answer with what an earlier attempt with this key was told."""
+        """Answer with the recorded answer of an earlier attempt."""
         headers = [(h.name, h.value) for h in record.headers]
         headers.extend(answer_headers(ResultCode.ANSWERED_FROM_RECORD))
         code = ResultCode.ANSWERED_FROM_RECORD
@@ -363,14 +363,14 @@
             return
         self.state.done = True
         self.status = status
-        # The answer leaves first: the rest would only delay it.
-        if not self.caller_gone:
+        # The answer is sent before the cleanup, which would delay it.
+        if not self.caller_disconnected:
             self.exchange.respond(status, headers, body)
         self.tries.cancel(Outcome.OVERTAKEN)
         self.close(code)
 
     def close(self, code: ResultCode) -> None:
-        """End the call: from here on nothing of it is kept."""
+        """End the call and release what it holds."""
         if self.answered:
             return
         self.answered = True
@@ -379,12 +379,12 @@
         self.reserved = 0
         self.whole_body = b''
         self.calls.finished(self, code)
-        self.let_go()
+        self.release_references()
 
-    def let_go(self) -> None:
-        """Break the rings of references through this call.
+    def release_references(self) -> None:
+        """Break the reference cycles through this call.
 
-        Its objects are then freed at once. Rings wait for the cyclic
+        Its objects are then freed at once, instead of by the cyclic garbage
         collector, which stops the process for milliseconds.
         """
         self.tries.close()
@@ -394,14 +394,17 @@
         self.exchange.on_drained = None
 
     def on_gone(self) -> None:
-        """The caller left: stop, unless the call must not run in vain."""
-        self.caller_gone = True
-        if self.answered or self.keyed is not None:
+        """Handle a caller that disconnected: stop all but keyed calls.
+
+        A keyed call continues, so that its outcome is recorded.
+        """
+        self.caller_disconnected = True
+        if self.answered or self.claim_holder is not None:
             return
         self.tries.cancel(Outcome.CANCELLED)
         self.close(ResultCode.CANCELLED_NOT_RUN)
 
 
 def as_headers(pairs: list[tuple[str, str]]) -> list[Header]:
-    """Return HTTP header pairs as they travel on the wire."""
+    """Return HTTP header pairs as wire headers."""
     return [Header(name, value) for name, value in pairs]
--- a/cyclamenlift/calls/tasks.py
+++ b/cyclamenlift/calls/tasks.py
@@ -1,4 +1,4 @@
-"""The entry's end of all calls: takes requests, hands frames to calls."""
+"""Manages all calls of an entry and dispatches frames to them."""
 
 from collections.abc import Callable
 import itertools
@@ -11,16 +11,16 @@
 from cyclamenlift.calls.budgets import BodyBudget
 from cyclamenlift.calls.budgets import RetryBudget
 from cyclamenlift.calls.budgets import SharedRetryBudget
+from cyclamenlift.calls.call import as_headers
+from cyclamenlift.calls.call import Call
 from cyclamenlift.calls.intake import KEY_EXPIRES_HEADER
 from cyclamenlift.calls.intake import read_request
 from cyclamenlift.calls.intake import Request
 from cyclamenlift.calls.intake import TIMEOUT_HEADER
-from cyclamenlift.calls.life import as_headers
-from cyclamenlift.calls.life import Call
 from cyclamenlift.calls.nested import Parent
-from cyclamenlift.calls.returning import UsualTimes
-from cyclamenlift.calls.shares import ShareTurns
-from cyclamenlift.calls.tries import SLOW_ASKED
+from cyclamenlift.calls.shares import WeightedRoundRobin
+from cyclamenlift.calls.tries import MAX_PACE_CHECKS
+from cyclamenlift.calls.usual_timeouts import UsualTimeouts
 from cyclamenlift.core.clock import MICROSECONDS
 from cyclamenlift.core.clock import MILLISECONDS
 from cyclamenlift.core.codes import is_not_run
@@ -46,14 +46,14 @@
 from cyclamenlift.wire.gen.protocol.ttypes import Refused
 
 LOG = structlog.get_logger('calls')
-GOOD_CODES = (ResultCode.ANSWERED, ResultCode.ANSWERED_FROM_RECORD)
-# What a caller asked for is not named by the rules in force.
-UNNAMED_CODES = (ResultCode.NO_ROUTE, ResultCode.UNKNOWN_SERVICE)
-# When to come back while newer rules are on their way, in milliseconds: a
-# change of 40 KB was in force at the last of 65 daemons after 0.34 s, at
-# nine tenths after 0.24 s (model of links of 2 Mbit/s).
-BEHIND_MS = 250
-# The entry answers these itself; the target learns them from the gate.
+ANSWERED_CODES = (ResultCode.ANSWERED, ResultCode.ANSWERED_FROM_RECORD)
+# Refusals because the current rules lack the requested service or route.
+UNKNOWN_NAME_CODES = (ResultCode.NO_ROUTE, ResultCode.UNKNOWN_SERVICE)
+# Retry delay in milliseconds while newer rules are being distributed: a change
+# of 40 KB was active on the last of 65 daemons after 0.34 s, and on nine
+# tenths after 0.24 s (simulated links of 2 Mbit/s).
+RULES_RETRY_AFTER_MS = 250
+# Headers handled by the entry; the gate passes what the target needs.
 OWN_HEADERS = frozenset(
     (
         TIMEOUT_HEADER,
@@ -66,7 +66,7 @@
 
 
 class Calls:
-    """Owns every call that entered here and is not yet answered."""
+    """Owns every call received by this entry that is not yet answered."""
 
     def __init__(
         self,
@@ -88,28 +88,28 @@
         self.instance = instance
         self.max_depth = max_depth
         self.own_service = own_service
-        self.turns = ShareTurns(routing.rng)
-        self.times = UsualTimes()
+        self.turns = WeightedRoundRobin(routing.rng)
+        self.usual_timeouts = UsualTimeouts()
         self.quarantine = Quarantine(scheduler)
         self.boot = uuid.uuid4().hex[:12]
         self.numbers = itertools.count(1)
         self.body_budget = BodyBudget(body_budget)
         self.retry_budgets: dict[str, RetryBudget | SharedRetryBudget] = {}
-        self.make_budget: Callable[[], SharedRetryBudget] | None = None
+        self.budget_factory: Callable[[], SharedRetryBudget] | None = None
         self.entries = 1
-        self.slow_asked = SLOW_ASKED
+        self.max_pace_checks = MAX_PACE_CHECKS
         self.rules: EventRules | None = None
         self.tries: dict[int, Call] = {}
         self.open_calls: set[Call] = set()
         self.probes: dict[int, tuple[str, str]] = {}
         self.finished_hooks: list[Callable[[Call, ResultCode], None]] = []
-        # Tells whether others are known to have newer rules than these.
+        # Returns whether other instances are known to have newer rules.
         self.is_behind: Callable[[], bool] = lambda: False
-        # The call that the local target runs and that made another one.
+        # Returns the call of the local target that made the call with this id.
         self.parent_of: Callable[[str], Parent | None] = lambda _id: None
 
     def subscribe(self, network) -> None:
-        """Take the messages of gates from the peer network."""
+        """Subscribe to the messages of gates."""
         network.subscribe(AnswerStart, self.on_answer_start)
         network.subscribe(Refused, self.on_refused)
         network.subscribe(Broken, self.on_broken)
@@ -126,64 +126,68 @@
         if rules.routes is not None:
             names = {route.name for route in rules.routes.routes}
             self.turns.keep_only(names)
-            self.times.keep_only(names)
+            self.usual_timeouts.keep_only(names)
 
     def take(self, exchange: Exchange) -> None:
-        """Take one request from the HTTP border."""
+        """Accept a request from the HTTP server."""
         result = read_request(exchange, self.rules, self.max_depth, self.turns)
         if not isinstance(result, Success):
-            self.refuse(exchange, self.unless_behind(result.failure()))
+            self.refuse(exchange, self.unless_rules_behind(result.failure()))
             return
         request = result.unwrap()
         parent = self.parent_of(request.call_id)
         request.nested = self.is_nested(exchange, parent)
-        self.note_return(request)
+        self.detect_return(request)
         if not request.call_id:
             request.call_id = self.new_call_id()
         call = Call(self, exchange, request)
         self.open_calls.add(call)
         if parent is not None:
-            self.note_parent(call, parent)
+            self.link_parent(call, parent)
         call.begin()
         self.send_probes(call.service)
 
-    def note_return(self, request: Request) -> None:
-        """Take the time off the objective that an earlier try used up."""
+    def detect_return(self, request: Request) -> None:
+        """Bring the objective nearer by the time an earlier try used up."""
         if request.nested or not request.asked_ms:
             return
-        used_ms = self.times.used_up(request.route_name, request.asked_ms)
+        used_ms = self.usual_timeouts.elapsed_ms(
+            request.route_name, request.asked_ms
+        )
         request.returned = used_ms > 0
         request.objective_deadline -= used_ms / MILLISECONDS
 
-    def note_entries(self, entries: int) -> None:
-        """Share the retry budgets with this many entries, this one too."""
+    def set_entries(self, entries: int) -> None:
+        """Divide the retry budgets among all entries, with this one."""
         self.entries = entries
-        if self.make_budget is not None:
+        if self.budget_factory is not None:
             for budget in self.retry_budgets.values():
                 budget.set_members(entries)
 
-    def note_parent(self, call: Call, parent: Parent) -> None:
-        """Tell a call that it waits for this one.
+    def link_parent(self, call: Call, parent: Parent) -> None:
+        """Link a nested call to its parent call.
 
-        A call counts as a repeat where the one that made it is one.
+        A nested call counts as a repeat if its parent is one.
         """
         call.parent = parent
         parent.nested_began()
-        if parent.repeated and self.make_budget is not None:
+        if parent.repeated and self.budget_factory is not None:
             call.state.budget.debit(1.0)
 
-    def unless_behind(self, problem: Problem) -> Problem:
-        """Return the problem, or that newer rules are on their way here.
+    def unless_rules_behind(self, problem: Problem) -> Problem:
+        """Return the problem, or RULES_BEHIND if newer rules are coming.
 
-        What these rules do not name may have been added by then, and its
-        caller would not come back after a 404.
+        A service or route that the current rules lack may be in the newer
+        ones, and a caller would not retry after a 404.
         """
-        if problem.code not in UNNAMED_CODES or not self.is_behind():
+        if problem.code not in UNKNOWN_NAME_CODES or not self.is_behind():
             return problem
-        return Problem(ResultCode.RULES_BEHIND, retry_after_ms=BEHIND_MS)
+        return Problem(
+            ResultCode.RULES_BEHIND, retry_after_ms=RULES_RETRY_AFTER_MS
+        )
 
     def refuse(self, exchange: Exchange, problem: Problem) -> None:
-        """Answer a request that never became a call."""
+        """Answer a request that did not become a call."""
         exchange.respond_problem(problem)
         LOG.info(
             'request_refused',
@@ -195,7 +199,7 @@
         )
 
     def send_probes(self, service: str) -> None:
-        """Send the probes that the entry's own share allows now."""
+        """Send the probes that this entry's share of the budget allows now."""
         now = self.now()
         for order in self.routing.probes_due(service, now):
             number = self.next_number()
@@ -211,21 +215,21 @@
         self.open_calls.discard(call)
         if call.parent is not None:
             call.parent.nested_ended()
-        self.log_end(call, code)
+        self.log_outcome(call, code)
         for hook in self.finished_hooks:
             hook(call, code)
 
-    def log_end(self, call: Call, code: ResultCode) -> None:
-        """Write the line that tells the story of a call at its entry.
+    def log_outcome(self, call: Call, code: ResultCode) -> None:
+        """Log the outcome of a call and its tries.
 
-        Answered calls of the default dialect are written for those who
-        debug only, and so are their refusals: they come in crowds.
+        Answered calls and refusals of the default dialect are logged at debug
+        level only, because refusals come in large numbers.
         """
         routed = call.request.route is not None
-        quiet = code in GOOD_CODES or is_not_run(code)
+        quiet = code in ANSWERED_CODES or is_not_run(code)
         write = LOG.debug if quiet and not routed else LOG.info
         event = 'call_not_answered'
-        if code in GOOD_CODES:
+        if code in ANSWERED_CODES:
             event = 'call_answered'
         write(
             event,
@@ -244,17 +248,17 @@
             retry_after_ms=call.state.retry_after_ms,
             hedged=call.tries.hedged,
             budget=round(call.state.budget.balance, 1),
-            **({} if code in GOOD_CODES else self.explain(call, code)),
+            **({} if code in ANSWERED_CODES else self.log_details(call, code)),
         )
 
     # -- queries ----------------------------------------------------------
 
-    def explain(self, call: Call, code: ResultCode) -> dict[str, object]:
-        """Return what tells which request it was, and what is against it."""
+    def log_details(self, call: Call, code: ResultCode) -> dict[str, object]:
+        """Return log fields on a request and its quarantine reports."""
         fields: dict[str, object] = {'fingerprint': call.fingerprint.hex()}
         if code is ResultCode.REQUEST_QUARANTINED:
-            judgement = self.quarantine.judge(call.service, call.fingerprint)
-            fields['reports'] = list(judgement.report_ids)
+            assessment = self.quarantine.assess(call.service, call.fingerprint)
+            fields['reports'] = list(assessment.report_ids)
         return fields
 
     def next_number(self) -> int:
@@ -264,7 +268,7 @@
         return f'{self.instance}/{self.boot}/{self.next_number()}'
 
     def new_call_id(self) -> str:
-        """Return a name for a call whose caller gave it none."""
+        """Return an id for a call whose caller gave none."""
         return f'{self.instance}-{self.boot}-{self.next_number()}'
 
     def retry_budget(self, rule: ServiceRule) -> RetryBudget:
@@ -272,19 +276,19 @@
         if budget is None:
             budget = self.new_budget(rule)
             self.retry_budgets[rule.name] = budget
-        if self.make_budget is None:
+        if self.budget_factory is None:
             budget.share = rule.retry_share
         return budget
 
     def new_budget(self, rule: ServiceRule) -> RetryBudget | SharedRetryBudget:
-        if self.make_budget is None:
+        if self.budget_factory is None:
             return RetryBudget(rule.retry_share)
-        budget = self.make_budget()
+        budget = self.budget_factory()
         budget.set_members(self.entries)
         return budget
 
     def forwarded_headers(self, exchange: Exchange) -> list[Header]:
-        """Return the caller's headers that the target should see."""
+        """Return the caller's headers to forward to the target."""
         dialect = exchange.dialect
         dropped = NOT_FORWARDED | dialect.own_fields
         headers = end_to_end(exchange.headers, dropped)
@@ -303,7 +307,7 @@
         )
 
     def is_nested(self, exchange: Exchange, parent: Parent | None) -> bool:
-        """Tell whether a target makes this call while it runs another."""
+        """Return whether a target made this call while running another."""
         depth = exchange.dialect.depth
         if depth and exchange.header(depth) is not None:
             return True
@@ -315,10 +319,10 @@
     # -- messages ---------------------------------------------------------
 
     def find(self, link, number: int) -> tuple[Call, Try] | None:
-        """Return the try that a message is about.
+        """Return the call and try that a message refers to.
 
-        A number is never used twice in a process and counts only on the
-        link it was sent on, so a late answer can't reach another call.
+        Numbers are unique in a process and valid only on the link they were
+        sent on, so a late answer cannot reach another call.
         """
         call = self.tries.get(number)
         if call is None:
@@ -329,7 +333,7 @@
         return call, attempt
 
     def note_work(self, call: Call, answer: AnswerStart) -> None:
-        """Learn how long a route's calls take where nothing is slow."""
+        """Learn a route's usual service time from an answer."""
         route = call.request.route_name
         if not route or answer.load is None or not answer.body_complete:
             return
@@ -340,12 +344,12 @@
             len(answer.body or b''),
         )
 
-    def on_load_news(self, link, news: LoadNews) -> None:
-        """Take over a change of load that a gate told unasked."""
-        if link.hello is not None and news.load is not None:
-            self.note_news(link.hello.instance, news.load)
+    def on_load_news(self, link, update: LoadNews) -> None:
+        """Store a load change that a gate sent unsolicited."""
+        if link.hello is not None and update.load is not None:
+            self.note_load_change(link.hello.instance, update.load)
 
-    def note_news(self, instance: str, load: LoadFigures) -> None:
+    def note_load_change(self, instance: str, load: LoadFigures) -> None:
         record = self.routing.records.get(instance)
         if record is None:
             return
@@ -385,8 +389,8 @@
 
     def on_broken(self, link, broken: Broken) -> None:
         if broken.end is not None:
-            # Before the call that broke off is tried again.
-            self.quarantine.on_told(broken.end)
+            # Must precede the retry of the call that broke off.
+            self.quarantine.on_report(broken.end)
         found = self.find(link, broken.call_id)
         if found is not None:
             call, attempt = found
@@ -412,5 +416,5 @@
                     call.on_link_lost(attempt)
 
     def credit(self, attempt: Try, size: int) -> None:
-        """Let the gate send on while an answer is gathered."""
+        """Grant the gate credit while an answer is buffered."""
         attempt.link.send(Credit(attempt.number, size))
--- a/cyclamenlift/gate/learning.py
+++ b/cyclamenlift/gate/learning.py
@@ -14,9 +14,9 @@
 from cyclamenlift.http.dialects import TargetLoad
 from cyclamenlift.routing.finish import best_start
 from cyclamenlift.routing.finish import PERCENT
-from cyclamenlift.routing.finish import Start
+from cyclamenlift.routing.finish import StartPlan
 from cyclamenlift.routing.work import at_usual_pace
-from cyclamenlift.routing.work import MOST_PACE
+from cyclamenlift.routing.work import MAX_LEARNING_PACE
 from cyclamenlift.routing.work import WorkTable
 
 NEVER = float('-inf')
@@ -85,13 +85,13 @@
 
     def spell_left(self, now: float) -> float:
         """Return how much longer a slow spell should last, in seconds."""
-        if self.percent(now) <= MOST_PACE:
+        if self.percent(now) <= MAX_LEARNING_PACE:
             return 0.0
         return self.spells.left(now)
 
     def is_usual(self, now: float) -> bool:
         """Tell whether the target is in no slow spell."""
-        return self.percent(now) <= MOST_PACE
+        return self.percent(now) <= MAX_LEARNING_PACE
 
     def was_kept(self, seconds: float, now: float) -> bool:
         """Tell whether the pace has been the same for so long."""
@@ -159,7 +159,7 @@
         """
         if not begun.pace_percent:
             return self.pace.load is None or not self.pace.load.pace_percent
-        return begun.pace_percent <= MOST_PACE
+        return begun.pace_percent <= MAX_LEARNING_PACE
 
     def note_changed(
         self, route: str, own: float, begun: Begun, now: float, nested: float
@@ -184,7 +184,7 @@
         """Return how many calls are worth running at once now."""
         return self.crowding.limit(now, self.pace.is_usual(now))
 
-    def expect(self, asking: Asking, running: int, now: float) -> Start:
+    def expect(self, asking: Asking, running: int, now: float) -> StartPlan:
         """Return how a call beside ``running`` others is done soonest.
 
         The calls that it makes are a part of it.
@@ -193,17 +193,17 @@
         work *= self.crowding.slowness(running + 1)
         start = self.best_start(work, now)
         nested = self.work.nested(asking.route)
-        return Start(start.held, start.seconds + nested)
+        return StartPlan(start.held, start.seconds + nested)
 
-    def best_start(self, work: float, now: float) -> Start:
+    def best_start(self, work: float, now: float) -> StartPlan:
         """Return how ``work`` is done soonest at the pace of now."""
         percent = self.pace.percent(now) or USUAL_PACE
         left = self.pace.spell_left(now)
         if not self.keeping.kept:
-            return Start(0.0, followed_work(work, percent, left))
+            return StartPlan(0.0, followed_work(work, percent, left))
         return best_start(work, percent, left)
 
-    def spread(self, asking: Asking, start: Start, now: float) -> float:
+    def spread(self, asking: Asking, start: StartPlan, now: float) -> float:
         """Return how far a call's time may well lie from its mean."""
         spread = self.work.spread(asking.route, asking.objective)
         if start.held or not self.keeping.kept:
@@ -223,6 +223,6 @@
     """
     factor = max(1.0, pace_percent / PERCENT)
     done_in_spell = spell_left / factor
-    if pace_percent <= MOST_PACE or work <= done_in_spell:
+    if pace_percent <= MAX_LEARNING_PACE or work <= done_in_spell:
         return work * factor
     return spell_left + work - done_in_spell
--- a/cyclamenlift/quarantine/border.py
+++ b/cyclamenlift/quarantine/border.py
@@ -1,4 +1,4 @@
-"""Border models of the operators' orders."""
+"""Input models of operator commands."""
 
 from typing import Annotated
 
@@ -7,17 +7,17 @@
 from cyclamenlift.quarantine.fingerprints import FINGERPRINT_BYTES
 
 HEX_DIGITS = 2 * FINGERPRINT_BYTES
-MOST_LIFTED = 256
+MAX_LIFTED = 256
 Fingerprint = Annotated[
     str, pydantic.Field(pattern=f'^[0-9a-f]{{{HEX_DIGITS}}}$')
 ]
 
 
 class LiftOrder(pydantic.BaseModel):
-    """Requests that may reach targets again, by their fingerprints."""
+    """Fingerprints of requests to release from quarantine."""
 
     model_config = pydantic.ConfigDict(extra='forbid', frozen=True)
 
     fingerprints: Annotated[
-        list[Fingerprint], pydantic.Field(min_length=1, max_length=MOST_LIFTED)
+        list[Fingerprint], pydantic.Field(min_length=1, max_length=MAX_LIFTED)
     ]
--- a/cyclamenlift/quarantine/state.py
+++ b/cyclamenlift/quarantine/state.py
@@ -1,9 +1,10 @@
-"""What is known against requests that ran when targets ended.
+"""Decides which requests to quarantine, from reports of ended targets.
 
-A target that ends takes all that it runs with it, so each end is evidence
-against every request that ran there. One that is harmful is there each time
-and is never answered; a bystander is answered elsewhere, before or after.
-Pure decisions; time is passed in, and all times are of one clock.
+When a target process ends, all requests that it was running are suspects. A
+harmful request is present each time and is never answered; an unrelated one is
+answered elsewhere, before or after.
+
+These are pure decisions. Time is passed in, and all times are of one clock.
 """
 
 import collections
@@ -16,41 +17,41 @@
 import typing
 
 # Ends within this time, in seconds, count as one: targets that lose power or
-# are killed together ended of the same cause. Reports of one instant come
-# over several paths, some tens of milliseconds apart.
-TOGETHER = 0.1
-# The same where the request began to run at the second target only after
-# the first had ended: then it can't have been there by chance. As far as
-# the times of two reports can be trusted.
-TOGETHER_BEGUN_LATER = 0.02
-# How long a request is a suspect after a single end, in seconds: with about
-# twenty bystanders for each cause, most of them are innocent.
+# are killed together share a cause. Reports of simultaneous ends arrive over
+# several paths, some tens of milliseconds apart.
+SAME_CAUSE_SECONDS = 0.1
+# The same limit if the second target began the request only after the first
+# target had ended, which rules out coincidence. It allows for the inaccuracy
+# of times in reports.
+LATER_START_SECONDS = 0.02
+# How long a request is a suspect after a single end, in seconds. With about
+# twenty other requests running at each end, most suspects are harmless.
 SUSPECT_SECONDS = 60.0
-# How long a request is kept away, in seconds, by the number of ends under
-# it: two may be chance. After it one trial is let through, and a further
-# end doubles the price of the next one many times over.
+# Quarantine in seconds by the number of ends: two may be coincidence. After it
+# one trial is allowed, and each further end extends the next quarantine
+# several times over.
 QUARANTINE_SECONDS = {2: 30.0, 3: 120.0, 4: 600.0}
-LONGEST_QUARANTINE = 3600.0
-FEWEST_ENDS = 2
+MAX_QUARANTINE_SECONDS = 3600.0
+MIN_ENDS = 2
 # How long an end is remembered, in seconds: longer than any quarantine.
-REPORT_SECONDS = 2 * LONGEST_QUARANTINE
-MOST_REPORTS = 512
-# How long an answer speaks for a request, in seconds, and how many are
-# remembered: what a daemon answers in some twenty seconds.
+REPORT_SECONDS = 2 * MAX_QUARANTINE_SECONDS
+MAX_REPORTS = 512
+# How long an answer clears a request, in seconds, and how many answers are
+# remembered: about twenty seconds' worth at one daemon.
 ANSWER_SECONDS = 30.0
-MOST_ANSWERS = 1024
-KEY_BYTES = 8
+MAX_ANSWERS = 1024
+REPORT_KEY_BYTES = 8
 
 
-class Standing(enum.Enum):
-    """How a request is to be treated."""
+class QuarantineStatus(enum.Enum):
+    """The quarantine status of a request."""
 
     CLEAR = 'clear'
     SUSPECT = 'suspect'
     QUARANTINED = 'quarantined'
 
 
-class Subject(typing.NamedTuple):
+class ServiceRequest(typing.NamedTuple):
     """A request to one service."""
 
     service: str
@@ -59,10 +60,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Report:
-    """A target ended while it ran these requests.
+    """Reports that a target ended while it ran these requests.
 
-    ``begun_at`` holds when it began each of them. If ``lifted``, what was
-    known against them before counts no more.
+    ``begun_at`` holds the start time of each of them. If ``lifted`` is set,
+    the report instead clears the requests of all earlier ends.
     """
 
     report_id: str
@@ -72,22 +73,22 @@
     begun_at: tuple[float, ...] = ()
     lifted: bool = False
 
-    def subjects(self) -> list[Subject]:
-        """Return whom it is about."""
-        return [Subject(self.service, f) for f in self.fingerprints]
+    def requests(self) -> list[ServiceRequest]:
+        """Return the requests that the report is about."""
+        return [ServiceRequest(self.service, f) for f in self.fingerprints]
 
     @property
     def key(self) -> int:
-        """A short digest of the report's name, for comparisons."""
+        """A short digest of the report's id, for comparisons."""
         digest = hashlib.blake2b(
-            self.report_id.encode(), digest_size=KEY_BYTES
+            self.report_id.encode(), digest_size=REPORT_KEY_BYTES
         )
         return int.from_bytes(digest.digest(), 'big') >> 1
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class End:
-    """One end that counts against one request, which began there then."""
+class TargetEnd:
+    """One end that counts against one request, with its start time there."""
 
     report: Report
     begun_at: float
@@ -98,27 +99,27 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Judgement:
-    """What follows for a request; ``until`` is when a quarantine ends.
+class Assessment:
+    """The status of a request; ``until`` is the end of a quarantine.
 
-    ``is_trial`` marks a suspect whose quarantine is over.
+    ``is_trial`` marks a suspect whose quarantine has expired.
     """
 
-    standing: Standing
+    status: QuarantineStatus
     until: float = 0.0
     report_ids: tuple[str, ...] = ()
     is_trial: bool = False
 
 
-CLEAR = Judgement(Standing.CLEAR)
+CLEAR = Assessment(QuarantineStatus.CLEAR)
 
 
-class Evidence:
-    """The ends that are known here, and what was answered lately.
+class EndHistory:
+    """The known ends of targets and the latest answers.
 
-    A request is judged for each service by what happened there, since one
-    may serve what ends another. ``digest`` stands for all reports that are
-    kept.
+    A request is assessed separately for each service, since one service may
+    handle what makes another one's targets end. ``digest`` identifies the set
+    of all stored reports.
     """
 
     def __init__(self) -> None:
@@ -126,67 +127,78 @@
             collections.OrderedDict()
         )
         self.digest = 0
-        # The ends under a request, oldest first, and until when they
-        # count no more against it.
-        self.against: dict[Subject, list[End]] = {}
-        self.lifted_at: dict[Subject, float] = {}
-        # The services whose targets ended under a request.
+        # The ends that involved each request, oldest first, and the time up to
+        # which they no longer count.
+        self.ends_by_request: dict[ServiceRequest, list[TargetEnd]] = {}
+        self.lifted_at: dict[ServiceRequest, float] = {}
+        # The services whose targets ended while running a request.
         self.services: dict[bytes, set[str]] = {}
-        self.answered_at: collections.OrderedDict[Subject, float] = (
+        self.answered_at: collections.OrderedDict[ServiceRequest, float] = (
             collections.OrderedDict()
         )
 
     # -- queries ----------------------------------------------------------
 
-    def judge(self, service: str, fingerprint: bytes, now: float) -> Judgement:
-        """Return how a request to a service is to be treated now."""
+    def assess(
+        self, service: str, fingerprint: bytes, now: float
+    ) -> Assessment:
+        """Return the status of a request to a service."""
         services = self.services.get(fingerprint)
         if services is None:
             return CLEAR
-        subject = Subject(service, fingerprint)
-        counted = self.counted(subject)
-        number = self.weight(subject, counted)
-        if number < FEWEST_ENDS and any(
-            self.is_proven(Subject(other, fingerprint))
+        request = ServiceRequest(service, fingerprint)
+        counted = self.counted_ends(request)
+        number = self.effective_ends(request, counted)
+        if number < MIN_ENDS and any(
+            self.is_proven_harmful(ServiceRequest(other, fingerprint))
             for other in services
             if other != service
         ):
-            # One end here is enough where others have shown what it is.
-            number = number + FEWEST_ENDS if counted else 1
+            # One end is enough here if another service has proven the request
+            # harmful.
+            number = number + MIN_ENDS if counted else 1
         if not number:
             return CLEAR
-        return sentence(number, counted, now)
-
-    def weight(self, subject: Subject, counted: list[End]) -> int:
-        """Return how many ends speak against a request at one service."""
-        number = count_separate(counted)
-        if number != FEWEST_ENDS:
+        return assess_ends(number, counted, now)
+
+    def effective_ends(
+        self, request: ServiceRequest, counted: list[TargetEnd]
+    ) -> int:
+        """Return how many ends count against a request at one service."""
+        number = count_separate_causes(counted)
+        if number != MIN_ENDS:
             return number
         far_apart = counted[-1].at - counted[0].at > SUSPECT_SECONDS
-        if far_apart or self.has_company(subject, counted):
-            # What was answered in between elsewhere is not told to all.
+        if far_apart or self.has_common_request(request, counted):
+            # Answers by other instances in between are not reported to all, so
+            # the request may be harmless.
             return 1
         return number
 
-    def is_proven(self, subject: Subject) -> bool:
-        return self.weight(subject, self.counted(subject)) >= FEWEST_ENDS
+    def is_proven_harmful(self, request: ServiceRequest) -> bool:
+        return (
+            self.effective_ends(request, self.counted_ends(request))
+            >= MIN_ENDS
+        )
 
-    def counted(self, subject: Subject) -> list[End]:
+    def counted_ends(self, request: ServiceRequest) -> list[TargetEnd]:
         """Return the ends that count against a request, oldest first."""
-        ends = self.against.get(subject, [])
-        since = self.lifted_at.get(subject)
+        ends = self.ends_by_request.get(request, [])
+        since = self.lifted_at.get(request)
         if since is None:
             return ends
         return [end for end in ends if end.at > since]
 
-    def has_company(self, subject: Subject, counted: list[End]) -> bool:
-        """Tell whether another request was there at each of these ends."""
+    def has_common_request(
+        self, request: ServiceRequest, counted: list[TargetEnd]
+    ) -> bool:
+        """Return whether another request was running at all of these ends."""
         shared = set(counted[0].report.fingerprints)
         for end in counted[1:]:
             shared.intersection_update(end.report.fingerprints)
-        shared.discard(subject.fingerprint)
+        shared.discard(request.fingerprint)
         first = counted[0].at
-        others = (Subject(subject.service, other) for other in shared)
+        others = (ServiceRequest(request.service, other) for other in shared)
         return any(
             self.lifted_at.get(other, -math.inf) < first for other in others
         )
@@ -198,21 +210,21 @@
         return report.key in self.reports
 
     def unknown_to(self, keys: Iterable[int]) -> list[Report]:
-        """Return the reports whose keys are not among these."""
+        """Return the reports whose keys are not among ``keys``."""
         known = set(keys)
         return [r for key, r in self.reports.items() if key not in known]
 
-    def was_answered(self, subject: Subject, now: float) -> bool:
-        """Tell whether a target has answered a request lately."""
-        answered_at = self.answered_at.get(subject)
+    def was_answered(self, request: ServiceRequest, now: float) -> bool:
+        """Return whether a target has recently answered a request."""
+        answered_at = self.answered_at.get(request)
         return answered_at is not None and now - answered_at <= ANSWER_SECONDS
 
     # -- changes ----------------------------------------------------------
 
     def add(self, report: Report, now: float) -> list[bytes]:
-        """Take a report; return whom it accuses although they were answered.
+        """Add a report; return its requests that recent answers clear.
 
-        Those are cleared here; the others should be told.
+        Those are cleared locally, and other instances should be told.
         """
         key = report.key
         if key in self.reports or now - report.at > REPORT_SECONDS:
@@ -222,71 +234,71 @@
         if report.lifted:
             self.lift(report)
         else:
-            self.accuse(report)
-        while len(self.reports) > MOST_REPORTS:
+            self.add_ends(report)
+        while len(self.reports) > MAX_REPORTS:
             self.drop(next(iter(self.reports)))
         if report.lifted:
             return []
         return [
-            subject.fingerprint
-            for subject in report.subjects()
-            if self.excuse(subject, now)
+            request.fingerprint
+            for request in report.requests()
+            if self.clear_if_answered(request, now)
         ]
 
-    def accuse(self, report: Report) -> None:
-        for subject, begun_at in zip(
-            report.subjects(), report.begun_at, strict=True
+    def add_ends(self, report: Report) -> None:
+        for request, begun_at in zip(
+            report.requests(), report.begun_at, strict=True
         ):
-            services = self.services.setdefault(subject.fingerprint, set())
-            services.add(subject.service)
-            ends = self.against.setdefault(subject, [])
-            ends.append(End(report, begun_at))
+            services = self.services.setdefault(request.fingerprint, set())
+            services.add(request.service)
+            ends = self.ends_by_request.setdefault(request, [])
+            ends.append(TargetEnd(report, begun_at))
             ends.sort(key=lambda end: end.at)
 
     def lift(self, report: Report) -> None:
-        """Let ends up to then count no more; no service stands for all."""
+        """Clear the ends up to the report; no service means all services."""
         for fingerprint in report.fingerprints:
             services = [report.service]
             if not report.service:
                 services = self.services.get(fingerprint, [])
             for service in services:
-                self.clear(Subject(service, fingerprint), report.at)
+                self.clear(ServiceRequest(service, fingerprint), report.at)
 
-    def clear(self, subject: Subject, at: float) -> None:
-        """Let ends up to ``at`` count no more against a request."""
-        self.lifted_at[subject] = max(at, self.lifted_at.get(subject, at))
+    def clear(self, request: ServiceRequest, at: float) -> None:
+        """Stop counting ends up to ``at`` against a request."""
+        self.lifted_at[request] = max(at, self.lifted_at.get(request, at))
 
-    def excuse(self, subject: Subject, now: float) -> bool:
-        """Clear a request that was answered lately; tell if others matter.
+    def clear_if_answered(self, request: ServiceRequest, now: float) -> bool:
+        """Clear a recently answered request; return whether to tell others.
 
-        A single end does little harm to a bystander, so only what would be
-        kept away elsewhere is worth a word to all.
+        A single end has little effect on a harmless request, so other
+        instances are told only if they would quarantine it.
         """
-        if not self.was_answered(subject, now):
+        if not self.was_answered(request, now):
             return False
-        number = count_separate(self.counted(subject))
-        self.clear(subject, now)
-        return number >= FEWEST_ENDS
+        number = count_separate_causes(self.counted_ends(request))
+        self.clear(request, now)
+        return number >= MIN_ENDS
 
     def note_answer(
         self, service: str, fingerprint: bytes, now: float
     ) -> bool:
-        """Take it that a target ran a request and answered it.
+        """Record that a target ran and answered a request.
 
-        Return whether others should be told that it is cleared.
+        Return whether other instances should be told that it is cleared.
         """
-        subject = Subject(service, fingerprint)
+        request = ServiceRequest(service, fingerprint)
         answered = self.answered_at
-        answered[subject] = now
-        answered.move_to_end(subject)
-        if len(answered) > MOST_ANSWERS:
+        answered[request] = now
+        answered.move_to_end(request)
+        if len(answered) > MAX_ANSWERS:
             answered.popitem(last=False)
-        if subject not in self.against:
+        if request not in self.ends_by_request:
             return False
-        return self.excuse(subject, now)
+        return self.clear_if_answered(request, now)
 
     def forget_old(self, now: float) -> None:
-        """Drop what is older than any quarantine."""
+        """Drop reports older than any quarantine."""
         old = [
             key
             for key, report in self.reports.items()
@@ -296,72 +308,74 @@
             self.drop(key)
 
     def drop(self, key: int) -> None:
-        """Forget one report and what it says of requests."""
+        """Drop one report and its ends."""
         report = self.reports.pop(key)
         self.digest ^= key
         if report.lifted:
             return
-        for subject in report.subjects():
-            ends = self.against[subject]
+        for request in report.requests():
+            ends = self.ends_by_request[request]
             left = [end for end in ends if end.report is not report]
             if left:
-                self.against[subject] = left
+                self.ends_by_request[request] = left
             else:
-                self.forget(subject)
+                self.forget(request)
 
-    def forget(self, subject: Subject) -> None:
-        del self.against[subject]
-        self.lifted_at.pop(subject, None)
-        services = self.services[subject.fingerprint]
-        services.discard(subject.service)
+    def forget(self, request: ServiceRequest) -> None:
+        del self.ends_by_request[request]
+        self.lifted_at.pop(request, None)
+        services = self.services[request.fingerprint]
+        services.discard(request.service)
         if not services:
-            del self.services[subject.fingerprint]
+            del self.services[request.fingerprint]
 
 
-def sentence(number: int, counted: list[End], now: float) -> Judgement:
-    """Return what follows from so many ends; ``counted`` may be none."""
+def assess_ends(
+    number: int, counted: list[TargetEnd], now: float
+) -> Assessment:
+    """Return the status after ``number`` ends; ``counted`` may be empty."""
     last = counted[-1].at if counted else now
-    if number < FEWEST_ENDS:
+    if number < MIN_ENDS:
         young = now - last < SUSPECT_SECONDS
-        return Judgement(Standing.SUSPECT) if young else CLEAR
-    seconds = QUARANTINE_SECONDS.get(number, LONGEST_QUARANTINE)
+        return Assessment(QuarantineStatus.SUSPECT) if young else CLEAR
+    seconds = QUARANTINE_SECONDS.get(number, MAX_QUARANTINE_SECONDS)
     if now >= last + seconds:
-        return Judgement(Standing.SUSPECT, is_trial=True)
+        return Assessment(QuarantineStatus.SUSPECT, is_trial=True)
     names = tuple(end.report.report_id for end in counted)
-    return Judgement(Standing.QUARANTINED, last + seconds, names)
+    return Assessment(QuarantineStatus.QUARANTINED, last + seconds, names)
 
 
-def count_separate(ends: list[End]) -> int:
-    """Return how many ends, oldest first, had causes of their own.
+def count_separate_causes(ends: list[TargetEnd]) -> int:
+    """Return how many of the ends, oldest first, had separate causes.
 
     >>> def end(at, begun_at):
-    ...     return End(Report('', '', (), at), begun_at)
-    >>> count_separate([end(1.0, 0.5), end(1.05, 0.5), end(1.2, 0.5)])
+    ...     return TargetEnd(Report('', '', (), at), begun_at)
+    >>> count_separate_causes([end(1.0, 0.5), end(1.05, 0.5), end(1.2, 0.5)])
     2
-    >>> count_separate([end(1.0, 0.5), end(1.05, 1.01)])
+    >>> count_separate_causes([end(1.0, 0.5), end(1.05, 1.01)])
     2
     """
     number = 0
     first = -math.inf
     for end in ends:
-        if is_separate(end, first):
+        if has_separate_cause(end, first):
             number += 1
             first = end.at
     return number
 
 
-def is_separate(end: End, before: float) -> bool:
-    """Tell whether an end had another cause than the one before."""
+def has_separate_cause(end: TargetEnd, before: float) -> bool:
+    """Return whether an end had another cause than the one before."""
     apart = end.at - before
-    if end.begun_at > before - TOGETHER_BEGUN_LATER:
-        return apart > TOGETHER_BEGUN_LATER
-    return apart > TOGETHER
+    if end.begun_at > before - LATER_START_SECONDS:
+        return apart > LATER_START_SECONDS
+    return apart > SAME_CAUSE_SECONDS
 
 
-def split(items: Iterable, size: int) -> list[tuple]:
-    """Return the items in parts of ``size`` at most, in order.
+def batched(items: Iterable, size: int) -> list[tuple]:
+    """Return the items in batches of at most ``size``, in order.
 
-    >>> split('abc', 2)
+    >>> batched('abc', 2)
     [('a', 'b'), ('c',)]
     """
     rest = iter(items)
--- a/cyclamenlift/quarantine/tasks.py
+++ b/cyclamenlift/quarantine/tasks.py
@@ -1,8 +1,9 @@
-"""Keeps requests that end targets away, together with all other instances.
+"""Shares reports of ended targets with all other instances.
 
-Whoever sees a target end tells some members at once, and each that hears it
-tells some more. Each packet of membership carries a digest of what its
-sender knows, so whoever missed something, or has just started, asks for it.
+The instance that sees a target end sends a report to several members, and each
+that receives it forwards it to some more. Each membership packet carries a
+digest of its sender's reports, so an instance that missed some, or has just
+started, requests them.
 """
 
 from collections.abc import Mapping
@@ -12,14 +13,14 @@
 import structlog
 
 from cyclamenlift.core.streams import Address
-from cyclamenlift.quarantine.state import Evidence
-from cyclamenlift.quarantine.state import Judgement
+from cyclamenlift.quarantine.state import Assessment
+from cyclamenlift.quarantine.state import batched
+from cyclamenlift.quarantine.state import EndHistory
+from cyclamenlift.quarantine.state import QuarantineStatus
 from cyclamenlift.quarantine.state import Report
-from cyclamenlift.quarantine.state import split
-from cyclamenlift.quarantine.state import Standing
-from cyclamenlift.quarantine.state import Subject
+from cyclamenlift.quarantine.state import ServiceRequest
 from cyclamenlift.quarantine.wire import from_wire
-from cyclamenlift.quarantine.wire import MOST_FINGERPRINTS
+from cyclamenlift.quarantine.wire import MAX_FINGERPRINTS
 from cyclamenlift.quarantine.wire import to_wire
 from cyclamenlift.wire.gen.protocol.ttypes import EndReport
 from cyclamenlift.wire.gen.protocol.ttypes import EndsAnswer
@@ -32,57 +33,56 @@
     from cyclamenlift.wire.tasks import PeerNetwork
 
 LOG = structlog.get_logger('quarantine')
-# Members that are told at once, by the one who knows first and by each one
-# that hears it: with three each, nineteen of twenty hear it so, and the
-# digest brings it to the others.
+# Number of members that a report is sent to by its origin and by each
+# receiver. With three each, nineteen of twenty members get it this way; the
+# digest comparison brings it to the others.
 FIRST_FANOUT = 8
 FORWARD_FANOUT = 3
-# How long to wait before it is asked again for what others know, in
-# seconds; twice as long after each answer that brought nothing.
-LEAST_ASK_SECONDS = 0.25
-MOST_ASK_SECONDS = 30.0
-# How many reports one answer gives: about 20 KB, 0.1 s on a link of
-# 2 Mbit/s.
-MOST_GIVEN = 64
-# How long a starting daemon waits to learn what others know, in seconds.
+# Minimum and maximum delay between requests for missing reports, in seconds.
+# The delay doubles after each answer without new reports.
+MIN_REQUEST_INTERVAL = 0.25
+MAX_REQUEST_INTERVAL = 30.0
+# Number of reports in one answer: about 20 KB, 0.1 s on a link of 2 Mbit/s.
+MAX_REPORTS_SENT = 64
+# How long a starting daemon waits for the reports of others, in seconds.
 SYNC_SECONDS = 1.0
-# How long after its start it does not believe others that know nothing
-# either, in seconds: they may have started with it.
-ELDERS_SECONDS = 0.25
+# How long after its start an instance does not trust daemons that have no
+# reports either, in seconds: they may have started at the same time.
+DISTRUST_SECONDS = 0.25
 FORGET_SECONDS = 10.0
-# Many know at the same time that a request was answered: each waits for up
-# to this long, in seconds, whether another one has told it already.
-LIFT_SECONDS = 0.05
-MOST_INCARNATION = 60
+# Many instances learn at the same time that a request was answered: each waits
+# a random delay up to this, in seconds, in case another one reports it first.
+MAX_LIFT_DELAY = 0.05
+MAX_INCARNATION_LENGTH = 60
 
 
 class Quarantine:
-    """One instance's part; alone it judges by what it sees itself."""
+    """One instance's quarantine; without peers it uses only local reports."""
 
     def __init__(self, scheduler, instance: str = '', rng=None):
         self.scheduler = scheduler
         self.clock = scheduler.clock
         self.instance = instance
         self.rng = rng or random.Random()
-        self.evidence = Evidence()
+        self.history = EndHistory()
         self.network: 'PeerNetwork | None' = None
         self.membership: 'Membership | None' = None
-        self.ask_again_at = 0.0
-        self.ask_seconds = LEAST_ASK_SECONDS
+        self.next_request_at = 0.0
+        self.request_interval = MIN_REQUEST_INTERVAL
         self.synced = False
-        self.others_know_more = False
+        self.is_missing_reports = False
         self.sync_deadline = 0.0
-        self.elders_deadline = 0.0
+        self.distrust_deadline = 0.0
 
     def join(self, network: 'PeerNetwork', membership: 'Membership') -> None:
-        """Share what is known with the other members from now on."""
+        """Start sharing reports with the other members."""
         self.network = network
         self.membership = membership
         self.sync_deadline = self.now() + SYNC_SECONDS
-        self.elders_deadline = self.now() + ELDERS_SECONDS
+        self.distrust_deadline = self.now() + DISTRUST_SECONDS
         network.subscribe(EndsRequest, self.on_request)
         network.subscribe(EndsAnswer, self.on_answer)
-        membership.subscribe_ends(self.on_told, self.on_digest)
+        membership.subscribe_ends(self.on_report, self.on_digest)
         self.scheduler.every(FORGET_SECONDS, self.forget_old)
 
     # -- queries ----------------------------------------------------------
@@ -90,88 +90,88 @@
     def now(self) -> float:
         return self.clock.now()
 
-    def judge(self, service: str, fingerprint: bytes) -> Judgement:
-        """Return how a request to a service is to be treated now."""
-        return self.evidence.judge(service, fingerprint, self.now())
+    def assess(self, service: str, fingerprint: bytes) -> Assessment:
+        """Return the status of a request to a service."""
+        return self.history.assess(service, fingerprint, self.now())
 
     def is_synced(self) -> bool:
-        """Tell whether what others knew at our start is known here."""
+        """Return whether the reports that others had at the start are here."""
         return self.synced or self.now() >= self.sync_deadline
 
     def is_behind(self) -> bool:
-        """Tell whether what others knew at our start is on its way here.
+        """Return whether reports that others had at the start are due.
 
-        Where nobody has said that there is anything, calls must not wait.
+        If no member has announced any reports, calls must not wait.
         """
-        return self.others_know_more and not self.is_synced()
+        return self.is_missing_reports and not self.is_synced()
 
     # -- commands ---------------------------------------------------------
 
     def note_answer(self, service: str, fingerprint: bytes) -> None:
-        """Take it that a target ran a request and answered it."""
-        if self.evidence.note_answer(service, fingerprint, self.now()):
-            self.plan_lift(service, [fingerprint])
+        """Record that a target ran and answered a request."""
+        if self.history.note_answer(service, fingerprint, self.now()):
+            self.schedule_lift(service, [fingerprint])
 
     def note_end(
         self, service: str, ran: Mapping[bytes, float], incarnation: str
     ) -> list[EndReport]:
-        """Take it that the local target ended; return what was told.
+        """Record that the local target ended; return the reports sent.
 
-        ``ran`` holds when it began each request that it was running.
+        ``ran`` maps the requests that it was running to their start times.
         """
         now = self.now()
-        accused = [
+        suspects = [
             (fingerprint, begun_at)
             for fingerprint, begun_at in ran.items()
-            if not self.evidence.was_answered(
-                Subject(service, fingerprint), now
+            if not self.history.was_answered(
+                ServiceRequest(service, fingerprint), now
             )
         ]
-        name = f'{self.instance}/{incarnation[:MOST_INCARNATION]}'
+        name = f'{self.instance}/{incarnation[:MAX_INCARNATION_LENGTH]}'
         name = f'{name}/{self.clock.unix_ms()}'
         reports = []
-        for number, part in enumerate(split(accused, MOST_FINGERPRINTS)):
+        for number, part in enumerate(batched(suspects, MAX_FINGERPRINTS)):
             fingerprints, begun_at = zip(*part, strict=True)
             report_id = f'{name}/{number}'
             reports.append(
                 Report(report_id, service, fingerprints, now, begun_at)
             )
         for report in reports:
-            self.take(report, FIRST_FANOUT)
+            self.accept(report, FIRST_FANOUT)
         return [to_wire(report, now) for report in reports]
 
     def lift(self, fingerprints: list[bytes], service: str = '') -> None:
-        """Let what is known against these requests count no more, anywhere.
+        """Clear these requests of all earlier ends, at all instances.
 
-        Without a service this holds for all of them.
+        Without a service this applies to all services.
         """
         now = self.now()
         number = self.rng.getrandbits(48)
         name = f'{self.instance}/lifted/{number:x}'
         for part_number, part in enumerate(
-            split(fingerprints, MOST_FINGERPRINTS)
+            batched(fingerprints, MAX_FINGERPRINTS)
         ):
             report_id = f'{name}/{part_number}'
             report = Report(report_id, service, part, now, lifted=True)
-            self.take(report, FIRST_FANOUT)
+            self.accept(report, FIRST_FANOUT)
 
-    def take(self, report: Report, fanout: int) -> bool:
-        """Take a report that is news, and pass it on; False if it is not."""
-        if self.evidence.knows(report):
+    def accept(self, report: Report, fanout: int) -> bool:
+        """Store and forward a new report; return False if it is known."""
+        if self.history.knows(report):
             return False
-        cleared = self.evidence.add(report, self.now())
-        self.log_taken(report)
+        cleared = self.history.add(report, self.now())
+        self.log_accepted(report)
         if self.membership is not None:
-            self.membership.set_ends_digest(self.evidence.digest)
-            told = to_wire(report, self.now())
+            self.membership.set_ends_digest(self.history.digest)
+            message = to_wire(report, self.now())
             own = fanout == FIRST_FANOUT
-            self.membership.spread_ends(told, fanout, own)
+            self.membership.spread_ends(message, fanout, own)
         if cleared:
-            self.plan_lift(report.service, cleared)
+            self.schedule_lift(report.service, cleared)
         return True
 
-    def log_taken(self, report: Report) -> None:
-        """Write what a report changes for requests."""
+    def log_accepted(self, report: Report) -> None:
+        """Log the effect of a report on its requests."""
         names = [f.hex() for f in report.fingerprints]
         if report.lifted:
             LOG.info(
@@ -182,22 +182,22 @@
             return
         now = self.now()
         for fingerprint in report.fingerprints:
-            judgement = self.evidence.judge(report.service, fingerprint, now)
-            if judgement.standing is Standing.QUARANTINED:
+            assessment = self.history.assess(report.service, fingerprint, now)
+            if assessment.status is QuarantineStatus.QUARANTINED:
                 LOG.warning(
                     'request_quarantined',
                     fingerprint=fingerprint.hex(),
                     service=report.service,
-                    reports=judgement.report_ids,
+                    reports=assessment.report_ids,
                     age_ms=int((now - report.at) * 1000),
-                    seconds_left=round(judgement.until - now, 1),
+                    seconds_left=round(assessment.until - now, 1),
                 )
 
-    def plan_lift(self, service: str, fingerprints: list[bytes]) -> None:
-        """Tell all that requests were answered, unless another one does."""
+    def schedule_lift(self, service: str, fingerprints: list[bytes]) -> None:
+        """Report that requests were answered, unless another instance does."""
         planned_at = self.now()
 
-        def tell() -> None:
+        def lift_remaining() -> None:
             left = [
                 fingerprint
                 for fingerprint in fingerprints
@@ -206,43 +206,47 @@
             if left:
                 self.lift(left, service)
 
-        self.scheduler.after(self.rng.uniform(0.0, LIFT_SECONDS), tell)
+        self.scheduler.after(
+            self.rng.uniform(0.0, MAX_LIFT_DELAY), lift_remaining
+        )
 
     def was_lifted(
         self, service: str, fingerprint: bytes, since: float
     ) -> bool:
-        """Tell whether all were told since then that a request is cleared."""
+        """Return whether a request was reported as cleared since then."""
         return any(
             report.lifted
             and report.service in ('', service)
-            and report.at >= since - LIFT_SECONDS
+            and report.at >= since - MAX_LIFT_DELAY
             and fingerprint in report.fingerprints
-            for report in reversed(self.evidence.reports.values())
+            for report in reversed(self.history.reports.values())
         )
 
     def forget_old(self) -> None:
-        self.evidence.forget_old(self.now())
+        self.history.forget_old(self.now())
         if self.membership is not None:
-            self.membership.set_ends_digest(self.evidence.digest)
+            self.membership.set_ends_digest(self.history.digest)
 
     # -- messages ---------------------------------------------------------
 
-    def on_told(self, told: EndReport, fanout: int = FORWARD_FANOUT) -> bool:
-        """Take a report of a peer; tell whether it was news."""
-        report = from_wire(told, self.now())
+    def on_report(
+        self, message: EndReport, fanout: int = FORWARD_FANOUT
+    ) -> bool:
+        """Handle a report of a peer; return whether it was new."""
+        report = from_wire(message, self.now())
         if report is None:
-            LOG.warning('report_unsound', report=str(told)[:200])
+            LOG.warning('report_unsound', report=str(message)[:200])
             return False
-        return self.take(report, fanout)
+        return self.accept(report, fanout)
 
     def on_digest(self, seen: 'DigestSeen') -> None:
-        """Compare what a peer knows with what is known here."""
-        if seen.digest == self.evidence.digest:
-            self.note_same(seen)
+        """Compare a peer's digest with the local one."""
+        if seen.digest == self.history.digest:
+            self.on_same_digest(seen)
             return
-        self.others_know_more = True
+        self.is_missing_reports = True
         now = self.now()
-        if now < self.ask_again_at:
+        if now < self.next_request_at:
             return
         try:
             address = Address.parse(seen.peer_address)
@@ -250,32 +254,36 @@
             peer = seen.peer_address[:100]
             LOG.warning('reports_peer_unreadable', address=peer)
             return
-        self.ask_again_at = now + self.ask_seconds
-        self.ask_seconds = min(MOST_ASK_SECONDS, 2 * self.ask_seconds)
-        self.network.send(address, EndsRequest(self.evidence.keys()))
+        self.next_request_at = now + self.request_interval
+        self.request_interval = min(
+            MAX_REQUEST_INTERVAL, 2 * self.request_interval
+        )
+        self.network.send(address, EndsRequest(self.history.keys()))
 
-    def note_same(self, seen: 'DigestSeen') -> None:
-        """Take it that a peer knows just as much.
+    def on_same_digest(self, seen: 'DigestSeen') -> None:
+        """Handle a peer whose digest equals the local one.
 
-        Daemons that start together all know nothing at first; control
-        instances were there before.
+        Daemons that start together have no reports at first; control instances
+        were running before.
         """
-        elders_heard = self.now() >= self.elders_deadline
-        if seen.digest or seen.from_control or elders_heard:
+        peers_trusted = self.now() >= self.distrust_deadline
+        if seen.digest or seen.from_control or peers_trusted:
             self.synced = True
 
     def on_request(self, link: 'Link', request: EndsRequest) -> None:
-        """Give a peer what it does not know, the newest first."""
-        unknown = self.evidence.unknown_to(request.known or ())
+        """Send a peer the reports that it lacks, the newest first."""
+        unknown = self.history.unknown_to(request.known or ())
         unknown.sort(key=lambda report: report.at, reverse=True)
         now = self.now()
-        given = [to_wire(report, now) for report in unknown[:MOST_GIVEN]]
+        given = [to_wire(report, now) for report in unknown[:MAX_REPORTS_SENT]]
         link.send(EndsAnswer(given))
 
     def on_answer(self, _link: 'Link', answer: EndsAnswer) -> None:
-        """Take what a peer knew and we did not; others know it as well."""
-        news = [self.on_told(told, 0) for told in answer.reports or ()]
-        if any(news):
-            self.ask_seconds = LEAST_ASK_SECONDS
-            self.ask_again_at = 0.0
+        """Store a peer's reports, which other members have as well."""
+        are_new = [
+            self.on_report(message, 0) for message in answer.reports or ()
+        ]
+        if any(are_new):
+            self.request_interval = MIN_REQUEST_INTERVAL
+            self.next_request_at = 0.0
         self.synced = True
--- a/cyclamenlift/quarantine/wire.py
+++ b/cyclamenlift/quarantine/wire.py
@@ -1,20 +1,23 @@
-"""Reports as they travel: read from peers with care, ages on the wire."""
+"""Conversion of reports to and from the wire, with validation.
+
+Times are sent as ages.
+"""
 
 from cyclamenlift.core.clock import MILLISECONDS
 from cyclamenlift.quarantine.fingerprints import FINGERPRINT_BYTES
 from cyclamenlift.quarantine.state import Report
 from cyclamenlift.wire.gen.protocol.ttypes import EndReport
 
-# Fingerprints in one report, so that it fits in a datagram with the names
-# of its sender. A target that ran more at its end is told of in parts.
-MOST_FINGERPRINTS = 48
-MOST_TEXT = 160
-# The longest age and run that is told; both fit in 32 bits.
-MOST_AGE_MS = 24 * 3600 * MILLISECONDS
+# Maximum fingerprints in one report, so that it fits in a datagram with the
+# sender's names. A target that ran more is reported in parts.
+MAX_FINGERPRINTS = 48
+MAX_TEXT_LENGTH = 160
+# Maximum age and run time that is sent; both fit in 32 bits.
+MAX_AGE_MS = 24 * 3600 * MILLISECONDS
 
 
 def to_wire(report: Report, now: float) -> EndReport:
-    """Return a report with its age as it is now."""
+    """Return a report with its current age."""
     return EndReport(
         report_id=report.report_id,
         service_name=report.service,
@@ -25,45 +28,45 @@
     )
 
 
-def from_wire(told: EndReport, now: float) -> Report | None:
-    """Return a peer's report, None if its fields can't be used."""
-    if not is_sound(told):
+def from_wire(message: EndReport, now: float) -> Report | None:
+    """Return a peer's report, or None if it is invalid."""
+    if not is_valid(message):
         return None
-    at = now - told.age_ms / MILLISECONDS
+    at = now - message.age_ms / MILLISECONDS
     return Report(
-        told.report_id,
-        told.service_name,
-        tuple(told.fingerprints),
+        message.report_id,
+        message.service_name,
+        tuple(message.fingerprints),
         at,
-        tuple(at - ran_ms / MILLISECONDS for ran_ms in told.ran_ms or ()),
-        bool(told.lifted),
+        tuple(at - ran_ms / MILLISECONDS for ran_ms in message.ran_ms or ()),
+        bool(message.lifted),
     )
 
 
 def milliseconds(seconds: float) -> int:
-    return min(MOST_AGE_MS, max(0, int(seconds * MILLISECONDS)))
+    return min(MAX_AGE_MS, max(0, int(seconds * MILLISECONDS)))
 
 
-def is_sound(told: EndReport) -> bool:
-    """Tell whether a report of the network may be believed to be one."""
+def is_valid(message: EndReport) -> bool:
+    """Return whether a report from the network is valid."""
     return (
-        isinstance(told.report_id, str)
-        and 0 < len(told.report_id) <= MOST_TEXT
-        and isinstance(told.service_name, str)
-        and len(told.service_name) <= MOST_TEXT
-        and isinstance(told.age_ms, int)
-        and 0 <= told.age_ms <= MOST_AGE_MS
-        and isinstance(told.fingerprints, list)
-        and len(told.fingerprints) <= MOST_FINGERPRINTS
-        and all(is_fingerprint(f) for f in told.fingerprints)
-        and (bool(told.lifted) or fits_times(told))
+        isinstance(message.report_id, str)
+        and 0 < len(message.report_id) <= MAX_TEXT_LENGTH
+        and isinstance(message.service_name, str)
+        and len(message.service_name) <= MAX_TEXT_LENGTH
+        and isinstance(message.age_ms, int)
+        and 0 <= message.age_ms <= MAX_AGE_MS
+        and isinstance(message.fingerprints, list)
+        and len(message.fingerprints) <= MAX_FINGERPRINTS
+        and all(is_fingerprint(f) for f in message.fingerprints)
+        and (bool(message.lifted) or has_valid_times(message))
     )
 
 
-def fits_times(told: EndReport) -> bool:
-    """Tell whether there is one usable time for each request that ran."""
-    times = told.ran_ms or []
-    return len(times) == len(told.fingerprints) and all(
+def has_valid_times(message: EndReport) -> bool:
+    """Return whether there is one valid time for each request that ran."""
+    times = message.ran_ms or []
+    return len(times) == len(message.fingerprints) and all(
         isinstance(ran_ms, int) and ran_ms >= 0 for ran_ms in times
     )
 
--- a/cyclamenlift/routing/finish.py
+++ b/cyclamenlift/routing/finish.py
@@ -1,86 +1,89 @@
-"""When an answer may be expected from a target: pure arithmetic.
-
-The load that this answers: an instance's neighbours make its work several
-times slower for some hundred milliseconds, then it is as fast as before. On
-the sites that were measured a slow spell took about half a second, came a
-quarter of the time and made work four or seven times as long. A call keeps
-the pace at which its target began it to its end, also when the spell is
-long over. So a call of 660 ms that begins in a spell takes 4.6 s, and one
-that waits for the end of the spell first about a second.
+"""Expected completion times of calls, as pure functions.
+
+Other workloads on a host slow a target down several times for some hundred
+milliseconds, after which it recovers. On the sites that were measured such a
+slow spell took about half a second, was present a quarter of the time and made
+calls four or seven times as long. A call keeps the pace at which its target
+began it, even when the spell ends first. So a call of 660 ms that begins in a
+spell takes 4.6 s, while one that first waits for the end of the spell takes
+about a second.
+
+A pace is the current duration of calls as a percentage of the usual one.
 """
 
 import dataclasses
 
-# Beyond this pace, in percent of the usual, a target is in a slow spell that
-# passes within a second or so. Targets that have just started keep about
-# twice the usual for seconds, which is not worth waiting for.
+# A pace above this, in percent of the usual one, means a slow spell that ends
+# within about a second. Targets that have just started run at about twice the
+# usual duration for seconds, which is too long to wait out.
 SPELL_PACE = 250
-# What is left of a slow spell when one hears of it, in seconds, where nobody
-# tells: half of a spell, since news come at any point of it, and now and
-# then another one (33 spells were logged: 0.5 s most often, 0.63 s in the
-# mean).
-SPELL_LEFT = 0.4
-# A figure of a pace older than this, in seconds, tells nothing. Until then
-# it holds: a gate tells the entries that called it lately of each change.
-PACE_FRESH = 3.0
-# How much longer work takes on average, where the pace is not known: a gate
-# whose target is slow sends the call back at once, so little is lost by
-# asking it. Known targets go first where all else is the same.
-UNKNOWN_FACTOR = 1.05
-# Share of the work that a full target takes longer: most slow down a
-# little when their slots are nearly taken.
-CROWDING = 0.3
-# What a kilobyte across data centres counts, in seconds: links between
-# them are priced so that an upload of 60 KB there costs a third of what it
-# is worth, and on a link of 4 Mbit/s it takes 2 ms.
-FAR_KILOBYTE = 0.004
-# What any call to another data centre counts, as a share of its work: where
-# a near target is as good, bytes between data centres are saved; callers
-# leave time of about twice the work.
-FAR_SHARE = 0.1
-# A call of this size costs about the same anywhere: heads are as large.
+# Default for the remaining seconds of a slow spell when the gate does not
+# report them: half of a spell, since reports arrive at any point of it, plus
+# an allowance for another spell that follows (33 spells were logged: 0.5 s
+# most often, 0.63 s on average).
+DEFAULT_SPELL_LEFT = 0.4
+# A reported pace older than this, in seconds, is ignored. Until then it holds,
+# because gates report each change to the entries that called them recently.
+PACE_VALID_SECONDS = 3.0
+# Factor on the expected duration where the pace is unknown. Little is lost by
+# asking such a gate, as it sends the call back at once if its target is slow.
+# The factor prefers targets with a known pace if all else is equal.
+UNKNOWN_PACE_FACTOR = 1.05
+# Extra duration of a call at a full target, as a share of its work: most
+# targets slow down slightly when their slots are nearly taken.
+CONTENTION = 0.3
+# Cost of a kilobyte sent to another data centre, in seconds. Traffic between
+# data centres is priced so that an upload of 60 KB there costs a third of its
+# value, and on a link of 4 Mbit/s a kilobyte takes 2 ms.
+FAR_KILOBYTE_COST = 0.004
+# Cost of any call to another data centre, as a share of its work, to save
+# traffic between data centres where a near target is as good. Callers allow
+# about twice the work as slack.
+FAR_WORK_SHARE = 0.1
+# Calls up to this size have no distance cost per kilobyte: headers alone are
+# as large.
 FREE_KILOBYTES = 1.0
 PERCENT = 100.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Start:
-    """The better of two ways to run a call: begin it now, or hold it.
+class StartPlan:
+    """The faster of two options: begin a call now, or hold it back.
 
-    ``held`` is how long it is held until the pace should be usual again, 0
-    if it begins now; ``seconds`` is when it should be done, from now. Both
-    in seconds.
+    ``held`` is how long to hold the call until the pace should be back to
+    normal, 0 to begin now. ``seconds`` is the expected time until the call is
+    done. Both are in seconds.
     """
 
     held: float
     seconds: float
 
 
-def best_start(work: float, pace_percent: int, spell_left: float) -> Start:
-    """Return how ``work`` is done soonest at a target with this pace.
+def best_start(work: float, pace_percent: int, spell_left: float) -> StartPlan:
+    """Return the start that completes ``work`` soonest at this pace.
 
-    ``spell_left`` is how much longer the spell should last, in seconds.
+    ``spell_left`` is the expected remaining time of the spell, in seconds.
 
     >>> best_start(0.66, 100, 0.0)
-    Start(held=0.0, seconds=0.66)
+    StartPlan(held=0.0, seconds=0.66)
     >>> best_start(0.66, 700, 0.25)
-    Start(held=0.25, seconds=0.91)
+    StartPlan(held=0.25, seconds=0.91)
     >>> best_start(0.015, 700, 0.25)
-    Start(held=0.0, seconds=0.105)
+    StartPlan(held=0.0, seconds=0.105)
     """
     begun_now = work * max(1.0, pace_percent / PERCENT)
     held = spell_left + work
     if pace_percent <= SPELL_PACE or begun_now <= held:
-        return Start(0.0, begun_now)
-    return Start(spell_left, held)
+        return StartPlan(0.0, begun_now)
+    return StartPlan(spell_left, held)
 
 
 def expected_work(
     work: float, pace_percent: int, spell_left: float, age: float
 ) -> float:
-    """Return how long ``work`` takes by what was told ``age`` seconds ago.
+    """Return the expected duration of ``work`` from a report of this age.
 
-    Gates hold a call while that is better, so entries count on it.
+    Gates hold a call back when that is faster, so entries assume it.
 
     >>> expected_work(0.1, 100, 0.0, 0.0)
     0.1
@@ -89,22 +92,22 @@
     >>> round(expected_work(0.02, 700, 0.3, 0.0), 3)
     0.14
     """
-    if pace_percent <= 0 or age >= PACE_FRESH:
-        return work * UNKNOWN_FACTOR
-    left = max(0.0, (spell_left or SPELL_LEFT) - age)
+    if pace_percent <= 0 or age >= PACE_VALID_SECONDS:
+        return work * UNKNOWN_PACE_FACTOR
+    left = max(0.0, (spell_left or DEFAULT_SPELL_LEFT) - age)
     return best_start(work, pace_percent, left).seconds
 
 
-def queueing(load: float, slots: float, work: float) -> float:
-    """Return the wait behind ``load`` calls, and what a crowd costs.
+def queueing_delay(load: float, slots: float, work: float) -> float:
+    """Return the wait behind ``load`` calls plus the cost of contention.
 
-    >>> queueing(0, 10, 0.1)
+    >>> queueing_delay(0, 10, 0.1)
     0.0
-    >>> queueing(10, 10, 0.1) > queueing(5, 10, 0.1)
+    >>> queueing_delay(10, 10, 0.1) > queueing_delay(5, 10, 0.1)
     True
     """
     share = min(1.0, load / slots)
-    crowd = CROWDING * share * share * work
+    crowd = CONTENTION * share * share * work
     waiting = max(0.0, load + 1.0 - slots)
     return crowd + waiting * work / slots
 
@@ -113,16 +116,16 @@
     kilobytes: float,
     near: bool,
     work: float = 0.0,
-    far_kilobyte: float = FAR_KILOBYTE,
+    far_kilobyte_cost: float = FAR_KILOBYTE_COST,
 ) -> float:
-    """Return what the way of a call counts, in seconds.
+    """Return the cost of the distance to a target, in seconds.
 
     >>> distance_cost(60.0, True), distance_cost(1.0, False)
     (0.0, 0.0)
     >>> distance_cost(1.0, False, 0.5)
     0.05
     """
-    if near or far_kilobyte == 0.0:
+    if near or far_kilobyte_cost == 0.0:
         return 0.0
-    body = max(0.0, kilobytes - FREE_KILOBYTES) * far_kilobyte
-    return FAR_SHARE * work + body
+    body = max(0.0, kilobytes - FREE_KILOBYTES) * far_kilobyte_cost
+    return FAR_WORK_SHARE * work + body
--- a/cyclamenlift/routing/state.py
+++ b/cyclamenlift/routing/state.py
@@ -1,7 +1,7 @@
-"""Which target takes a call: the decisions of one entry, without sockets.
+"""Routing decisions of one entry, without I/O.
 
-The owner reports what it learns (members, the start and end of calls, load
-figures) and asks for choices, probes and hedge delays. Time is passed in.
+The owner reports events (members, the start and end of calls, load figures)
+and asks for targets, probes and hedge delays. Time is passed in.
 """
 
 import random
@@ -11,15 +11,15 @@
 from cyclamenlift.core.streams import Address
 from cyclamenlift.models.rules import EventRules
 from cyclamenlift.models.rules import ServiceRule
-from cyclamenlift.routing.ejection import BAD_LEVEL
+from cyclamenlift.routing.ejection import EJECTION_ERROR_LEVEL
 from cyclamenlift.routing.estimates import ERROR_WEIGHT
-from cyclamenlift.routing.finish import FAR_KILOBYTE
+from cyclamenlift.routing.finish import FAR_KILOBYTE_COST
 from cyclamenlift.routing.group import Candidate
-from cyclamenlift.routing.group import Group
+from cyclamenlift.routing.group import TargetGroup
 from cyclamenlift.routing.hedging import HedgeDelay
+from cyclamenlift.routing.messages import CallProfile
 from cyclamenlift.routing.messages import Choice
-from cyclamenlift.routing.messages import Need
-from cyclamenlift.routing.messages import NO_NEED
+from cyclamenlift.routing.messages import DEFAULT_PROFILE
 from cyclamenlift.routing.messages import Outcome
 from cyclamenlift.routing.messages import ProbeOrder
 from cyclamenlift.routing.policies import expected_seconds
@@ -28,25 +28,25 @@
 from cyclamenlift.routing.policies import Policy
 from cyclamenlift.routing.policies import relative_load
 from cyclamenlift.routing.policies import sample_of
+from cyclamenlift.routing.probes import probe_rate_per_member
 from cyclamenlift.routing.probes import ProbeAllowance
-from cyclamenlift.routing.probes import share_of
 from cyclamenlift.routing.work import WorkTable
 from cyclamenlift.wire.gen.protocol.ttypes import LoadFigures
 from cyclamenlift.wire.gen.protocol.ttypes import MemberRecord
 from cyclamenlift.wire.gen.protocol.ttypes import MemberState
 from cyclamenlift.wire.gen.protocol.ttypes import TargetState
 
-GONE = (MemberState.DEAD, MemberState.LEFT)
-FIRST_RECORDS_SECONDS = 3.0
-PROBE_SAMPLE = 4
+DEPARTED_STATES = (MemberState.DEAD, MemberState.LEFT)
+INITIAL_RECORDS_SECONDS = 3.0
+PROBE_SAMPLE_SIZE = 4
 PROBE_AFTER_SECONDS = 0.1
-ERRORS = frozenset(ERROR_WEIGHT)
+ERROR_OUTCOMES = frozenset(ERROR_WEIGHT)
 
 
 class ServiceState:
-    """Everything an entry keeps for one service."""
+    """The routing state that an entry keeps for one service."""
 
-    def __init__(self, group: Group, policy: Policy, probe_rate: float):
+    def __init__(self, group: TargetGroup, policy: Policy, probe_rate: float):
         self.group = group
         self.policy = policy
         self.delay = HedgeDelay()
@@ -64,79 +64,81 @@
         self.records: dict[str, MemberRecord] = {}
         self.work = WorkTable()
         self.instance = ''
-        # Bytes a second of this instance's link, 0 if it is not known.
+        # Bandwidth of this instance's link in bytes per second, 0 if unknown.
         self.link_rate = 0.0
-        self.far_kilobyte = FAR_KILOBYTE
+        self.far_kilobyte_cost = FAR_KILOBYTE_COST
         self.first_record_at: float | None = None
 
-    # Changes from outside.
+    # Updates.
 
     def set_rules(self, rules: EventRules) -> None:
-        """Take over the document in force; estimates are kept."""
+        """Apply the current document; estimates are kept."""
         self.rules = rules
         kept = self.services
         self.services = {}
         for name, rule in rules.services.items():
             old = kept.get(name)
-            group = Group(rule, self.data_centre, self.rng)
+            group = TargetGroup(rule, self.data_centre, self.rng)
             group.instance = self.instance
-            group.far_kilobyte = self.far_kilobyte
+            group.far_kilobyte_cost = self.far_kilobyte_cost
             policy = POLICIES.get(rule.policy)()
             state = ServiceState(group, policy, 0.0)
             if old is not None:
                 group.candidates = old.group.candidates
                 group.typical_latency = old.group.typical_latency
-                group.typical_gate = old.group.typical_gate
+                group.typical_gate_latency = old.group.typical_gate_latency
                 group.distances = old.group.distances
                 state.delay = old.delay
                 state.probes = old.probes
             self.services[name] = state
         for record in self.records.values():
-            self.place(record, 0.0, False)
-        self.share_probes()
+            self.update_group(record, 0.0, False)
+        self.update_probe_rates()
 
     def note_member(self, record: MemberRecord, now: float) -> None:
-        """Take over a member's record, new or changed."""
+        """Store a new or changed member record."""
         if self.first_record_at is None:
             self.first_record_at = now
         known = self.records.get(record.instance)
         count = len(self.records)
-        if record.state in GONE:
+        if record.state in DEPARTED_STATES:
             self.records.pop(record.instance, None)
         else:
             self.records[record.instance] = record
         if known is not None and known.service_name != record.service_name:
             self.remove(known)
-        young = now - self.first_record_at < FIRST_RECORDS_SECONDS
-        self.place(record, now, not young)
+        young = now - self.first_record_at < INITIAL_RECORDS_SECONDS
+        self.update_group(record, now, not young)
         if len(self.records) != count:
-            self.share_probes()
+            self.update_probe_rates()
 
-    def place(self, record: MemberRecord, now: float, ramp: bool) -> None:
-        """Put a member into the group of its service, or take it out.
+    def update_group(
+        self, record: MemberRecord, now: float, ramp: bool
+    ) -> None:
+        """Add a member to the group of its service, or remove it.
 
-        The records that an entry learns when it starts itself are of old
-        members: those do not ramp up.
+        Records received just after this entry's start are of members that have
+        been running before, so those do not get a slow-start ramp.
         """
         state = self.services.get(record.service_name)
         if state is None:
             return
         if is_allowed(record, state.group.rule):
-            state.group.note_record(record, now, ramp)
+            state.group.update_candidate(record, now, ramp)
         else:
             state.group.remove(record.instance)
 
     def remove(self, record: MemberRecord) -> None:
-        """Take a member out of the group of its service."""
+        """Remove a member from the group of its service."""
         state = self.services.get(record.service_name)
         if state is not None:
             state.group.remove(record.instance)
 
-    def share_probes(self) -> None:
-        """Share each service's probe budget among all entries."""
+    def update_probe_rates(self) -> None:
+        """Divide each service's probe budget among all entries."""
         for state in self.services.values():
             budget = state.group.rule.probes_per_second
-            rate = share_of(budget, len(self.records))
+            rate = probe_rate_per_member(budget, len(self.records))
             state.probes.window.set_rate(rate)
 
     # Decisions.
@@ -146,9 +148,9 @@
         service: str,
         now: float,
         exclude: frozenset[str] = frozenset(),
-        need: Need = NO_NEED,
+        profile: CallProfile = DEFAULT_PROFILE,
     ) -> Choice | None:
-        """Return the target for a call, None when no target may take it."""
+        """Return the target for a call, or None if there is none."""
         state = self.services.get(service)
         if state is None:
             return None
@@ -156,22 +158,22 @@
         usable = self.usable(group, now, exclude)
         if not usable:
             return None
-        picked = state.policy.pick(group, usable, now, need)
-        picked = self.respect_ramp(state, usable, picked, now, need)
-        return self.as_choice(group, picked, now, need)
+        picked = state.policy.pick(group, usable, now, profile)
+        picked = self.apply_slow_start(state, usable, picked, now, profile)
+        return self.build_choice(group, picked, now, profile)
 
-    def home(
+    def choose_by_hash(
         self,
         service: str,
         now: float,
         exclude: frozenset[str],
-        need: Need,
+        profile: CallProfile,
         fingerprint: bytes,
     ) -> Choice | None:
-        """Return the target that is this request's own.
+        """Return the target that a request's fingerprint maps to.
 
-        Rendezvous hashing (Thaler and Ravishankar, 1998): entries that see
-        the same targets choose the same one without a word to each other.
+        Uses rendezvous hashing (Thaler and Ravishankar, 1998): entries that
+        see the same targets choose the same one without communicating.
         """
         state = self.services.get(service)
         if state is None:
@@ -179,48 +181,54 @@
         usable = self.usable(state.group, now, exclude)
         if not usable:
             return None
-        picked = max(usable, key=lambda c: home_weight(c, fingerprint))
-        return self.as_choice(state.group, picked, now, need)
+        picked = max(usable, key=lambda c: rendezvous_weight(c, fingerprint))
+        return self.build_choice(state.group, picked, now, profile)
 
     def usable(
-        self, group: Group, now: float, exclude: frozenset[str]
+        self, group: TargetGroup, now: float, exclude: frozenset[str]
     ) -> list[Candidate]:
-        """Return the targets that may take a call which some have had."""
+        """Return the targets that may take a call, without excluded ones."""
         group.refresh(now)
         usable = group.live
         if not exclude:
             return usable
         usable = [c for c in usable if c.instance not in exclude]
-        # When too many look bad all stay in, but a second try must not
-        # be spent on one of them while another looks well.
+        # When too many look bad none is ejected, but a second try should still
+        # avoid them while another target looks healthy.
         usable = [c for c in usable if not c.looks_bad(now)] or usable
-        return usable or self.last_resort(group, now, exclude)
+        return usable or self.fallback_targets(group, now, exclude)
 
-    def as_choice(
-        self, group: Group, picked: Candidate, now: float, need: Need
+    def build_choice(
+        self,
+        group: TargetGroup,
+        picked: Candidate,
+        now: float,
+        profile: CallProfile,
     ) -> Choice:
         hot = relative_load(group, picked, now) >= HOT_SHARE
         return Choice(
             picked.instance,
             picked.address,
             hot,
-            expected_seconds(group, picked, now, need),
+            expected_seconds(group, picked, now, profile),
             picked.estimate.pace,
         )
 
-    def need(
+    def profile(
         self, route: str, body_bytes: int, objective: float = 0.0
-    ) -> Need:
-        """Return what is known of a call of ``route``.
+    ) -> CallProfile:
+        """Return the properties of a call of ``route``.
 
-        ``objective`` is the route's, in seconds, 0 where it has none.
+        ``objective`` is the route's latency objective in seconds, 0 if none.
         """
         kilobytes = body_bytes / 1024.0 + self.work.kilobytes(route)
         seconds = body_bytes / self.link_rate if self.link_rate else 0.0
         work = self.work.seconds(route, objective)
-        return Need(route, work, kilobytes, seconds)
+        return CallProfile(route, work, kilobytes, seconds)
 
-    def last_resort(self, group: Group, now: float, exclude) -> list:
+    def fallback_targets(
+        self, group: TargetGroup, now: float, exclude
+    ) -> list:
         """Return ejected targets that are not excluded."""
         return [
             c
@@ -228,33 +236,33 @@
             if c.instance not in exclude and c.is_usable(now)
         ]
 
-    def respect_ramp(
+    def apply_slow_start(
         self,
         state: ServiceState,
         usable: list[Candidate],
         picked: Candidate,
         now: float,
-        need: Need,
+        profile: CallProfile,
     ) -> Candidate:
-        """Draw once more for a target that is still starting up."""
+        """Pick again, by chance, if the picked target is in slow start."""
         share = state.group.ramp(picked, now)
         if share >= 1.0 or self.rng.random() < share:
             return picked
         others = [c for c in usable if c is not picked]
         if not others:
             return picked
-        return state.policy.pick(state.group, others, now, need)
+        return state.policy.pick(state.group, others, now, profile)
 
     def probes_due(self, service: str, now: float) -> list[ProbeOrder]:
-        """Return the probe to send now, if the budget has one.
+        """Return the probe to send now, if the budget allows one.
 
-        Of a few targets the one whose figures are oldest is asked, unless
-        it was heard of a moment ago.
+        The target with the oldest figures of a small sample is probed, unless
+        its figures have only just arrived.
         """
         state = self.services.get(service)
         if state is None or not state.group.live:
             return []
-        sample = sample_of(self.rng, state.group.live, PROBE_SAMPLE)
+        sample = sample_of(self.rng, state.group.live, PROBE_SAMPLE_SIZE)
         probed = min(sample, key=lambda c: c.estimate.load_at)
         if now - probed.estimate.load_at < PROBE_AFTER_SECONDS:
             return []
@@ -263,14 +271,14 @@
         probed.estimate.load_at = now
         return [ProbeOrder(service, probed.instance, probed.address)]
 
-    def hedge_after(self, service: str, now: float) -> float | None:
-        """Return the seconds after which a hedge pays, None for never."""
+    def hedge_delay(self, service: str, now: float) -> float | None:
+        """Return the delay in seconds before a hedge, None for no hedge."""
         state = self.services.get(service)
         if state is None or not state.group.rule.hedge:
             return None
         return state.delay.seconds
 
-    # What calls and gates report.
+    # Reports of calls and gates.
 
     def find(self, service: str, instance: str) -> Candidate | None:
         state = self.services.get(service)
@@ -279,7 +287,7 @@
         return state.group.candidates.get(instance)
 
     def call_started(self, service: str, instance: str, now: float) -> None:
-        """Count a call that was sent to a target."""
+        """Count a call sent to a target."""
         candidate = self.find(service, instance)
         if candidate is None:
             return
@@ -294,7 +302,7 @@
         seconds: float,
         now: float,
     ) -> None:
-        """Take over how a call ended, ``seconds`` after its start."""
+        """Record how a call ended, ``seconds`` after its start."""
         candidate = self.find(service, instance)
         if candidate is None:
             return
@@ -303,7 +311,7 @@
         estimate.call_ended(seconds, now)
         if outcome is Outcome.ANSWERED:
             self.note_answer(state, candidate, seconds, now)
-        elif outcome in ERRORS:
+        elif outcome in ERROR_OUTCOMES:
             self.note_error(state, candidate, outcome, seconds, now)
         elif outcome is Outcome.REFUSED_OVERLOAD:
             estimate.note_refusal(now)
@@ -323,7 +331,7 @@
         estimate.note_success(now)
         if candidate.bad_streak and estimate.error_level == 0.0:
             candidate.bad_streak = 0
-        group.note_typical(seconds)
+        group.update_typical(seconds)
         group.note_distance(candidate, seconds)
         state.delay.note(seconds)
 
@@ -335,18 +343,22 @@
         seconds: float,
         now: float,
     ) -> None:
-        """Raise the cost of a target; its quick errors are no latency."""
+        """Raise a target's error level; quick errors are no latency."""
         estimate = candidate.estimate
         estimate.note_error(outcome, now)
         if outcome in (Outcome.TIMEOUT, Outcome.OVERTAKEN):
             self.note_slow(state.group, candidate, seconds, now)
-        if estimate.error_level >= BAD_LEVEL:
-            state.group.note_bad(candidate, now)
+        if estimate.error_level >= EJECTION_ERROR_LEVEL:
+            state.group.eject(candidate, now)
 
     def note_slow(
-        self, group: Group, candidate: Candidate, seconds: float, now: float
+        self,
+        group: TargetGroup,
+        candidate: Candidate,
+        seconds: float,
+        now: float,
     ) -> None:
-        """Use the time of a call without answer if it shows slowness."""
+        """Use the time of an unanswered call as latency if it is higher."""
         estimate = candidate.estimate
         if now < estimate.latency_deadline and seconds > estimate.latency:
             estimate.note_latency(seconds, group.typical_latency, now)
@@ -354,7 +366,7 @@
     def note_load(
         self, service: str, instance: str, load: LoadFigures, now: float
     ) -> None:
-        """Take over figures that rode on an answer or a probe's answer."""
+        """Store load figures received with an answer or probe answer."""
         candidate = self.find(service, instance)
         if candidate is None:
             return
@@ -364,11 +376,11 @@
 
 
 def is_allowed(record: MemberRecord, rule: ServiceRule) -> bool:
-    """Tell whether a member may carry its service now or later.
+    """Return whether a member may carry its service now or later.
 
-    A record whose address can't be read is of no use to anyone.
+    A record whose address cannot be parsed is ignored.
     """
-    if record.state in GONE:
+    if record.state in DEPARTED_STATES:
         return False
     try:
         Address.parse(record.peer_address or '')
@@ -378,7 +390,7 @@
     return rule.allows_target(target, record.data_centre)
 
 
-def home_weight(candidate: Candidate, fingerprint: bytes) -> int:
-    """Return how strongly a request belongs to a target."""
+def rendezvous_weight(candidate: Candidate, fingerprint: bytes) -> int:
+    """Return the rendezvous weight of a target for a request."""
     name = candidate.instance.encode()
     return xxhash.xxh64_intdigest(name + fingerprint)
--- a/cyclamenlift/runtime/mechanisms.py
+++ b/cyclamenlift/runtime/mechanisms.py
@@ -16,7 +16,7 @@
 from cyclamenlift.core.registry import Registry
 from cyclamenlift.gate.crowding import AllSlots
 from cyclamenlift.routing.finish import PERCENT
-from cyclamenlift.routing.finish import Start
+from cyclamenlift.routing.finish import StartPlan
 
 if TYPE_CHECKING:
     from cyclamenlift.gate.learning import Learning
@@ -131,10 +131,10 @@
     learning.best_start = lambda work, now: begin_now(learning, work, now)
 
 
-def begin_now(learning: 'Learning', work: float, now: float) -> Start:
+def begin_now(learning: 'Learning', work: float, now: float) -> StartPlan:
     """Return how long ``work`` takes that begins whatever the pace is."""
     percent = learning.pace.percent(now) or PERCENT
-    return Start(0.0, work * max(1.0, percent / PERCENT))
+    return StartPlan(0.0, work * max(1.0, percent / PERCENT))
 
 
 @mechanism('ask_pace', 'asks a target for its pace before a call begins')
@@ -191,17 +191,17 @@
 
 @mechanism('distance', 'keeps large bodies in their data centre')
 def without_distance(node: 'DaemonNode') -> None:
-    node.routing.far_kilobyte = 0.0
+    node.routing.far_kilobyte_cost = 0.0
 
 
 @mechanism('slow_hand_back', 'sends calls back that came to a slow target')
 def without_slow_hand_back(node: 'DaemonNode') -> None:
-    node.calls.slow_asked = 0
+    node.calls.max_pace_checks = 0
 
 
 @mechanism('time_used_up', 'counts the objective from the first try')
 def without_time_used_up(node: 'DaemonNode') -> None:
-    node.calls.note_return = lambda _request: None
+    node.calls.detect_return = lambda _request: None
 
 
 @mechanism('quick_join', 'asks for the other members soon after a start')
--- a/cyclamenlift/runtime/observing.py
+++ b/cyclamenlift/runtime/observing.py
@@ -2,7 +2,7 @@
 
 import typing
 
-from cyclamenlift.calls.life import Call
+from cyclamenlift.calls.call import Call
 from cyclamenlift.core.codes import ResultCode
 from cyclamenlift.core.metrics import Metrics
 from cyclamenlift.quarantine.queries import quarantined
@@ -29,7 +29,7 @@
 
     def on_finished(self, call: Call, code: ResultCode) -> None:
         """Count a call, unless its caller left before the answer."""
-        if call.caller_gone:
+        if call.caller_disconnected:
             return
         now = self.node.scheduler.clock.now()
         seconds = now - call.exchange.received_at
@@ -65,7 +65,7 @@
         kept = node.quarantine
         watch(
             'cyclamenlift.requests.quarantined',
-            lambda: quarantined(kept.evidence, kept.now()),
+            lambda: quarantined(kept.history, kept.now()),
         )
         if node.gate is not None:
             self.watch_gate(node.gate)
--- a/tests/calls/test_attempt.py
+++ b/tests/calls/test_attempt.py
@@ -1,6 +1,6 @@
-"""Bodies that an entry sends as far as the gate's credit goes."""
+"""Request bodies sent within the flow-control credit of a gate."""
 
-from cyclamenlift.calls.attempt import CHUNK
+from cyclamenlift.calls.attempt import CHUNK_BYTES
 from cyclamenlift.calls.attempt import Try
 from cyclamenlift.wire.gen.protocol.ttypes import BodyChunk
 from cyclamenlift.wire.gen.protocol.ttypes import CallStart
@@ -9,7 +9,7 @@
 
 
 class EagerLink:
-    """A link to a gate in this process: it credits a chunk at once."""
+    """A link to a gate in this process, which credits chunks at once."""
 
     pending = 0
     was_up = True
@@ -23,13 +23,13 @@
             self.received.append(message)
             self.attempt.take_credit(len(message.data))
         else:
-            self.attempt.take_credit(2 * CHUNK)
+            self.attempt.take_credit(2 * CHUNK_BYTES)
         return b'frame'
 
 
-def test_a_large_body_to_the_own_gate_is_sent_whole():
-    # Regression: each credit sent the next chunk from inside the one before,
-    # and a body of some megabytes ended at the limit of recursion.
+def test_a_large_body_to_the_local_gate_is_sent_whole():
+    # Regression: each credit sent the next chunk recursively, so a body of
+    # some megabytes exceeded the recursion limit.
     link = EagerLink()
     body = bytes(LARGE)
     assert link.attempt.send(CallStart(), body)
--- a/tests/quarantine/test_wire.py
+++ b/tests/quarantine/test_wire.py
@@ -1,16 +1,16 @@
-"""Reports of peers: what may be believed to be one."""
+"""Validation of reports received from peers."""
 
 import pytest
 
 from cyclamenlift.quarantine.wire import from_wire
-from cyclamenlift.quarantine.wire import MOST_FINGERPRINTS
+from cyclamenlift.quarantine.wire import MAX_FINGERPRINTS
 from cyclamenlift.quarantine.wire import to_wire
 from cyclamenlift.wire.gen.protocol.ttypes import EndReport
 from tests.quarantine.builders import end
 from tests.quarantine.builders import name
 
 
-def told(**fields) -> EndReport:
+def build_end_report(**fields) -> EndReport:
     values = {
         'report_id': 'r',
         'service_name': 'prices',
@@ -23,7 +23,7 @@
     return EndReport(**values)
 
 
-def test_times_travel_as_ages():
+def test_times_are_sent_as_ages():
     report = end(10.0, 'a', 'b')
     there = from_wire(to_wire(report, 10.5), 100.0)
     assert there.at == pytest.approx(99.5)
@@ -40,7 +40,7 @@
         {'service_name': None},
         {'fingerprints': [b'short']},
         {'fingerprints': None},
-        {'fingerprints': [name('a')] * (MOST_FINGERPRINTS + 1)},
+        {'fingerprints': [name('a')] * (MAX_FINGERPRINTS + 1)},
         {'age_ms': -1},
         {'age_ms': None},
         {'ran_ms': []},
@@ -49,5 +49,5 @@
     ],
     ids=repr,
 )
-def test_what_is_no_report_is_not_taken(wrong):
-    assert from_wire(told(**wrong), 0.0) is None
+def test_invalid_reports_are_rejected(wrong):
+    assert from_wire(build_end_report(**wrong), 0.0) is None
