--- a/cyclamenlift/gate/__init__.py
+++ b/cyclamenlift/gate/__init__.py
@@ -1,4 +1,4 @@
-"""The only way into a target: slots, a bounded queue, refusal with proof."""
+"""Admission of calls to a target: slots, a bounded queue, refusals."""
 
 from cyclamenlift.gate.state import Admission
 from cyclamenlift.gate.state import GateState
--- a/cyclamenlift/gate/admission.py
+++ b/cyclamenlift/gate/admission.py
@@ -1,59 +1,61 @@
-"""Who may enter a target, wait for it or should go elsewhere: arithmetic.
-
-The load that this answers: more calls than slots for seconds at a time,
-while slow spells take most of a target's speed for half a second. Served in
-turn, every call then waits until its objective has passed and nobody is
-served in time. So a call enters only if it can still be in time, and one
-that can not is sent back at once, while its caller can try another target
-or come back. Calls that running work has made go first: their parents hold
-slots until they are answered.
+"""Admission arithmetic: which call may start, wait or be refused.
+
+Under overload, with more calls than slots for seconds at a time and slowdowns
+that take most of a target's speed for half a second, first-come first-served
+makes every call wait until its objective has passed, so none is served in
+time. A call is therefore admitted only if it can still be in time. One that
+can't is refused at once, while its caller can still try another target or
+retry later. Nested calls, made by calls that are running, have priority: their
+parents hold slots until they are answered.
 """
 
 from collections.abc import Hashable
 from collections.abc import Iterable
 import dataclasses
 
-# Slots that are left to more urgent calls, while some come: one is enough,
-# since a slot frees many times a second.
+# Slots reserved for more urgent calls while such calls arrive. One is enough,
+# as a slot becomes free many times a second.
 RESERVED_SLOTS = 1
-# More urgent calls were seen this lately, in seconds, if slots are left to
-# them: the rate of any kind worth a reserve is above one a second.
+# Slots are reserved if more urgent calls arrived within this many seconds: any
+# kind of call worth a reserve arrives more than once a second.
 URGENT_SECONDS = 1.0
-# Targets with fewer slots keep none back.
+# Targets with fewer slots reserve none.
 LEAST_SLOTS_TO_RESERVE = 3
-# Repeats take only slots up to this share: they are worth less than a
-# first try, which may not get any.
+# Retries use at most this share of the slots, as first tries are worth more
+# and might otherwise get none.
 REPEAT_SHARE = 0.8
-# From this share of the slots on, a call that can not be in time any more is
-# sent back instead of started: others come that still can. Below it there is
-# room for both. On two heavy days of a site where targets are seven times
-# slower a third of the time, single plays earned 0.264 and 0.206 of worth
+# From this share of the slots on, a call that can't be in time is refused
+# instead of started, since calls arrive that still can. Below it there is
+# capacity for both. On two days of heavy load at a site whose targets are
+# seven times slower a third of the time, single runs scored 0.264 and 0.206
 # without such a share, 0.318 and 0.287 with 0.7, 0.361 and 0.286 with 0.5,
-# 0.368 and 0.275 with 0.3; of the middle ones the lower refuses less.
+# 0.368 and 0.275 with 0.3. Of the two best, 0.5 refuses fewer calls.
 CROWDED_SHARE = 0.5
-# A call counts as late where it would be if it took that many times its
-# route's usual spread longer than the mean: in a crowded target when it
-# starts, and more when it has to wait. A target that is asked for twice what
-# it can do is busy whether ten wait or two, but those that were let in up to
-# the last moment are late, half of them. One gate on an event heap, as many
-# calls as in its test: 1,374 in time and 521 late by means alone, 1,666 and
-# 217 with one spread, 1,698 and 116 with two, where slots begin to stay
-# free. In a whole fleet, two seconds after a restart of all: 267 and 340 of
-# 964 by means alone, 360 and 221 with about one and a half.
+# Safety margins, in multiples of the spread of the route's service time: a
+# call counts as late if it would be late when it takes the mean plus this many
+# spreads. The first applies to a call that would start on a busy target, the
+# second to one that would wait. At twice its capacity a target is busy whether
+# ten calls wait or two, but half of the calls that were admitted at the last
+# possible moment are late. Simulating one gate under the load of its test gave
+# 1,374 calls in time and 521 late with no margin, 1,666 and 217 with one
+# spread, 1,698 and 116 with two, where slots begin to stay free. In a whole
+# fleet, two seconds after a restart of all instances, 267 calls in time and
+# 340 late of 964 with no margin, 360 and 221 with about one and a half
+# spreads.
 CROWDED_SPREADS = 0.5
 WAIT_SPREADS = 1.5
-# When a target that refused for itself may have room again, in seconds: a
-# few answers' time at the usual work of tens of milliseconds.
+# Retry-after, in seconds, when the target itself refused a call and its slots
+# are taken: a few service times at the usual tens of milliseconds.
 TARGET_FULL_WAIT = 0.1
-# The same where it has room by all that is known: it refuses some calls,
-# whatever its load, and the next one is as likely to be taken now as later.
-# Callers whose objective is 200 ms have lost half of it after 100 ms.
+# The same when its slots seem free: it rejects some calls whatever its load,
+# and the next one is as likely to be accepted now as later. A caller whose
+# objective is 200 ms has lost half of it after 100 ms.
 TARGET_SHEDS_WAIT = 0.01
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AdmissionRules:
-    """The figures that decide who enters; see the constants."""
+    """Tunable admission parameters; see the constants above."""
 
     reserved_slots: int = RESERVED_SLOTS
     repeat_share: float = REPEAT_SHARE
@@ -67,14 +69,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Asking:
-    """A call that asks to enter; instants are monotonic seconds.
-
-    ``useful_deadline`` is when its answer is late for the route's
-    objective, or, for a nested call, when its parent gives up; None where
-    no route says. ``rank`` 0 is the most urgent. ``repeated`` marks a try
-    beyond the first; ``returned`` a call whose caller was refused before
-    and has come back. ``objective`` is what is left of the route's
-    objective, in seconds.
+    """A call that asks for admission; times are monotonic seconds.
+
+    After ``useful_deadline`` the answer is too late for the route's objective
+    or, for a nested call, its parent has given up; None if the call has no
+    route. ``rank`` 0 is the most urgent. ``repeated`` marks a retry;
+    ``returned`` a call whose caller was refused before and has come back.
+    ``objective`` is what is left of the route's objective, in seconds.
     """
 
     key: Hashable
@@ -89,17 +90,17 @@
 
     @property
     def urgency(self) -> tuple[bool, int]:
-        """What slots are kept for: nested calls, then the more urgent."""
+        """The priority for which slots are reserved: nested, then rank."""
         return (not self.nested, self.rank)
 
     @property
     def order(self) -> tuple[bool, int, bool]:
-        """What goes first: by urgency, then who has come back."""
+        """The sort key of the queue: urgency, then callers that came back."""
         return (not self.nested, self.rank, not self.returned)
 
 
 class UrgencySeen:
-    """When calls of each order came last, to know whom to leave room."""
+    """Tracks when calls of each urgency last arrived."""
 
     def __init__(self) -> None:
         self.seen: dict[tuple[bool, int], float] = {}
@@ -108,7 +109,7 @@
         self.seen[asking.urgency] = now
 
     def more_urgent_come(self, asking: Asking, now: float) -> bool:
-        """Tell whether calls that go before this one came lately."""
+        """Tell whether more urgent calls arrived recently."""
         return any(
             urgency < asking.urgency and now - at < URGENT_SECONDS
             for urgency, at in self.seen.items()
@@ -122,7 +123,7 @@
     now: float,
     rules: AdmissionRules = DEFAULT_RULES,
 ) -> int:
-    """Return how many running calls still leave a slot for this one."""
+    """Return how many slots, taken or free, this call may use."""
     if asking.repeated and not asking.nested:
         return max(1, int(slots * rules.repeat_share))
     if slots < LEAST_SLOTS_TO_RESERVE:
@@ -133,7 +134,7 @@
 
 
 def crowded_from(slots: int, share: float = CROWDED_SHARE) -> int:
-    """Return how many running calls make a target crowded.
+    """Return the number of running calls from which a target is busy.
 
     >>> crowded_from(6), crowded_from(1)
     (3, 1)
@@ -144,9 +145,9 @@
 def seconds_until_slot(
     ahead: int, running: int, slots: int, work: float
 ) -> float:
-    """Return when a call gets a slot that has ``ahead`` before it.
+    """Return the seconds until a call with ``ahead`` before it starts.
 
-    ``work`` is how long a call holds a slot now.
+    ``work`` is how long a call currently holds a slot.
 
     >>> seconds_until_slot(0, 3, 4, 0.1)
     0.0
@@ -158,11 +159,11 @@
 
 
 def typical_hold(running: Iterable[float], usual: float) -> float:
-    """Return how long calls hold a slot, by those that run now.
+    """Return the mean slot hold time of the running calls.
 
-    What counts is how often slots are freed, so a call that is seven times
-    as slow frees its slot a seventh as often. Calls of unknown length count
-    as usual ones.
+    This is the harmonic mean, since what matters is how often slots become
+    free: a call that is seven times as slow frees its slot a seventh as often.
+    Calls of unknown duration count as usual ones.
 
     >>> typical_hold([], 0.1), typical_hold([0.1, 0.1], 0.2)
     (0.1, 0.1)
@@ -180,7 +181,7 @@
 
 
 def wait_when_refused(running: int, room: int) -> float:
-    """Return when to come back after the target itself refused a call.
+    """Return the retry-after for a call that the target itself refused.
 
     >>> wait_when_refused(12, 12), wait_when_refused(4, 12)
     (0.1, 0.01)
--- a/cyclamenlift/gate/announcements.py
+++ b/cyclamenlift/gate/announcements.py
@@ -1,4 +1,4 @@
-"""What the target says of itself, and what that changes at its gate."""
+"""Handles announcements of the target and their effect on its gate."""
 
 from collections.abc import Callable
 import typing
@@ -17,9 +17,9 @@
 
 
 class Announcements:
-    """Takes announcements and farewells of the gate's own target.
+    """Processes announcements and departures of the gate's target.
 
-    ``doubt_hooks`` run when another target answered in its name.
+    ``doubt_hooks`` run when a different target answered in its name.
     """
 
     def __init__(self, gate: 'Gate', unix_ms: Callable[[], int]):
@@ -28,7 +28,7 @@
         self.doubt_hooks: list[Callable[[], None]] = []
 
     def announce(self, announcement: Announcement) -> Announced:
-        """Take an announcement; a stale one changes nothing."""
+        """Process an announcement; a stale one changes nothing."""
         gate = self.gate
         before = self.registration.incarnation
         draining = self.registration.draining
@@ -50,7 +50,7 @@
     def begin_incarnation(
         self, announcement: Announcement, before: str
     ) -> None:
-        """Let calls in to a target that has just made itself known."""
+        """Admit calls to a target that has just been identified."""
         gate = self.gate
         self.log(announcement, Announced.NEW)
         gate.state.renew(announcement.warm_up_seconds > 0.0)
@@ -61,7 +61,7 @@
             gate.set_target_state(TargetState.READY)
 
     def leave(self, incarnation: str, born_ms: int) -> None:
-        """Take no new call for a target that says that it goes."""
+        """Stop admitting calls to a target that announced its departure."""
         known = self.registration.leave(incarnation, born_ms)
         LOG.info(
             'target_leaves',
@@ -73,7 +73,7 @@
             self.gate.drain()
 
     def doubt(self) -> None:
-        """Note that another target answered at the address."""
+        """Note that a different target answered at the address."""
         incarnation = self.registration.incarnation
         LOG.warning('target_doubted', incarnation=incarnation)
         self.registration.doubt(incarnation)
@@ -81,7 +81,7 @@
             hook()
 
     def log(self, announcement: Announcement, outcome: Announced) -> None:
-        """Write what an announcement said and what it changed."""
+        """Log an announcement and its outcome."""
         LOG.info(
             'target_announced',
             outcome=outcome.value,
--- a/cyclamenlift/gate/bodies.py
+++ b/cyclamenlift/gate/bodies.py
@@ -1,9 +1,10 @@
-"""Which bodies may be on their way to this gate now.
+"""Flow control for request bodies on the link to this gate.
 
-Bodies share the gate's link with questions of entries and answers of calls.
-If all that were let in came at once, everything else would wait behind
-them, and each body would come as late as the last one. So on a slow link
-they come a few at a time, those first whose calls have a slot.
+Bodies share the gate's link with calls from entries and with answers. If all
+admitted bodies were sent at once, all other traffic would queue behind them,
+and each body would arrive as late as the last one. On a slow link only a few
+bodies are therefore transferred at a time, starting with calls that have a
+slot.
 """
 
 from collections.abc import Hashable
@@ -15,33 +16,33 @@
     from cyclamenlift.gate.running import GateCall
     from cyclamenlift.gate.tasks import Gate
 
-# Bytes of a request's body that may be on their way: two chunks keep a
-# link of 100 Mbit/s busy at 2 ms there and back, and what fills the way of
-# a slow link, where other calls wait behind it, stays small.
+# Bytes of a request's body that may be in flight: two chunks keep a link of
+# 100 Mbit/s with a round trip of 2 ms busy, and the backlog on a slow link,
+# behind which other calls wait, stays small.
 BODY_WINDOW = 32 * 1024
-# How long bodies may occupy the gate's link, in seconds: a call asks several
-# gates within an objective of some hundreds of milliseconds.
+# How long the bodies in flight may occupy the gate's link, in seconds: a call
+# tries several gates within an objective of some hundreds of milliseconds.
 LINK_SECONDS = 0.12
-# Two come at least, so that the link is not empty while the entry of one is
-# slow, or waits for the gate's word.
+# Allow at least two transfers, so that the link is not idle while the entry of
+# one is slow or waits for the gate's credit.
 LEAST_PLACES = 2
-# After which time without a byte a body counts as not coming, in seconds:
-# longer than a window takes on a link of 4 Mbit/s that two share.
+# A body counts as stalled after this many seconds without data: longer than a
+# window takes on a link of 4 Mbit/s that two transfers share.
 STALLED_SECONDS = 0.2
 
 
 class BodyTurns:
-    """Gives entries the word to send the bodies of calls."""
+    """Grants entries the credit to send the bodies of their calls."""
 
     def __init__(self, gate: 'Gate'):
         self.gate = gate
         self.waiting: dict[Hashable, 'GateCall'] = {}
-        # When the last byte of each body came that is on its way.
+        # When the last chunk of each body in transfer arrived.
         self.moved_at: dict[Hashable, float] = {}
         self.timer = None
 
     def ask(self, call: 'GateCall') -> None:
-        """Let the entry send a body, now or when it has its turn."""
+        """Allow the entry to send a body, now or when a transfer ends."""
         if not self.gate.link_rate or call.is_local:
             self.give_word(call)
             return
@@ -49,7 +50,7 @@
         self.fill()
 
     def note_moved(self, call: 'GateCall') -> None:
-        """Note that a piece of a body has come."""
+        """Record that a chunk of a body has arrived."""
         if call.key not in self.moved_at:
             return
         if call.body_whole:
@@ -58,13 +59,13 @@
             self.moved_at[call.key] = self.gate.now()
 
     def end(self, call: 'GateCall') -> None:
-        """Make room for the next: a body is whole, or its call is over."""
+        """Free the transfer of a body that is complete or whose call ended."""
         self.waiting.pop(call.key, None)
         if self.moved_at.pop(call.key, None) is not None:
             self.fill()
 
     def fill(self) -> None:
-        """Let as many bodies come as there are places."""
+        """Start waiting transfers up to the limit."""
         while self.waiting and self.on_their_way() < self.places():
             call = min(self.waiting.values(), key=turn_of)
             del self.waiting[call.key]
@@ -76,7 +77,7 @@
             )
 
     def look_again(self) -> None:
-        """Pass over bodies that have stopped coming."""
+        """Start further transfers in place of those that stalled."""
         self.timer = None
         self.fill()
 
@@ -86,17 +87,17 @@
     # -- queries ----------------------------------------------------------
 
     def places(self) -> int:
-        """Return how many bodies may be on their way at once."""
+        """Return how many bodies may be in transfer at once."""
         fitting = self.gate.link_rate * LINK_SECONDS / BODY_WINDOW
         return max(LEAST_PLACES, int(fitting))
 
     def on_their_way(self) -> int:
-        """Return how many bodies are coming, without those that stand."""
+        """Return the number of transfers that have not stalled."""
         since = self.gate.now() - STALLED_SECONDS
         return sum(at >= since for at in self.moved_at.values())
 
 
 def turn_of(call: 'GateCall') -> tuple[bool, bool, int]:
-    """Return what goes first: whom the target waits for, who has a slot."""
+    """Return the sort key of a transfer: sent calls, then those with slots."""
     is_begun = call.target_call is not None
     return (not is_begun, not call.gathering, call.start.rank or 0)
--- a/cyclamenlift/gate/crowding.py
+++ b/cyclamenlift/gate/crowding.py
@@ -1,49 +1,50 @@
-"""How much longer work takes in a target whose slots are nearly taken.
-
-The load that this answers: some targets take much longer for every call
-once most slots are in use, so that the last slots cost more than they
-give. Where work takes 1.7 times as long from eight tenths of 15 slots on,
-15 running calls get as much done as 9 would, and 12 get more done than
-either. Other targets do not slow down, and there a limit would waste slots.
-So it is learned: what calls took against the usual work of their route, by
-the share of the slots that was in use while they ran.
-
-On two heavy days of a deployment with such targets, credit less costs came
-to 0.66 and 0.63 with the slots that get most done, to 0.55 and 0.54 with all
-slots in use, one run of each day.
+"""Adaptive concurrency limit for targets that slow down under load.
+
+Some targets take much longer for every call once most of their slots are in
+use, so that the last slots cost more throughput than they add. If work takes
+1.7 times as long from eight tenths of 15 slots on, 15 running calls get as
+much done as 9 would, and 12 achieve more than either. Other targets don't slow
+down, and a fixed limit would waste their slots. So the limit is learned from
+the ratio of measured to usual service time, by the share of the slots that was
+in use.
+
+On two days of heavy load on a deployment with such targets, the score (credit
+minus costs) was 0.66 and 0.63 with the learned limit, 0.55 and 0.54 with all
+slots in use, one run for each day.
 """
 
-# Upper ends of the bands of use that are told apart, as shares of the
-# slots. Below half of the slots no target was seen to slow down.
+# Upper bounds of the utilization bands, as shares of the slots. No target was
+# observed to slow down below half of its slots.
 BAND_SHARES = (0.5, 0.6, 0.7, 0.8, 0.9, 1.0)
-# The share that is used before anything is known of a target: where slots
-# are too many the first crowd after a start would be lost to it, where they
-# are not a fifth of them waits for the time of a few dozen calls. Calls
-# that ran below it tell what the work of their route is.
+# Share of the slots to use while nothing is known of a target. If its slots
+# are too many, using all would lose the first burst after a start; if not, a
+# fifth of them stays idle for the time of a few dozen calls. Calls below this
+# share also measure the usual work of their route.
 START_SHARE = 0.8
-# Calls in a band before it says anything: their times vary by a third, so
-# the mean of so many is known to less than a tenth.
+# Calls in a band before its mean is used. Service times vary by a third, so
+# the mean of this many is accurate to less than a tenth.
 LEAST_SAMPLES = 20
-# Calls of a route, and calls in the roomy bands, before more slots are tried:
-# fewer, since nothing is given up on their account, and where slots are not
-# too many each second at eight tenths of them is a fifth of the target lost
-# to a crowd that waits.
+# Calls of a route, and calls in the uncontended bands, before more slots are
+# tried. Fewer, since no slot is given up because of them, and on a target
+# without contention each second at eight tenths of its slots wastes a fifth of
+# its capacity while calls are queued.
 BASE_SAMPLES = 8
-# Weight of a call in the moving mean of its band: of the last hundred or so.
+# Weight of a call in the moving average of its band: roughly the last hundred
+# calls count.
 WEIGHT = 0.02
-# A call counts at most as this many times its route's usual work.
+# Upper bound for a call's time relative to its route's usual work.
 CLIP = 4.0
-# More slots are preferred if they get at least this share as much done: what
-# is known of a band is off by a few hundredths.
+# More slots are preferred if they achieve at least this share of the best
+# throughput, as the estimate of a band is off by a few hundredths.
 EVEN = 0.95
-# How long a band that was given up is left alone, in seconds. To look again
-# costs up to a third of the target for the time of two dozen calls, so
-# about one hundredth of it.
+# How long to wait before a rejected band is tried again, in seconds. A trial
+# costs up to a third of the target's capacity for the time of two dozen calls,
+# so about one hundredth of it.
 LOOK_AGAIN_SECONDS = 15.0
 
 
 class Band:
-    """What calls took that ran while up to ``most`` slots were in use."""
+    """Relative service times while up to ``most`` slots were in use."""
 
     __slots__ = ('count', 'most', 'ratio')
 
@@ -57,18 +58,18 @@
         return self.count >= LEAST_SAMPLES
 
     def note(self, ratio: float) -> None:
-        """Take over a call that took ``ratio`` of its route's usual."""
+        """Record a call that took ``ratio`` of its route's usual time."""
         self.count += 1
         weight = max(WEIGHT, 1.0 / self.count)
         self.ratio += weight * (min(CLIP, ratio) - self.ratio)
 
 
 class Crowding:
-    """Learns for one target how many calls it is worth running at once.
+    """Learns how many calls a target should run at once.
 
-    ``chosen`` slots get most done, as far as is known. The next band is
-    tried for a while (``looking``) when it was never tried or was given up
-    long ago.
+    ``chosen`` is the number of slots with the best known throughput. The next
+    band is tried for a while (``looking``) if it was never tried or was
+    rejected long ago.
     """
 
     def __init__(self, slots: int):
@@ -82,26 +83,26 @@
     # -- queries ----------------------------------------------------------
 
     def band_of(self, in_use: float) -> Band:
-        """Return the band of a mean number of slots in use."""
+        """Return the band for a mean number of slots in use."""
         for band in self.bands:
             if in_use <= band.most + 0.5:
                 return band
         return self.bands[-1]
 
     def is_roomy(self, in_use: float) -> bool:
-        """Tell whether a call ran where no crowd is expected."""
+        """Tell whether a call ran at a utilization without contention."""
         return self.band_of(in_use).most <= self.start
 
     def slowness(self, in_use: float) -> float:
-        """Return how much longer work takes with so many slots in use."""
+        """Return the factor by which work takes longer at a utilization."""
         band = self.band_of(in_use)
         return max(1.0, band.ratio) if band.known else 1.0
 
     def limit(self, now: float, steady: bool = True) -> int:
         """Return how many calls to run at once.
 
-        No further band is tried while the target is in a slow spell: what
-        calls take then tells nothing.
+        No further band is tried during a slowdown of the target, as service
+        times are then not comparable.
 
         >>> Crowding(6).limit(0.0), Crowding(15).limit(0.0)
         (4, 12)
@@ -122,7 +123,7 @@
     # -- commands ---------------------------------------------------------
 
     def note(self, ratio: float, in_use: float, now: float) -> None:
-        """Take over a call that took ``ratio`` of its route's usual."""
+        """Record a call that took ``ratio`` of its route's usual time."""
         band = self.band_of(in_use)
         band.note(ratio)
         before = self.chosen
@@ -134,15 +135,15 @@
             self.look_deadline = now + LOOK_AGAIN_SECONDS
 
     def look_further(self) -> None:
-        """Learn the next band anew."""
+        """Start measuring the next band from scratch."""
         self.looking = next(b for b in self.bands if b.most > self.chosen)
         self.looking.count = 0
 
     def best(self) -> int:
-        """Return the slots that get most done, the more where it is even.
+        """Return the slots with the best throughput, the more if even.
 
-        A band without enough calls is taken to be like the one below; the
-        slots beyond the share to start with count only once tried.
+        A band with too few samples is assumed to be like the one below; slots
+        beyond the initial share count only once tried.
         """
         best = 0
         best_done = 0.0
@@ -160,7 +161,7 @@
 
 
 class AllSlots:
-    """In the place of ``Crowding``: every slot is used, nothing learned."""
+    """Replaces ``ConcurrencyLimiter``: always uses all slots."""
 
     def __init__(self, slots: int):
         self.chosen = slots
@@ -175,11 +176,11 @@
         return self.chosen
 
     def note(self, _ratio: float, _in_use: float, _now: float) -> None:
-        """Learn nothing."""
+        """Ignore the call, as the limit is fixed."""
 
 
 def make_bands(slots: int) -> list[Band]:
-    """Return the bands of so many slots, each of one slot at least.
+    """Return the utilization bands for ``slots``, each one slot or wider.
 
     >>> [band.most for band in make_bands(15)]
     [7, 9, 10, 12, 13, 15]
--- a/cyclamenlift/gate/delays.py
+++ b/cyclamenlift/gate/delays.py
@@ -1,31 +1,31 @@
-"""How long calls are on their way from an entry to this gate.
-
-The load that this answers: where bodies fill a slow link, what comes behind
-them waits in the network for up to seconds. A call carries the time that it
-had left when it was sent, so that a gate that took it as still left would
-run calls whose callers have given up, and tell targets too much time.
-
-The clocks of two machines are not compared: each call tells when it was
-sent on its sender's clock, and what counts is how much later than the
-quickest call of the same connection it came. So a delay that was there from
-the first call on is not seen, and none is seen that is not there. The clock
-is the one that goes on while a machine is suspended.
+"""Estimates the transit delay of calls from an entry to this gate.
+
+When bodies fill a slow link, later messages wait in the network for up to
+seconds. A call carries the time that was left when it was sent; a gate that
+ignored the delay would run calls whose callers have given up, and would pass
+too much time on to targets.
+
+The clocks of two instances are never compared. Each call carries its sender's
+timestamp, and its lag is how much longer it took than the fastest call on the
+same connection. A constant delay is thus not detected, but none is ever
+reported that does not exist. The clock used keeps running while the machine is
+suspended.
 """
 
 from collections.abc import Hashable
 import dataclasses
 
-# How far two clocks may drift apart, in seconds for each second: twice what
-# usual crystals do. The quickest way is taken to get longer by as much.
+# Allowed clock drift, in seconds per second: twice that of usual crystals. The
+# baseline of the fastest call grows at this rate.
 DRIFT = 0.0002
 
 
 @dataclasses.dataclass(slots=True)
 class Way:
-    """The way of one connection; instants are on the gate's clock.
+    """The delay of one connection; times are on the gate's clock.
 
-    ``quickest`` is the least difference of the two clocks that was seen,
-    at ``quickest_at``; ``lag`` how much more the last call took.
+    ``quickest`` is the smallest difference of the two clocks that was
+    observed, at ``quickest_at``; ``lag`` is the extra delay of the last call.
     """
 
     quickest: float
@@ -35,13 +35,13 @@
 
 
 class Delays:
-    """The ways of all connections to a gate, by the number of the link."""
+    """The delays of all connections to a gate, by link number."""
 
     def __init__(self) -> None:
         self.ways: dict[Hashable, Way] = {}
 
     def note(self, link: Hashable, sent_at: float, now: float) -> float:
-        """Take a call in; return the seconds it came late.
+        """Record a call; return its lag in seconds.
 
         >>> delays = Delays()
         >>> delays.note(1, 100.0, 7.0), round(delays.note(1, 101.0, 8.5), 2)
@@ -61,7 +61,7 @@
         return way.lag
 
     def lag(self, link: Hashable, now: float) -> float:
-        """Return the lag now, if what waits has been coming in since.
+        """Return the current lag, decreasing since the last call.
 
         >>> delays = Delays()
         >>> _ = delays.note(1, 100.0, 7.0), delays.note(1, 101.0, 8.5)
@@ -74,5 +74,5 @@
         return max(0.0, way.lag - (now - way.lag_at))
 
     def forget(self, link: Hashable) -> None:
-        """Drop what is known of a connection that is gone."""
+        """Remove a connection that was closed."""
         self.ways.pop(link, None)
--- a/cyclamenlift/gate/ends.py
+++ b/cyclamenlift/gate/ends.py
@@ -1,9 +1,9 @@
-"""Tells an end of the target from a connection that merely broke.
+"""Distinguishes termination of the target from a broken connection.
 
-A target ends with all that it runs, so every call there breaks off at once.
-That it ended shows when nobody listens at its address any more, or when
-another incarnation announces itself. A connection that was reset, cut or
-spoilt while the target goes on says nothing of the request on it.
+A target that terminates breaks off all its calls at once. Termination is
+confirmed when its address refuses connections or another incarnation announces
+itself. A connection that was reset, cut or corrupted while the target keeps
+running says nothing about the request on it.
 """
 
 import dataclasses
@@ -20,18 +20,18 @@
     from cyclamenlift.http.client import TargetClient
 
 LOG = structlog.get_logger('gate')
-# How long before nobody listened a call may have broken off to count as one
-# that the target ran at its end, in seconds: all of them break within
-# milliseconds, and the look at the address follows at once.
+# A call counts as running at the termination if it broke off at most this
+# long, in seconds, before a connection was refused: all calls break off within
+# milliseconds, and the address is probed immediately afterwards.
 BROKE_JUST_NOW = 1.0
-# The same before another incarnation announced itself: targets are back
-# after some seconds.
+# The same before another incarnation announces itself: targets restart within
+# some seconds.
 BROKE_BEFORE_START = 10.0
-# How long entries wait at most to hear that a call broke off, in seconds,
-# so that they hear with it whether its target has ended. An address on the
-# same instance refuses, and a page there answers, within a few milliseconds.
+# How long to delay reporting a broken call to its entry, in seconds, so that
+# the report can say whether the target terminated. An address on the same
+# instance refuses, and a health page there answers, within a few milliseconds.
 LOOK_SECONDS = 0.05
-# Fingerprints in one line of the log.
+# Maximum number of fingerprints in a log line.
 MOST_LOGGED = 48
 
 
@@ -46,7 +46,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Untold:
-    """A call whose entry has not yet heard that it broke off."""
+    """A broken call that has not been reported to its entry yet."""
 
     call: 'GateCall'
     detail: str
@@ -54,7 +54,7 @@
 
 
 class EndWatch:
-    """The calls that broke off lately, until it is known what that meant."""
+    """Keeps recently broken calls until their cause is known."""
 
     def __init__(self, gate: 'Gate'):
         self.gate = gate
@@ -64,17 +64,17 @@
         self.ended = 0
 
     def watch(self, client: 'TargetClient') -> None:
-        """Learn from these connections whether the target is there."""
+        """Observe from a client's connections whether the target listens."""
         client.refused_hooks.append(self.note_nobody_listens)
         client.found_hooks.append(self.note_found)
 
     @property
     def is_looking(self) -> bool:
-        """Whether entries have still to be told of broken calls."""
+        """Whether broken calls have still to be reported to entries."""
         return bool(self.untold)
 
     def note_broken(self, call: 'GateCall', detail: str) -> None:
-        """Take a call that broke off, and look whether anybody listens."""
+        """Record a call that broke off, and probe the target's address."""
         self.remember(call)
         now = self.gate.now()
         self.untold.append(Untold(call, detail, now))
@@ -84,9 +84,9 @@
             self.gate.client.look(now + LOOK_SECONDS)
 
     def note_cut(self, call: 'GateCall') -> None:
-        """Take a call that was given up while the target ran it.
+        """Record a call that was cancelled while the target ran it.
 
-        What it did there may end the target a moment later.
+        Its effects may still terminate the target a moment later.
         """
         if call.was_sent():
             self.remember(call)
@@ -99,26 +99,25 @@
         self.broken.append(BrokenCall(fingerprint, call.started_at, now))
 
     def note_answer(self, begun_at: float) -> None:
-        """Take an answer: the target was there when that call began."""
+        """Record an answer: the target was running when that call began."""
         if self.broken:
             self.broken = [b for b in self.broken if b.broke_at >= begun_at]
         self.note_running(begun_at)
 
     def note_found(self) -> None:
-        """Ask a target that takes connections for its page.
+        """Query the health page of a target that accepts connections.
 
-        A process that ends takes connections until its listener is closed,
-        and one that hangs for longer still: only an answer shows that it
-        runs.
+        A terminating process accepts connections until its listener is closed,
+        and a hanging one even longer: only an answer proves that it runs.
         """
         self.gate.presence.note_present('connection')
         if self.untold:
             self.gate.questions.ask()
 
     def note_running(self, asked_at: float) -> None:
-        """Take it that the target answered what it was asked then.
+        """Record that the target answered a request sent at ``asked_at``.
 
-        What broke off before that merely broke.
+        Calls that broke off before that were merely disconnected.
         """
         self.gate.presence.note_answer(asked_at)
         if not self.untold:
@@ -129,7 +128,7 @@
             self.gate.questions.ask()
 
     def note_nobody_listens(self) -> None:
-        """Take it that no connection can be had at the address."""
+        """Record that the target's address refuses connections."""
         registration = self.gate.registration
         if not registration.draining:
             incarnation = registration.incarnation
@@ -137,11 +136,11 @@
         self.gate.presence.note_nobody_listens()
 
     def note_next_incarnation(self, before: str) -> None:
-        """Take it that another one has announced itself after ``before``."""
+        """Record that another incarnation replaced ``before``."""
         self.end('another incarnation', before, BROKE_BEFORE_START)
 
     def end(self, shown_by: str, incarnation: str, seconds: float) -> None:
-        """Conclude that the target ended while it ran what broke off."""
+        """Conclude that the target terminated while it ran broken calls."""
         since = self.gate.now() - seconds
         ran = {
             b.fingerprint: b.begun_at
@@ -170,10 +169,10 @@
         code: ResultCode = ResultCode.TARGET_BROKE_OFF,
         end: EndReport | None = None,
     ) -> None:
-        """Tell the entries of all calls that broke off.
+        """Report all broken calls to their entries.
 
-        The first message on each connection says which requests ran when
-        the target ended: their entry must know before it tries again.
+        The first message on each connection lists the requests that ran when
+        the target terminated: the entry must know them before it retries.
         """
         if self.timer is not None:
             self.timer.cancel()
--- a/cyclamenlift/gate/entrance.py
+++ b/cyclamenlift/gate/entrance.py
@@ -1,6 +1,6 @@
-"""The way of a call into the target: begun, held, or sent back.
+"""Admits calls to the target, puts them on hold or sends them back.
 
-A call that was sent back has not run: nothing of it has reached the target.
+A call that is sent back has not run: no part of it has reached the target.
 """
 
 from collections.abc import Callable
@@ -18,13 +18,13 @@
     from cyclamenlift.gate.running import GateCall
     from cyclamenlift.gate.tasks import Gate
 
-# When a caller may come back whose call waited in vain, in seconds: about
-# the half second after which a slow spell is over.
+# Retry-after for a call that waited in vain, in seconds: of the order of the
+# half second after which a slowdown is over.
 WAITED_RETRY = 0.25
 
 
 class Entrance:
-    """Decides what becomes of the calls that a gate has taken."""
+    """Applies admission decisions to the calls of a gate."""
 
     def __init__(self, gate: 'Gate'):
         self.gate = gate
@@ -32,11 +32,11 @@
     # -- letting calls in -------------------------------------------------
 
     def take(self, call: 'GateCall') -> None:
-        """Decide on a call that has come, by the pace of now."""
+        """Decide on a new call by the target's current pace."""
         self.with_pace(call, self.decide)
 
     def with_pace(self, call: 'GateCall', go_on: Callable) -> None:
-        """Go on with a call at once, or when its target has told its pace."""
+        """Run ``go_on`` for a call once the target's pace is known."""
         gate = self.gate
         if self.is_pace_doubtful(call, gate.now()):
             if gate.questions.put(call.key, lambda: go_on(call, gate.now())):
@@ -44,7 +44,7 @@
         go_on(call, gate.now())
 
     def decide(self, call: 'GateCall', now: float) -> None:
-        """Let a call in, to the target or its queue, or send it back."""
+        """Start a call, queue it or send it back."""
         if self.gate.presence.absent:
             gone = Admission(Verdict.REFUSED, ResultCode.TARGET_UNREACHABLE)
             self.send_back(call, gone)
@@ -69,17 +69,17 @@
             call.ask_for_body()
 
     def admit(self, call: 'GateCall', now: float) -> Admission:
-        """Decide on a call, by its route's objective if it has one."""
+        """Decide on a call, by its route's objective if it has a route."""
         if not call.start.route_name:
             return self.gate.state.admit(call.key, call.deadline, now)
         return self.gate.state.admit_routed(call.asking(), now)
 
     def on_body_gathered(self, call: 'GateCall') -> None:
-        """Begin a call whose body has come, by the pace of now."""
+        """Begin a call whose body is complete, if the pace allows it."""
         self.with_pace(call, self.begin_or_hold)
 
     def begin_or_hold(self, call: 'GateCall', now: float) -> None:
-        """Begin a call that has a slot, unless a spell is to be held out."""
+        """Begin a call that has a slot, or hold it until a slowdown ends."""
         admission = self.gate.state.reconsider(call.asking(), now)
         if admission.held:
             explain_hold(self.gate, call, admission.held)
@@ -93,12 +93,12 @@
     # -- sending calls back -----------------------------------------------
 
     def send_back(self, call: 'GateCall', admission: Admission) -> None:
-        """Tell the entry that a call was not let in."""
+        """Refuse a call that was not admitted."""
         self.gate.forget(call)
         call.tell_refused(admission.code, '', admission.retry_after)
 
     def on_wait_over(self, call: 'GateCall') -> None:
-        """Send a call back that waited until it can not be in time."""
+        """Refuse a queued call that can no longer finish in time."""
         if call.ended or not self.gate.state.withdraw(call.key):
             return
         self.gate.forget(call)
@@ -106,23 +106,24 @@
         self.gate.check_idle()
 
     def send_hopeless_back(self, now: float) -> None:
-        """Send queued calls back that a slow spell has made late."""
+        """Refuse queued calls that a slowdown has made late."""
         self.gate.follow(Turn(expired=self.gate.state.hopeless(now)))
 
     def send_waiting_back(self, code: ResultCode) -> None:
-        """Send back all calls that the target has not got yet."""
+        """Refuse all calls that have not been sent to the target yet."""
         self.gate.follow(Turn(expired=self.gate.state.empty_queue(code)))
         for call in list(self.gate.calls.values()):
             if call.gathering:
                 self.take_slot_back(call, code)
-        # Who waits for the target's word is decided on again.
+        # Decide again on calls that wait for the target's pace.
         self.gate.questions.answered()
         self.gate.check_idle()
 
     def take_slot_back(self, call: 'GateCall', code: ResultCode) -> None:
-        """Send a call back whose body is on its way to a target that goes.
+        """Refuse a call whose body is still arriving at a departing target.
 
-        The target would get it long after it said so, or never.
+        The target would get it long after it announced its departure, or
+        never.
         """
         self.gate.questions.withdraw(call.key)
         self.gate.release(call, None, False)
@@ -131,12 +132,12 @@
     # -- queries ----------------------------------------------------------
 
     def is_too_slow(self, start: CallStart, now: float) -> bool:
-        """Tell whether an entry would rather have its call back."""
+        """Tell whether the target is slower than the entry accepts."""
         most = start.most_pace_percent or 0
         return 0 < most < self.gate.state.pace_percent(now)
 
     def is_pace_doubtful(self, call: 'GateCall', now: float) -> bool:
-        """Tell whether to ask the target for its pace before a call."""
+        """Tell whether to query the target's pace before a call begins."""
         start = call.start
         if not (self.gate.dialect.load and start.route_name):
             return False
--- a/cyclamenlift/gate/estimates.py
+++ b/cyclamenlift/gate/estimates.py
@@ -1,4 +1,4 @@
-"""What a gate knows of its target's recent behaviour."""
+"""Moving averages of a target's service time and error share."""
 
 SMOOTHING = 0.1
 ERROR_HALF_LIFE = 2.0
@@ -28,7 +28,7 @@
 
 
 class ErrorShare:
-    """Share of recent calls that failed, forgotten by half each 2 s."""
+    """Share of recent calls that failed, with a half-life of 2 s."""
 
     __slots__ = ('failed', 'since', 'total')
 
@@ -44,7 +44,7 @@
             self.failed += 1.0
 
     def share(self, now: float) -> float:
-        """Return the share from 0 to 1; 0 when nothing was seen lately."""
+        """Return the share from 0 to 1; 0 without recent calls."""
         self.fade(now)
         if self.total < 1.0:
             return 0.0
--- a/cyclamenlift/gate/explaining.py
+++ b/cyclamenlift/gate/explaining.py
@@ -1,4 +1,4 @@
-"""The lines that tell why a call did not run at a gate, or may have run."""
+"""Log lines that explain why a call did not run, or may have run."""
 
 from typing import TYPE_CHECKING
 
@@ -18,9 +18,9 @@
 def explain_refusal(
     gate: 'Gate', call: 'GateCall', code: ResultCode, detail: str, wait: float
 ) -> None:
-    """Write what decided that a call did not run here.
+    """Log why a call was refused.
 
-    Calls without a route are left out: their entry tells of them.
+    Calls without a route are omitted: their entry logs them.
     """
     if call.start.route_name:
         wait_ms = int(wait * MILLISECONDS)
@@ -28,7 +28,7 @@
 
 
 def explain_hold(gate: 'Gate', call: 'GateCall', held: float) -> None:
-    """Write that a call is held until a slow spell of the target is over."""
+    """Log that a call is held until a slowdown of the target ends."""
     held_ms = int(held * MILLISECONDS)
     write_line(
         'gate_held', gate, call, ResultCode.TARGET_SLOW, '', held_ms=held_ms
@@ -38,7 +38,7 @@
 def explain_unknown(
     gate: 'Gate', call: 'GateCall', code: ResultCode, detail: str
 ) -> None:
-    """Write that nobody knows whether a call ran."""
+    """Log that it is unknown whether a call ran."""
     ran_ms = int((gate.now() - call.started_at) * MILLISECONDS)
     write_line(
         'gate_unknown',
@@ -53,10 +53,10 @@
 
 
 def explain_slots(gate: 'Gate', before: int) -> None:
-    """Write that another number of slots gets most done, and why.
+    """Log a change of the learned concurrency limit and its reason.
 
-    ``ratios`` holds for each band that is known its upper end and how much
-    longer calls take there.
+    ``ratios`` maps the upper bound of each measured band to the relative
+    service time there.
     """
     crowding = gate.state.learning.crowding
     LOG.info(
@@ -81,7 +81,7 @@
     detail: str,
     **fields: int | str,
 ) -> None:
-    """Write one decision with what it rests on and how old that is."""
+    """Log a decision with the data that it is based on and their age."""
     state = gate.state
     now = gate.now()
     LOG.info(
--- a/cyclamenlift/gate/health.py
+++ b/cyclamenlift/gate/health.py
@@ -1,7 +1,7 @@
-"""Asks the local target's health page, within the measuring budget.
+"""Polls the local target's health page, within the probe budget.
 
-Only the target's own daemon ever asks. The page may lag or mislead, so a
-bad answer only moves callers elsewhere; it never refuses a call.
+Only the target's own daemon polls it. The page may be stale or wrong, so a
+failure only directs callers elsewhere; it never refuses a call.
 """
 
 import typing
@@ -21,16 +21,17 @@
 
 LOG = structlog.get_logger('health')
 FAILURES_BEFORE_UNHEALTHY = 2
-# How often health is asked for at least, in seconds.
+# The page is polled for health at least this often, in seconds.
 HEALTH_ITSELF_SECONDS = 1.0
-# How many periods old the load may be where no call waits for it: the gate
-# asks before a call begins, so all that is told later is news to entries.
+# Maximum age of the load, in periods, while no call waits for it. The gate
+# queries the pace before a call begins, so a later figure only serves to
+# inform entries.
 QUIET_PERIODS = 6.0
 GOOD_STATUS = range(200, 400)
 
 
 class HealthCheck:
-    """One health request at a time, each ``health_seconds``."""
+    """Polls the page every ``health_seconds``, one request at a time."""
 
     def __init__(
         self,
@@ -49,10 +50,10 @@
         self.status = 0
 
     def start(self) -> None:
-        """Begin asking; without a page the target counts as ready.
+        """Begin polling; without a page the target counts as ready.
 
-        A target that announces itself is ready by its own word; until the
-        document names its page there is nothing to ask.
+        A target that announces itself reports its own readiness; until the
+        document configures its page there is nothing to poll.
         """
         if not self.path() and not self.gate.dialect.incarnation_asked:
             self.gate.set_target_state(TargetState.READY)
@@ -63,9 +64,9 @@
         self.gate.scheduler.every(self.settings.health_seconds, self.ask)
 
     def heard_lately(self) -> bool:
-        """Tell whether an answer told of the load, so none need be asked.
+        """Tell whether a recent answer reported the load, so no poll is due.
 
-        The page is still asked once a second, for health itself.
+        The page is still polled once a second to check health itself.
         """
         gate = self.gate
         now = gate.now()
@@ -77,30 +78,30 @@
         return age < self.oldest_figure()
 
     def oldest_figure(self) -> float:
-        """Return how old the target's load may grow before it is asked for.
+        """Return the age from which the target's load is polled again.
 
-        Calls that are held wait for the figure that ends a spell.
+        Calls on hold wait for the figure that ends a slowdown.
         """
         if self.gate.state.queue:
             return self.settings.health_seconds
         return QUIET_PERIODS * self.settings.health_seconds
 
     def path(self) -> str:
-        """Return the health page: the document's or the settings' one."""
+        """Return the path of the page, from the document or the settings."""
         rule = self.gate.rule
         if rule is not None and rule.health_path:
             return rule.health_path
         return self.settings.health_path
 
     def ask(self) -> None:
-        """Send one request, unless one is out or the budget is used up."""
+        """Poll unless a request is open or the load is recent."""
         if self.call is not None or not self.path():
             return
         if not self.heard_lately():
             self.ask_now()
 
     def ask_now(self) -> bool:
-        """See to it that an answer is under way; False if it can't be."""
+        """Make sure a request is open; False if none can be sent."""
         if self.call is not None:
             return True
         if not self.path():
@@ -132,10 +133,10 @@
         self.call = None
         self.timer.cancel()
         if self.gate.presence.absent:
-            # Nobody is there to be well or ill.
+            # There is no target whose health could be recorded.
             return
         if not good and self.gate.answers_well():
-            # The page says otherwise than the answers: these count.
+            # Successful answers to calls overrule a failing page.
             LOG.info('health_page_overruled', status=self.status)
             good = True
         self.failures = 0 if good else self.failures + 1
@@ -154,10 +155,10 @@
         self.learn_target(headers)
 
     def learn_target(self, headers) -> None:
-        """Learn from the page which target runs here.
+        """Learn the target's incarnation from its health page.
 
-        A daemon that starts beside a running target need not wait for its
-        next announcement.
+        This way a daemon that starts beside a running target need not wait for
+        the target's next announcement.
         """
         dialect = self.gate.dialect
         if not dialect.incarnation:
@@ -170,7 +171,7 @@
                 registration.doubted = False
             return
         if self.status not in GOOD_STATUS:
-            # It may be leaving, which only its announcement can tell.
+            # It may be departing, which only its announcement tells.
             return
         self.gate.announce(
             Announcement(
@@ -181,14 +182,14 @@
         )
 
     def on_body(self, _data: bytes) -> None:
-        """Take no notice of the page itself: only its status counts."""
+        """Ignore the content of the page: only its status counts."""
 
     def on_end(self) -> None:
         self.judge(self.status in GOOD_STATUS)
         self.gate.ends.note_running(self.asked_at)
 
     def on_drained(self) -> None:
-        """Take no notice: the request has no body."""
+        """Do nothing: the request has no body."""
 
     def on_failure(self, _failure) -> None:
         self.judge(False)
--- a/cyclamenlift/gate/learning.py
+++ b/cyclamenlift/gate/learning.py
@@ -1,4 +1,4 @@
-"""What a gate learns from its target's answers: pace, work and crowding."""
+"""Performance model of a target: pace, work per route, contention."""
 
 import dataclasses
 import math
@@ -20,22 +20,21 @@
 from cyclamenlift.routing.work import WorkTable
 
 NEVER = float('-inf')
-# A target's neighbours come and go in about half a second; a figure on its
-# pace that is older tells nothing.
+# Pace figures older than this, in seconds, are ignored: the neighbours that
+# slow a target down come and go in about half a second.
 PACE_SECONDS = 0.5
-# What it is taken to cost a call to ask the target for its pace first, in
-# seconds: the way to the own instance and back, and its processor time on a
-# small core. Chosen, not measured.
+# Assumed cost of querying the pace before a call, in seconds: the round trip
+# on the local instance and its processor time on a small core. An estimate.
 ASKING_SECONDS = 0.002
-# The pace that is assumed where none was told, in percent of the usual.
+# The pace that is assumed if none was reported, in percent of the usual.
 USUAL_PACE = 100
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Begun:
-    """The target's pace when a call began there, 0 if it was not known.
+    """The target's pace when a call began there, 0 if it was unknown.
 
-    ``progress`` is what ``Progress`` had counted by then.
+    ``progress`` is the value of ``WorkProgress`` at that time.
     """
 
     pace_percent: int
@@ -43,7 +42,7 @@
 
 
 class TargetPace:
-    """How long work takes at the target now, as it tells itself."""
+    """How long work takes at the target now, as reported by the target."""
 
     def __init__(self) -> None:
         self.load: TargetLoad | None = None
@@ -65,53 +64,54 @@
             self.steady_since = now
 
     def forget(self) -> None:
-        """Begin with another target."""
+        """Reset for another target."""
         self.load = None
         self.spells.lose_sight()
 
     def age(self, now: float) -> float:
-        """Return how old the newest figure is, in seconds."""
+        """Return the age of the newest pace figure in seconds."""
         return now - self.told_at if self.load is not None else math.inf
 
     def percent(self, now: float) -> int:
-        """Return how long work takes now, 100 as usual, 0 unknown."""
+        """Return the current pace, 100 for the usual one, 0 if unknown."""
         if self.age(now) > PACE_SECONDS:
             return 0
         return self.load.pace_percent
 
     def begun(self, now: float) -> Begun:
-        """Return the pace for a call that begins now."""
+        """Return the pace to store with a call that begins now."""
         return Begun(self.percent(now), self.progress.until(now))
 
     def spell_left(self, now: float) -> float:
-        """Return how much longer a slow spell should last, in seconds."""
+        """Return the expected rest of the current slowdown in seconds."""
         if self.percent(now) <= MOST_PACE:
             return 0.0
         return self.spells.left(now)
 
     def is_usual(self, now: float) -> bool:
-        """Tell whether the target is in no slow spell."""
+        """Tell whether the target is in no slowdown."""
         return self.percent(now) <= MOST_PACE
 
     def was_kept(self, seconds: float, now: float) -> bool:
-        """Tell whether the pace has been the same for so long."""
+        """Tell whether the pace was constant for the last ``seconds``."""
         return self.steady_since <= now - seconds
 
 
 class Learning:
-    """What calls of each route take at this target, alone and in a crowd."""
+    """Estimates service times by route, pace and concurrency."""
 
     def __init__(self, slots: int) -> None:
         self.pace = TargetPace()
         self.keeping = PaceKeeping()
         self.work = WorkTable()
-        # How long a call holds a slot at the usual pace, of any route.
+        # Mean time for which a call of any route holds a slot at the usual
+        # pace.
         self.slot_time = ServiceTime()
         self.make_crowding = Crowding
         self.crowding = Crowding(slots)
 
     def set_slots(self, slots: int) -> None:
-        """Begin anew with a target that has so many slots."""
+        """Reset the concurrency limiter for a new number of slots."""
         self.crowding = self.make_crowding(slots)
 
     def note(
@@ -123,12 +123,12 @@
         nested: float = 0.0,
         begun: Begun | None = None,
     ) -> None:
-        """Learn from a call that ran beside ``beside`` others in the mean.
+        """Update the model with a call that ran beside ``beside`` others.
 
-        ``nested`` is how long it waited for calls of its own, ``begun`` the
-        pace at its start. Where that is not told, or calls do not keep their
-        pace, only one during which the target kept its own tells of the
-        work.
+        ``beside`` is the mean number of other calls, ``nested`` the time spent
+        waiting for nested calls, ``begun`` the pace at the start. If ``begun``
+        is None, or calls don't keep the pace at which they started, only calls
+        during which the target's pace was constant are used.
         """
         own = max(0.0, seconds - nested)
         changed = not self.pace.was_kept(seconds, now)
@@ -153,9 +153,9 @@
             self.work.note(route, own, pace, 0, nested)
 
     def tells_of_work(self, begun: Begun) -> bool:
-        """Tell whether a call that began so shows what its work is.
+        """Tell whether a call that began at this pace measures its work.
 
-        Targets that never tell their pace are taken to keep the usual one.
+        Targets that never report a pace are assumed to keep the usual one.
         """
         if not begun.pace_percent:
             return self.pace.load is None or not self.pace.load.pace_percent
@@ -164,7 +164,7 @@
     def note_changed(
         self, route: str, own: float, begun: Begun, now: float, nested: float
     ) -> None:
-        """Learn whether calls keep their pace from one whose pace changed."""
+        """Update the pace model with a call during which the pace changed."""
         if nested or not begun.pace_percent:
             return
         if not self.work.knows(route, BASE_SAMPLES):
@@ -175,19 +175,19 @@
         self.keeping.note(keeping / usual, followed / usual)
 
     def is_doubtful(self, route: str, objective: float, now: float) -> bool:
-        """Tell whether asking for the pace pays before a call begins."""
+        """Tell whether querying the pace pays off before a call begins."""
         work = self.work.seconds(route, objective)
         age = self.pace.age(now)
         return self.pace.spells.risk(work, age, now) > ASKING_SECONDS
 
     def limit(self, now: float) -> int:
-        """Return how many calls are worth running at once now."""
+        """Return how many calls should run at once now."""
         return self.crowding.limit(now, self.pace.is_usual(now))
 
     def expect(self, asking: Asking, running: int, now: float) -> Start:
-        """Return how a call beside ``running`` others is done soonest.
+        """Return the soonest way to finish a call beside ``running`` others.
 
-        The calls that it makes are a part of it.
+        The time includes that of its nested calls.
         """
         work = self.work.seconds(asking.route, asking.objective)
         work *= self.crowding.slowness(running + 1)
@@ -196,7 +196,7 @@
         return Start(start.held, start.seconds + nested)
 
     def best_start(self, work: float, now: float) -> Start:
-        """Return how ``work`` is done soonest at the pace of now."""
+        """Return the soonest way to finish ``work`` at the current pace."""
         percent = self.pace.percent(now) or USUAL_PACE
         left = self.pace.spell_left(now)
         if not self.keeping.kept:
@@ -204,7 +204,7 @@
         return best_start(work, percent, left)
 
     def spread(self, asking: Asking, start: Start, now: float) -> float:
-        """Return how far a call's time may well lie from its mean."""
+        """Return the expected deviation of a call's time from its mean."""
         spread = self.work.spread(asking.route, asking.objective)
         if start.held or not self.keeping.kept:
             return spread
@@ -216,7 +216,7 @@
 
 
 def followed_work(work: float, pace_percent: int, spell_left: float) -> float:
-    """Return how long work takes that is as fast as the target each moment.
+    """Return how long work takes if it follows the target's pace.
 
     >>> followed_work(0.1, 100, 0.0), round(followed_work(0.1, 700, 0.4), 3)
     (0.1, 0.443)
--- a/cyclamenlift/gate/news.py
+++ b/cyclamenlift/gate/news.py
@@ -1,4 +1,4 @@
-"""Tells entries that called a gate lately that its target's pace changed."""
+"""Notifies entries that recently called a gate of pace changes."""
 
 from collections.abc import Callable
 import dataclasses
@@ -7,11 +7,11 @@
 from cyclamenlift.wire.gen.protocol.ttypes import LoadFigures
 from cyclamenlift.wire.gen.protocol.ttypes import LoadNews
 
-# Entries that called within this time, in seconds, are told of a change of
-# pace. A little longer than they trust an old figure, so that no change is
+# Entries that called within this time, in seconds, are notified of pace
+# changes. A little longer than they trust an old figure, so that no change is
 # missed while one is trusted.
 NEWS_SECONDS = PACE_FRESH + 0.5
-# A pace is told when it has changed by more than this factor.
+# A change of the pace by more than this factor is sent.
 PACE_STEP = 1.3
 
 
@@ -24,9 +24,9 @@
 
 
 class GateNews:
-    """The entries that want news, and what they were told last.
+    """The entries to notify, and the pace that they were last sent.
 
-    ``hooks`` run with the figures beside, for the entry in this process.
+    ``hooks`` are also run with the figures, for the entry in this process.
     """
 
     def __init__(self) -> None:
@@ -35,20 +35,20 @@
         self.hooks: list[Callable[[LoadFigures], None]] = []
 
     def note_call(self, link, now: float) -> None:
-        """Note that an entry sent a call over ``link``."""
+        """Record that an entry sent a call over ``link``."""
         self.users[link.number] = GateUser(link, now)
 
     def forget(self, link) -> None:
         self.users.pop(link.number, None)
 
     def is_due(self, pace_percent: int) -> bool:
-        """Tell whether a pace differs from the one that was told."""
+        """Tell whether a pace differs from the one that was last sent."""
         if not pace_percent:
             return False
         return not is_same_pace(pace_percent, self.told_pace)
 
     def tell(self, figures: LoadFigures, now: float) -> None:
-        """Send the figures to those who called lately."""
+        """Send the figures to entries that called recently."""
         self.told_pace = figures.pace_percent
         news = LoadNews(figures)
         for number, user in list(self.users.items()):
@@ -61,7 +61,7 @@
 
 
 def is_same_pace(pace: int, told: int) -> bool:
-    """Tell whether a pace differs too little to be told.
+    """Tell whether two paces differ too little to send an update.
 
     >>> is_same_pace(100, 110), is_same_pace(700, 100)
     (True, False)
--- a/cyclamenlift/gate/occupancy.py
+++ b/cyclamenlift/gate/occupancy.py
@@ -1,18 +1,18 @@
-"""How many calls a target ran, in the mean, while one call ran."""
+"""Measures a target's mean concurrency while a call runs."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Mark:
-    """An instant and the slot-seconds that were used up to it."""
+    """A time and the slot-seconds that were used until then."""
 
     at: float
     used: float
 
 
 class Occupancy:
-    """Slot-seconds used since the start, to be read off at two instants."""
+    """Cumulative slot-seconds; compare two readings to get a mean."""
 
     __slots__ = ('at', 'count', 'used')
 
@@ -22,7 +22,7 @@
         self.at = 0.0
 
     def note(self, count: int, now: float) -> None:
-        """Take over how many calls run from now on."""
+        """Set how many calls run from now on."""
         self.used += self.count * (now - self.at)
         self.count = count
         self.at = now
@@ -31,7 +31,7 @@
         return Mark(now, self.used + self.count * (now - self.at))
 
     def mean_since(self, mark: Mark, now: float) -> float:
-        """Return the mean number of calls since an earlier mark.
+        """Return the mean number of running calls since ``mark``.
 
         >>> occupancy = Occupancy()
         >>> occupancy.note(2, 0.0)
--- a/cyclamenlift/gate/presence.py
+++ b/cyclamenlift/gate/presence.py
@@ -1,10 +1,9 @@
-"""Whether anybody listens at the target's address.
+"""Tracks whether the target's address accepts connections.
 
-A gate whose target has gone can run nothing. If it went on taking calls,
-their bodies would cross the network to it and come to nothing, and callers
-would hear late what was known all along. So from the first connection that
-is refused it sends calls back at once, and entries leave it out, until
-somebody is there again.
+A gate whose target is gone can't run calls. If it kept admitting them, their
+bodies would cross the network in vain, and callers would learn late what was
+already known. So from the first refused connection on it refuses calls
+immediately, and entries avoid it, until the address accepts connections again.
 """
 
 import typing
@@ -19,17 +18,18 @@
     from cyclamenlift.gate.tasks import Gate
 
 LOG = structlog.get_logger('gate')
-# How often the address of a target that went is tried, in seconds: what a
-# target that is back loses at most, for a connection that is refused.
+# Interval between connection attempts to an absent target, in seconds: the
+# delay until a returning target is noticed, at the cost of one refused
+# connection each.
 TRY_SECONDS = 0.25
-# How soon the address is tried again where a connection was refused while
-# others were still open, in seconds: those of a process that ended are lost
-# within milliseconds.
+# Delay before the address is tried again if a connection was refused while
+# others were still open, in seconds: the connections of a process that exited
+# are lost within milliseconds.
 CHECK_SECONDS = 0.01
 
 
 class Presence:
-    """Knows whether the gate's target is there, by its connections."""
+    """Tracks the presence of the target by its connections."""
 
     def __init__(self, gate: 'Gate'):
         self.gate = gate
@@ -38,9 +38,10 @@
         self.checking = False
 
     def note_nobody_listens(self) -> None:
-        """Take it that a connection to the target was refused.
+        """Handle a refused connection to the target.
 
-        A target that is full may refuse one while it runs others.
+        A target at its connection limit may refuse one while it still serves
+        others.
         """
         gate = self.gate
         leaves = gate.state.target_state == TargetState.DRAINING
@@ -62,7 +63,7 @@
         self.plan_try()
 
     def note_present(self, shown_by: str) -> None:
-        """Take it that somebody is there again."""
+        """Handle evidence that the target is running again."""
         if not self.absent:
             return
         self.absent = False
@@ -77,12 +78,12 @@
             gate.set_target_state(TargetState.READY)
 
     def note_answer(self, asked_at: float) -> None:
-        """Take it that the target answered what it was asked then."""
+        """Handle an answer to a request that was sent at ``asked_at``."""
         if asked_at > self.absent_at:
             self.note_present('answer')
 
     def check_again(self) -> None:
-        """Try the address once more when lost connections are known."""
+        """Retry the address once the loss of open connections is known."""
         if self.checking:
             return
         self.checking = True
@@ -100,7 +101,7 @@
         self.gate.scheduler.after(TRY_SECONDS, self.try_address)
 
     def try_address(self) -> None:
-        """Look whether somebody listens, until somebody does."""
+        """Try to connect repeatedly until the target is present."""
         if not self.absent:
             return
         self.gate.client.look(self.gate.now())
--- a/cyclamenlift/gate/probes.py
+++ b/cyclamenlift/gate/probes.py
@@ -1,13 +1,13 @@
-"""The measuring budget, enforced where probes arrive."""
+"""The probe budget, enforced where probes arrive."""
 
 BURST_SECONDS = 1.0
 
 
 class ProbeBudget:
-    """A token bucket: the budget for measuring this gate's target.
+    """A token bucket that limits the probes of this gate's target.
 
-    A probe beyond it is dropped without an answer, so measuring costs a
-    target's instance no more than was set, however many entries ask.
+    Probes beyond it are dropped without an answer, so that probing costs the
+    target's instance no more than configured, however many entries probe.
     """
 
     def __init__(self, per_second: float = 0.0):
@@ -24,7 +24,7 @@
         self.tokens = min(self.tokens, self.burst())
 
     def burst(self) -> float:
-        """Return the most probes that may be saved up (at least one)."""
+        """Return the capacity of the bucket, at least one probe."""
         if self.per_second <= 0:
             return 0.0
         return max(1.0, self.per_second * BURST_SECONDS)
@@ -37,7 +37,7 @@
         self.filled_at = now
 
     def take(self, now: float) -> bool:
-        """Spend one probe; False when the budget is used up."""
+        """Consume a token; False if the budget is exhausted."""
         self.fill(now)
         if self.tokens < 1.0:
             self.dropped += 1
--- a/cyclamenlift/gate/questions.py
+++ b/cyclamenlift/gate/questions.py
@@ -1,23 +1,24 @@
-"""Calls that wait for their target's word on its pace.
+"""Defers calls until the target has reported its current pace.
 
-The load that this answers: a call of 660 ms that begins in a slow spell takes
-4.6 s, and spells begin at any moment, so a figure of the pace that is 80 ms
-old is wrong for about one call in twenty, where spells come each 1.5 s.
+A call of 660 ms that begins in a slowdown takes 4.6 s, and slowdowns begin at
+any time. If they come every 1.5 s, a pace figure that is 80 ms old is wrong
+for about one call in twenty.
 """
 
 from collections.abc import Callable
 from collections.abc import Hashable
 
-# How long a call waits for the word, in seconds, before it goes on without.
-# Chosen, not measured: the page is on the same instance, so an answer that
-# takes longer means that the instance is overloaded.
+# How long a call waits for the pace, in seconds, before it continues without
+# it. An estimate: the health page is on the same instance, so a longer delay
+# means that the instance is overloaded.
 ANSWER_SECONDS = 0.02
 
 
 class PaceQuestions:
-    """One question at a time, and what goes on when it is answered.
+    """Sends one pace query at a time and resumes the calls that wait.
 
-    ``ask`` sees to it that an answer is under way; False if it can't be.
+    ``ask`` makes sure that a query is open and returns False if none can be
+    sent.
     """
 
     def __init__(self, scheduler) -> None:
@@ -27,7 +28,7 @@
         self.timer = None
 
     def put(self, key: Hashable, go_on: Callable[[], None]) -> bool:
-        """Ask, and run ``go_on`` then; False if nothing can be asked."""
+        """Query the pace and run ``go_on`` then; False if impossible."""
         if not self.ask():
             return False
         if not self.waiting:
@@ -36,7 +37,7 @@
         return True
 
     def answered(self) -> None:
-        """Go on with all that waited, whether there was an answer or not."""
+        """Resume all waiting calls, after an answer or a timeout."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
@@ -46,5 +47,5 @@
             go_on()
 
     def withdraw(self, key: Hashable) -> bool:
-        """Take out a call that ended meanwhile; False if it is not here."""
+        """Remove a call that has ended; False if it was not waiting."""
         return self.waiting.pop(key, None) is not None
--- a/cyclamenlift/gate/registration.py
+++ b/cyclamenlift/gate/registration.py
@@ -1,10 +1,10 @@
-"""Which incarnation of the target runs at the gate's address.
+"""Tracks which incarnation of the target runs at the gate's address.
 
-Targets announce themselves. An incarnation is a name together with the
-instant of its start: a target may start again under the name that it had,
-and knows nothing of before. Each announcement of an incarnation has a
-higher sequence number than the one before. What comes late must not bring
-an old incarnation back. Pure decisions; time is passed in.
+Targets announce themselves. An incarnation is identified by a name and its
+start time: a target may restart under the same name and has then lost its
+state. Sequence numbers increase with each announcement of an incarnation. A
+delayed announcement must not bring back an old incarnation. Pure logic;
+callers pass the time in.
 """
 
 import collections
@@ -13,15 +13,15 @@
 import enum
 
 ENDED_KEPT = 64
-# The start of an incarnation that nobody told: pages do not, and some
-# targets never do.
+# Start time of an incarnation that was not reported: health pages don't
+# contain it, and some targets never send it.
 UNKNOWN_START = 0
-# The sequence number of what a target did not announce but was asked for.
+# Sequence number of an announcement that was derived from the health page.
 ASKED = -1
 
 
 class Announced(enum.Enum):
-    """What an announcement changed."""
+    """The effect of an announcement."""
 
     NEW = 'new'
     AGAIN = 'again'
@@ -30,13 +30,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Announcement:
-    """What a target tells of itself.
+    """The attributes that a target reports of itself.
 
-    ``slots`` is how many calls it runs at once; ``warm_up_seconds`` how
-    much longer it stays slow after its start; ``sequence`` is ``ASKED``
-    where its page told this. ``born_ms`` is the Unix
-    millisecond of its start, ``UNKNOWN_START`` where it is not told;
-    ``address`` is where it listens, empty where that is not told.
+    ``slots`` is how many calls it runs at once; ``warm_up_seconds`` how much
+    longer it is slow after its start; ``sequence`` is ``ASKED`` if the data
+    come from its health page. ``born_ms`` is its start in Unix milliseconds,
+    ``UNKNOWN_START`` if not reported; ``address`` is where it listens, empty
+    if not reported.
     """
 
     incarnation: str
@@ -51,17 +51,17 @@
 
     @property
     def was_asked(self) -> bool:
-        """Whether the target's page told this, not an announcement."""
+        """Whether this comes from the health page, not an announcement."""
         return self.sequence == ASKED
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ended:
-    """An incarnation that is over.
+    """An incarnation that has ended.
 
-    ``born_ms`` is its start or, where that was never told, the instant at
-    which we heard of its end, which lies later. ``left`` if it said itself
-    that it drains or goes; else another one was heard of in its place.
+    ``born_ms`` is its start or, if that was never reported, the later time at
+    which its end was noticed. ``left`` if it announced itself that it drains
+    or departs; otherwise another incarnation took its place.
     """
 
     born_ms: int
@@ -69,10 +69,10 @@
 
 
 class Registration:
-    """The incarnation that counts now, and those that are over.
+    """The current incarnation and those that ended.
 
-    ``unix_ms`` is the wall clock. It is compared with starts only where a
-    target never told its own.
+    ``unix_ms`` is the wall clock. It is compared with start times only if a
+    target never reported its own.
     """
 
     def __init__(
@@ -91,25 +91,25 @@
 
     @property
     def incarnation(self) -> str:
-        """The name of the incarnation that counts, '' for none."""
+        """The name of the current incarnation, '' if there is none."""
         return self.current.incarnation if self.current else ''
 
     @property
     def born_ms(self) -> int:
-        """The start of the incarnation that counts, if it is known."""
+        """The start of the current incarnation, if known."""
         return self.current.born_ms if self.current else UNKNOWN_START
 
     @property
     def draining(self) -> bool:
-        """Whether the target takes no new call any more."""
+        """Whether the target accepts no new calls."""
         return self.left or bool(self.current and self.current.draining)
 
     def is_over(self, announcement: Announcement) -> bool:
         """Tell whether an announcement is of an incarnation that ended.
 
-        One that was only replaced may have been there all the while, if
-        what replaced it was a late announcement: its page tells. One that
-        left stays out whatever its page says.
+        One that was only replaced may still be running, if the replacement was
+        a delayed announcement: the health page decides. One that left stays
+        out whatever its page says.
         """
         ended = self.ended.get(announcement.incarnation)
         if ended is None:
@@ -123,7 +123,7 @@
     # -- commands ---------------------------------------------------------
 
     def announce(self, announcement: Announcement, now: float) -> Announced:
-        """Take an announcement; STALE changes nothing."""
+        """Process an announcement; STALE changes nothing."""
         if self.is_over(announcement):
             return Announced.STALE
         current = self.current
@@ -140,15 +140,15 @@
     def renew(
         self, announcement: Announcement, current: Announcement, now: float
     ) -> Announced:
-        """Take a further announcement of the incarnation that counts."""
+        """Process a further announcement of the current incarnation."""
         if not announcement.was_asked:
             if announcement.sequence <= current.sequence:
                 return Announced.STALE
             if current.born_ms and not announcement.born_ms:
-                # This target tells its start: another one wrote this.
+                # This target reports its start: another one sent this.
                 return Announced.STALE
         if self.draining and not announcement.draining:
-            # A drain is not taken back: what says so was sent before it.
+            # A drain is final: this announcement was sent before it.
             return Announced.STALE
         self.doubted = False
         if not announcement.born_ms:
@@ -159,7 +159,7 @@
         return Announced.AGAIN
 
     def replace(self, announcement: Announcement, now: float) -> Announced:
-        """Begin with another incarnation."""
+        """Switch to another incarnation."""
         if self.current is not None:
             self.end(self.incarnation, self.born_ms, self.draining)
         if announcement.was_asked:
@@ -174,7 +174,7 @@
         self.warm_deadline = now + announcement.warm_up_seconds
 
     def end(self, incarnation: str, born_ms: int, left: bool) -> None:
-        """Remember that an incarnation is over."""
+        """Remember that an incarnation has ended."""
         born_ms = born_ms or self.unix_ms()
         known = self.ended.pop(incarnation, None)
         if known is not None and is_older(born_ms, known.born_ms):
@@ -185,10 +185,10 @@
             self.ended.popitem(last=False)
 
     def leave(self, incarnation: str, born_ms: int = UNKNOWN_START) -> bool:
-        """Note that an incarnation leaves; False if it is not the current.
+        """Record a departure; False if it is not the current incarnation.
 
-        One that leaves unknown to us is remembered, so that what it sent
-        earlier and comes late does not bring it in.
+        The departure of an unknown incarnation is remembered, so that its
+        delayed announcements don't register it.
         """
         if self.incarnation != incarnation:
             self.end(incarnation, born_ms, left=True)
@@ -201,13 +201,13 @@
         return True
 
     def doubt(self, incarnation: str) -> None:
-        """Note that another target answered in the name of this one."""
+        """Note that a different target answered in this one's name."""
         if self.incarnation == incarnation:
             self.doubted = True
 
 
 def is_older(born_ms: int, other_ms: int) -> bool:
-    """Tell whether one start is known to lie before another.
+    """Tell whether one start is known to precede another.
 
     >>> is_older(5, 7), is_older(7, 7), is_older(UNKNOWN_START, 7)
     (True, False, False)
--- a/cyclamenlift/gate/running.py
+++ b/cyclamenlift/gate/running.py
@@ -1,7 +1,7 @@
-"""One call at the gate, from its frame to its answer.
+"""One call at the gate, from its first frame to its answer.
 
-A ``GateCall`` listens to the target and speaks to the entry. It tells the
-entry exactly one end: a whole answer, ``Refused`` (proven not run),
+A ``GateCall`` listens to the target and sends to the entry. The entry gets
+exactly one outcome: a complete answer, ``Refused`` (proven not run),
 ``Broken`` (may have run) or ``Cancelled``.
 """
 
@@ -35,14 +35,15 @@
 if typing.TYPE_CHECKING:
     from cyclamenlift.gate.tasks import Gate
 
-# Answers up to this size travel in one frame with their head.
+# Answers up to this size are sent in one frame with their head.
 INLINE_ANSWER = 64 * 1024
-# Bytes of an answer that may be on their way without a credit.
+# Bytes of an answer that may be in flight without a credit.
 WINDOW = 256 * 1024
-# Bodies up to this size are gathered before the target gets the call, as a
-# target begins the work when it has read the body: one of 60 KB takes a
-# quarter of a second on a link of 2 Mbit/s, and half a spell may have passed.
-# A gate holds as many as its slots and its queue at most.
+# Bodies up to this size are buffered before the call is sent to the target,
+# since a target starts working when it has read the body: one of 60 KB takes a
+# quarter of a second on a link of 2 Mbit/s, and half a slowdown may have
+# passed by then. A gate buffers at most as many bodies as it has slots and
+# queue places.
 GATHERED_BODY = 256 * 1024
 CHUNK = 64 * 1024
 SERVER_ERROR = 500
@@ -58,7 +59,8 @@
         self.link = link
         self.start = start
         self.key = (link.number, start.call_id)
-        # What was left when it was sent, less what the way took.
+        # The time left is relative to when the call was sent, so subtract the
+        # transit delay.
         self.sent_at = now - lag
         self.deadline = self.sent_at + start.time_left_us / MICROSECONDS
         self.timer = None
@@ -89,16 +91,17 @@
 
     @property
     def gathers(self) -> bool:
-        """Whether its body is gathered before the target gets the call."""
+        """Whether the body is buffered before the call is sent."""
         if self.body_whole:
             return False
         return (self.start.body_length or 0) <= GATHERED_BODY
 
     def begin(self, now: float) -> None:
-        """Send the request to the target; its slot is taken.
+        """Send the request to the target; the call has a slot.
 
-        One whose body is on its way waits for it with its slot. What is
-        known against it may have changed while it waited.
+        If the body is incomplete, the call keeps its slot and waits for it.
+        The quarantine is checked again, as it may have changed while the call
+        waited.
         """
         if self.gathers:
             self.gathering = True
@@ -132,20 +135,20 @@
 
     @property
     def is_local(self) -> bool:
-        """Whether it came from the entry of this instance.
+        """Whether the call came from the entry of this instance.
 
-        Nobody greets on a link inside one process.
+        Links within a process have no handshake.
         """
         return self.link.hello is None
 
     def bytes_due(self) -> int:
-        """Return the bytes of the body that the link has still to bring."""
+        """Return the bytes of the body that the link has yet to deliver."""
         if self.body_whole or self.is_local:
             return 0
         return max(0, (self.start.body_length or 0) - self.received)
 
     def take_body(self, data: bytes, last: bool) -> None:
-        """Take a chunk of the request's body from the entry."""
+        """Process a chunk of the request's body."""
         if data:
             self.body.append(data)
             self.received += len(data)
@@ -175,13 +178,13 @@
             self.owed_credit += len(data)
 
     def take_credit(self, allowed: int) -> None:
-        """The entry takes that many further bytes of the answer."""
+        """Allow that many more bytes of the answer to be sent."""
         self.window += allowed
         if self.window > 0 and self.target_call is not None:
             self.target_call.resume()
 
     def stop_target(self) -> None:
-        """Close the connection to the target: it may have run."""
+        """Close the connection to the target; the call may have run."""
         if self.target_call is not None:
             self.target_call.cancel()
 
@@ -194,7 +197,7 @@
         return self.begun.pace_percent if self.begun else 0
 
     def asking(self) -> Asking:
-        """Return what decides on this call, which is of a route."""
+        """Return the admission request for this call, which has a route."""
         start = self.start
         objective = (start.objective_left_us or 0) / MICROSECONDS
         useful = self.sent_at + objective
@@ -216,17 +219,17 @@
 
     @property
     def repeated(self) -> bool:
-        """Whether this is a try beyond the call's first."""
+        """Whether this is a retry."""
         return bool(self.start.repeated)
 
     def nested_began(self) -> None:
-        """Note that the target waits for a call of its own."""
+        """Record that the target waits for a nested call."""
         if not self.nested_open:
             self.nested_since = self.gate.now()
         self.nested_open += 1
 
     def nested_ended(self) -> None:
-        """Note that such a call is over; those at once count once."""
+        """Record the end of a nested call; concurrent ones count once."""
         self.nested_open -= 1
         if not self.nested_open:
             self.nested_seconds += self.gate.now() - self.nested_since
@@ -275,7 +278,7 @@
         self.link.send(self.head(body, True, seconds))
 
     def note_work(self, seconds: float) -> None:
-        """Let the gate learn from this call, which was answered."""
+        """Update the performance model with this answered call."""
         state = self.gate.state
         now = self.gate.now()
         beside = state.occupancy.mean_since(self.mark, now) - 1.0
@@ -292,7 +295,7 @@
             explain_slots(self.gate, before)
 
     def end_without_answer(self) -> None:
-        """Tell the entry of an answer that is none to pass on."""
+        """Report a target's response that can't be passed on."""
         self.gate.release(self, None, True)
         if self.verdict is AnswerVerdict.UNPROVEN:
             detail = f'status {self.status} without proof'
@@ -302,7 +305,7 @@
         if self.verdict is AnswerVerdict.REPLACED:
             code = ResultCode.TARGET_REPLACED
             self.gate.doubt_target()
-        detail = f'status {self.status}, says it did not run'
+        detail = f'status {self.status}, target reports that it did not run'
         state = self.gate.state
         wait = wait_when_refused(len(state.running), state.room)
         self.tell_refused(code, detail, wait)
@@ -358,7 +361,7 @@
     def tell_refused(
         self, code: ResultCode, detail: str = '', wait: float = 0.0
     ) -> None:
-        """Say that the call did not run: nothing reached the target."""
+        """Report that the call did not run: nothing reached the target."""
         self.gate.refused += 1
         explain_refusal(self.gate, self, code, detail, wait)
         message = Refused(
@@ -376,7 +379,7 @@
         detail: str = '',
         end: EndReport | None = None,
     ) -> None:
-        """Say that the call may have run, and what ended with it."""
+        """Report that the call may have run, and a target's end if known."""
         explain_unknown(self.gate, self, code, detail)
         message = Broken(
             call_id=self.start.call_id,
--- a/cyclamenlift/gate/spells.py
+++ b/cyclamenlift/gate/spells.py
@@ -1,10 +1,10 @@
-"""Slow spells of one target: since when, how long, and whom they slow.
+"""Slowdowns of one target: when they occur, how long, and their effect.
 
-The load that this answers: the pace of a target is several times the usual
-for some hundred milliseconds at a time. Whether a call is held until a spell
-is over depends on how long spells last here, and on whether a call that has
-begun keeps its pace or is as fast as the target is at each moment. Both are
-learned from the target's own figures and answers.
+A target's pace is several times the usual for some hundred milliseconds at a
+time. Whether to hold a call until a slowdown is over depends on how long
+slowdowns last at this target, and on whether a call keeps the pace at which it
+began or follows the target's pace. Both are learned from the target's reports
+and answers.
 """
 
 import collections
@@ -12,41 +12,41 @@
 from cyclamenlift.routing.finish import PERCENT
 from cyclamenlift.routing.finish import SPELL_PACE
 
-# How long spells are taken to last before any was seen, in seconds: as long
-# as on the sites that were measured. Counts as two spells.
+# Assumed duration of slowdowns before any was observed, in seconds, as
+# measured on real sites. Counts as two observations.
 FIRST_LENGTHS = (0.5, 0.5)
-# The same for the time between two spells, and for how much longer work takes
-# in one, as a factor less one: the least that was seen.
+# The same for the time between slowdowns, and for how much longer work takes
+# in one, as a factor minus one: the lowest values that were observed.
 FIRST_GAPS = (1.5, 1.5)
 FIRST_EXCESS = 3.0
 EXCESS_WEIGHT = 0.25
 LEAST_GAP = 0.1
-# Spells that are remembered: those of about half a minute, where they come a
-# quarter of the time.
+# Slowdowns in the history: about half a minute's where they take up a quarter
+# of the time.
 LENGTHS_KEPT = 16
-# Calls during which the pace changed, before they outweigh what was
-# measured, that calls keep their pace: their times vary by a third, so the
-# mean of so many is known to a tenth.
+# Calls during which the pace changed that are needed to override the measured
+# default, that calls keep their pace. Service times vary by a third, so the
+# mean of this many is accurate to a tenth.
 LEAST_CHANGED = 12
-# Weight of a call in the moving means.
+# Minimum weight of a call in the moving averages.
 WEIGHT = 0.05
-# A call counts as at least this share of its route's usual work.
+# Lower bound for a call's work relative to its route's usual work.
 LEAST_RATIO = 0.2
 
 
 class Spells:
-    """When the target is in a slow spell, and how long spells last."""
+    """Detects slowdowns of the target and estimates their duration."""
 
     def __init__(self) -> None:
         self.lengths = collections.deque(FIRST_LENGTHS, LENGTHS_KEPT)
         self.gaps = collections.deque(FIRST_GAPS, LENGTHS_KEPT)
         self.since: float | None = None
         self.usual_since: float | None = None
-        # How much more than the usual work takes in a spell, as a factor.
+        # Mean extra time that work takes in a slowdown, as a factor minus one.
         self.excess = FIRST_EXCESS
 
     def note(self, pace_percent: int, now: float) -> None:
-        """Take over a figure of the pace."""
+        """Record a pace figure."""
         if pace_percent > SPELL_PACE:
             self.note_slow(pace_percent, now)
         else:
@@ -70,31 +70,34 @@
             self.usual_since = now
 
     def lose_sight(self) -> None:
-        """Forget a spell whose end was not seen, or a gap."""
+        """Discard the current slowdown or gap, whose end was not observed."""
         self.since = None
         self.usual_since = None
 
     def risk(self, work: float, age: float, now: float) -> float:
-        """Return what a call may lose that begins by an old figure.
+        """Return the expected loss of a call that begins on an old figure.
 
-        In seconds: what it takes longer in a spell, times the chance that
-        one has begun in the ``age`` seconds since the figure.
+        In seconds: the extra time that the call takes in a slowdown,
+        multiplied by the probability that one has begun in the ``age`` seconds
+        since the figure.
 
         >>> round(Spells().risk(0.66, 0.04, 1.0), 3)
         0.053
         """
         gaps = list(self.gaps)
         if self.usual_since is not None:
-            # A target without spells has one gap that grows.
+            # Count the current gap too: at a target without slowdowns it is
+            # the only one, and grows.
             gaps.append(now - self.usual_since)
         gap = max(LEAST_GAP, sum(gaps) / len(gaps))
         return work * self.excess * min(1.0, age / gap)
 
     def left(self, now: float) -> float:
-        """Return how much longer the spell should last, 0 without one.
+        """Return the expected rest of the current slowdown, 0 without one.
 
-        By those that lasted longer than this one has; when none did it is
-        of another kind, which goes on for about as long as it has.
+        It is estimated from past slowdowns that lasted longer than this one
+        has so far. If there are none, the slowdown is of another kind and is
+        expected to last as long again as it already has.
 
         >>> spells = Spells()
         >>> spells.note(700, 1.0)
@@ -111,10 +114,10 @@
 
 
 class Progress:
-    """Work that a target which follows its pace would have done so far.
+    """Cumulative work that a call following the target's pace would do.
 
-    In seconds of work at the usual pace; read off at two instants it tells
-    how much of a call would have been done between them.
+    In seconds of work at the usual pace. The difference of two readings is the
+    part of a call that would have been done between them.
     """
 
     __slots__ = ('at', 'done', 'pace_percent')
@@ -125,27 +128,28 @@
         self.pace_percent = int(PERCENT)
 
     def note(self, pace_percent: int, now: float) -> None:
-        """Take over the pace from now on."""
+        """Set the pace from now on."""
         self.done = self.until(now)
         self.at = now
         self.pace_percent = pace_percent or int(PERCENT)
 
     def until(self, now: float) -> float:
-        """Return the work done up to an instant."""
+        """Return the cumulative work at the given time."""
         elapsed = max(0.0, now - self.at)
         return self.done + elapsed * PERCENT / self.pace_percent
 
 
 class PaceKeeping:
-    """Whether calls keep the pace at which they began.
+    """Learns whether calls keep the pace at which they began.
 
-    For each call during which the pace changed it compares what its work
-    would have been if it kept its first pace, and if it followed each
-    change, with the usual work of its route. Whichever is nearer in the
-    mean holds; until enough were seen calls count as keeping their pace.
+    For each call during which the pace changed, its work is computed under two
+    hypotheses, that it kept its first pace and that it followed every change,
+    and each is compared with the usual work of its route. The hypothesis whose
+    mean is closer to 1 holds; until there are enough samples, calls are
+    assumed to keep their pace.
 
-    The longer a call, the likelier a change during it. So each counts by
-    one over its time, or calls would seem longer than they are.
+    A longer call is more likely to see a change, so calls are weighted by the
+    inverse of their duration; otherwise they would seem longer than they are.
     """
 
     __slots__ = ('count', 'followed_shares', 'weights')
@@ -156,7 +160,7 @@
         self.followed_shares = 0.0
 
     def note(self, keeping: float, following: float) -> None:
-        """Take over a call's work over the usual one by either account."""
+        """Record a call's work relative to the usual, by both hypotheses."""
         self.count += 1
         weight = max(WEIGHT, 1.0 / self.count)
         keeping = max(LEAST_RATIO, keeping)
@@ -166,19 +170,19 @@
 
     @property
     def keeping(self) -> float:
-        """Return the mean work over the usual if calls keep their pace."""
+        """Return the mean relative work if calls keep their pace."""
         return 1.0 / self.weights if self.weights else 1.0
 
     @property
     def following(self) -> float:
-        """Return the same if calls follow the pace."""
+        """Return the mean relative work if calls follow the pace."""
         if not self.weights:
             return 1.0
         return self.followed_shares / self.weights
 
     @property
     def kept(self) -> bool:
-        """Whether calls keep their pace, by what was seen."""
+        """Whether calls keep their pace, according to the samples."""
         if self.count < LEAST_CHANGED:
             return True
         return abs(self.keeping - 1.0) <= abs(self.following - 1.0)
--- a/cyclamenlift/gate/state.py
+++ b/cyclamenlift/gate/state.py
@@ -1,7 +1,7 @@
-"""Which call may enter the target now, wait, or must go elsewhere.
+"""Admission decisions, queue and load of one target.
 
-Pure decisions: keys and instants come in, verdicts go out. A call is
-*refused* only while nothing of it has reached the target, which is what
+Pure logic: callers pass in keys and timestamps and get verdicts back. A call
+is *refused* only while no part of it has reached the target, which is what
 lets an entry tell its caller "not run".
 """
 
@@ -34,7 +34,7 @@
 
 
 class Verdict(enum.Enum):
-    """What becomes of a call that asks to enter."""
+    """The outcome of an admission request."""
 
     START = enum.auto()
     QUEUED = enum.auto()
@@ -43,11 +43,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Admission:
-    """A verdict; ``retry_after`` is in seconds and only for REFUSED.
+    """The decision on an admission request.
 
-    ``latest_start`` is when a QUEUED call should be sent back if it still
-    waits, 0 if it may wait until its deadline. ``held`` is how long it is
-    held for the end of a slow spell, in seconds, 0 if it waits for a slot.
+    ``retry_after``, in seconds, is set only for REFUSED. ``latest_start`` is
+    when a QUEUED call that still waits should be sent back, 0 if it may wait
+    until its deadline. ``hold_seconds`` is how long it is held for the
+    target's slowdown to end, 0 if it waits only for a slot.
     """
 
     verdict: Verdict
@@ -59,7 +60,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Expired:
-    """A queued call whose deadline can no longer be met: not run."""
+    """A call that was removed from the queue and has not run."""
 
     key: Hashable
     code: ResultCode
@@ -67,7 +68,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Turn:
-    """Whose turn it is after a slot became free."""
+    """The calls that left the queue after a slot became free."""
 
     started: list[Hashable] = dataclasses.field(default_factory=list)
     expired: list[Expired] = dataclasses.field(default_factory=list)
@@ -80,7 +81,8 @@
         self.slots = slots
         self.queue_limit = queue_limit
         self.running: set[Hashable] = set()
-        # How long each running call should hold its slot in all, seconds.
+        # Seconds for which each running call is expected to hold its slot,
+        # from its start to its end.
         self.holds: dict[Hashable, float] = {}
         self.queue: collections.OrderedDict[Hashable, Asking] = (
             collections.OrderedDict()
@@ -99,7 +101,7 @@
     # -- commands ---------------------------------------------------------
 
     def admit(self, key: Hashable, deadline: float, now: float) -> Admission:
-        """Decide on a new call; START and QUEUED take it in."""
+        """Decide on a new call; START and QUEUED also add it to the state."""
         if self.target_state == TargetState.DRAINING:
             return self.refuse(ResultCode.DRAINING)
         if now >= deadline:
@@ -115,7 +117,7 @@
         return Admission(Verdict.QUEUED)
 
     def admit_routed(self, asking: Asking, now: float) -> Admission:
-        """Decide on a call that is of use only until some deadline."""
+        """Decide on a call of a route, whose answer has a useful deadline."""
         if self.target_state == TargetState.DRAINING:
             return self.refuse(ResultCode.DRAINING)
         if now >= asking.deadline:
@@ -148,10 +150,10 @@
         return Admission(Verdict.QUEUED, latest_start=latest, held=best.held)
 
     def reconsider(self, asking: Asking, now: float) -> Admission:
-        """Decide once more on a call that has a slot but has not begun.
+        """Decide again on a call that has a slot but was not sent yet.
 
-        Where it is done sooner after a spell it gives its slot back and
-        waits for the end.
+        If the call would finish sooner after the current slowdown, it gives
+        its slot back and is queued until the slowdown ends.
         """
         best = self.expect(asking, now)
         if not best.held:
@@ -165,7 +167,7 @@
         return Admission(Verdict.QUEUED, latest_start=latest, held=best.held)
 
     def hopeless(self, now: float) -> list[Expired]:
-        """Take out the queued calls that can no longer be of use."""
+        """Remove and return queued calls that can't finish in time."""
         found = []
         self.update_limit(now)
         for key, asking in list(self.queue.items()):
@@ -182,10 +184,10 @@
     def finish(
         self, key: Hashable, seconds: float | None, failed: bool, now: float
     ) -> Turn:
-        """Free the slot of ``key`` and hand it on.
+        """Free the slot of ``key`` and start queued calls.
 
-        ``seconds`` is how long the target took, None when it was cut off
-        and the figure says nothing.
+        ``seconds`` is the target's service time, or None if the call was cut
+        off and its duration is meaningless.
         """
         self.running.discard(key)
         self.holds.pop(key, None)
@@ -196,7 +198,7 @@
         return self.fill(now)
 
     def fill(self, now: float) -> Turn:
-        """Give free slots to queued calls that need not be held."""
+        """Assign free slots to queued calls that are not on hold."""
         turn = Turn()
         self.update_limit(now)
         for key in sorted(self.queue, key=self.order_in_queue):
@@ -217,7 +219,7 @@
         return turn
 
     def start(self, key: Hashable, now: float, seconds: float = 0.0) -> None:
-        """Give a call a slot, which it should hold for ``seconds``."""
+        """Give a call a slot that it should hold for ``seconds``."""
         self.running.add(key)
         self.holds[key] = seconds
         self.note_occupancy(now)
@@ -226,32 +228,36 @@
         self.occupancy.note(len(self.running) + self.foreign, now)
 
     def set_slots(self, slots: int) -> None:
-        """Take over how many calls the target can run at once."""
+        """Set how many calls the target can run at once."""
         self.slots = slots
         self.learning.set_slots(slots)
         self.limit = self.learning.crowding.chosen
 
     def update_limit(self, now: float) -> None:
-        """Take over how many calls are worth running at once now."""
+        """Recompute how many calls should run at once now."""
         self.limit = self.learning.limit(now)
 
     def withdraw(self, key: Hashable) -> bool:
-        """Take a call out of the queue; True proves that it never ran."""
+        """Remove a call from the queue; True proves that it never ran."""
         return self.queue.pop(key, None) is not None
 
     def drain(self) -> list[Expired]:
-        """Stop taking calls; return the queued ones, which did not run."""
+        """Stop admitting calls; return the queued ones, which did not run."""
         self.target_state = TargetState.DRAINING
         return self.empty_queue(ResultCode.DRAINING)
 
     def empty_queue(self, code: ResultCode) -> list[Expired]:
-        """Take out all queued calls, which did not run."""
+        """Remove and return all queued calls, which did not run."""
         waiting = [Expired(key, code) for key in self.queue]
         self.queue.clear()
         return waiting
 
     def renew(self, cold: bool) -> None:
-        """Begin with a new incarnation, whatever the one before did."""
+        """Reset for a new incarnation of the target.
+
+        What the previous incarnation reported no longer counts. A cold one
+        also starts with an empty error history.
+        """
         self.target_state = TargetState.STARTING
         self.learning.pace.forget()
         self.foreign = 0
@@ -259,7 +265,7 @@
             self.errors = ErrorShare()
 
     def note_target_load(self, load: TargetLoad, now: float) -> None:
-        """Take over what the target itself told of its load."""
+        """Record the load that the target reported itself."""
         self.learning.pace.note(load, now)
         others = load.running + load.waiting - len(self.running)
         self.foreign = max(0, others)
@@ -274,12 +280,12 @@
         nested: float = 0.0,
         begun: Begun | None = None,
     ) -> None:
-        """Learn from a call that was answered; see ``Learning.note``."""
+        """Record an answered call; see ``PerformanceModel.note``."""
         self.learning.note(route, seconds, beside, now, nested, begun)
         self.update_limit(now)
 
     def set_target_state(self, state: TargetState) -> None:
-        """Note what the target is; a drain is not taken back by health."""
+        """Set the target's state; health checks never undo a drain."""
         if self.target_state != TargetState.DRAINING:
             self.target_state = state
 
@@ -291,11 +297,11 @@
 
     @property
     def room(self) -> int:
-        """How many calls run at once: the slots, unless a crowd costs.
+        """The number of calls to run at once: the limit for known calls.
 
-        Calls that the target has beside those that are known here hold
-        slots too: a daemon before this one may have sent them, or they
-        were cancelled and run on.
+        Calls that the target reports beyond those known here occupy slots too:
+        a previous daemon may have sent them, or they were cancelled here and
+        still run.
         """
         return max(1, self.limit - self.foreign)
 
@@ -303,10 +309,10 @@
         return Admission(Verdict.REFUSED, code, max(MIN_RETRY_AFTER, wait))
 
     def count_ahead(self, asking: Asking, now: float) -> int:
-        """Return how many queued calls go before this one.
+        """Return how many queued calls start before this one.
 
-        Calls that are held for the end of a spell leave free slots to those
-        that are not.
+        Calls held until a slowdown ends don't count: they leave free slots to
+        calls that are not held.
         """
         own = self.order_of(asking)
         return sum(
@@ -321,33 +327,33 @@
         return self.order_of(self.queue[key])
 
     def crowded_slots(self) -> int:
-        """Return how many running calls make the target crowded."""
+        """Return the number of running calls from which the target is busy."""
         return crowded_from(self.slots, self.rules.crowded_share)
 
     def wait_behind(self, ahead: int, room: int, guess: float = 0.0) -> float:
-        """Return the seconds until a slot is free behind ``ahead``.
+        """Return the seconds until a slot is free behind ``ahead`` calls.
 
-        ``guess`` is how long a call is taken to hold a slot before any
-        was seen.
+        ``guess`` is the slot hold time to assume before any was measured.
         """
         usual = self.learning.slot_seconds(guess)
         held = typical_hold(self.holds.values(), usual)
         return seconds_until_slot(ahead, len(self.running), room, held)
 
     def expect(self, asking: Asking, now: float) -> Start:
-        """Return how a call is done soonest, those that it makes too."""
+        """Return the soonest way to finish a call, nested calls included."""
         if asking.useful_deadline is None:
             return Start(0.0, self.service_time.mean)
         return self.learning.expect(asking, len(self.running), now)
 
     def pace_percent(self, now: float) -> int:
-        """Return how long work takes now, 100 as usual, 0 unknown."""
+        """Return the pace: 100 is usual, 200 half speed, 0 unknown."""
         return self.learning.pace.percent(now)
 
     def is_wasted(self, asking: Asking, best: Start, now: float) -> bool:
-        """Tell whether a slot would be lost to a call that will be late.
+        """Tell whether a slot would go to a call that will be late.
 
-        Only where others wait for slots; in a roomy target it is served.
+        Applies only when other calls compete for slots; a target with free
+        capacity serves the call anyway.
         """
         if len(self.running) < self.crowded_slots():
             return False
@@ -356,7 +362,7 @@
         return done > asking.useful_deadline
 
     def expected_wait(self) -> float:
-        """Return the seconds a call would queue, by recent service times."""
+        """Return the expected queueing time by recent service times."""
         ahead = len(self.queue) + 1
         return ahead * self.service_time.mean / self.slots
 
@@ -366,7 +372,7 @@
     def figures(
         self, now: float, lag: float = 0.0, body_wait: float = 0.0
     ) -> LoadFigures:
-        """Return the load that rides on every answer."""
+        """Return the load figures that are sent with every answer."""
         return LoadFigures(
             in_flight=len(self.running),
             queued=len(self.queue),
--- a/cyclamenlift/gate/suspects.py
+++ b/cyclamenlift/gate/suspects.py
@@ -1,4 +1,4 @@
-"""Which requests a gate does not let to its target, since they end targets."""
+"""Keeps requests that terminate targets away from the gate's target."""
 
 import typing
 
@@ -9,27 +9,27 @@
     from cyclamenlift.gate.running import GateCall
     from cyclamenlift.gate.tasks import Gate
 
-# When a suspect may come back that is running here already, in seconds: a
-# harmful request ends its target within about a tenth of a second, and a
-# bystander is answered in that time.
+# Retry-after for a suspect that is already running here, in seconds: a harmful
+# request terminates its target within about a tenth of a second, and a
+# harmless one is answered in that time.
 RUNNING_RETRY = 0.25
-# How long after one trial the next one is let through, in seconds: the first
-# may have been turned back by its target and have shown nothing.
+# Time between two trials of a request, in seconds: the first may have been
+# rejected by the target and have shown nothing.
 TRIAL_SECONDS = 30.0
-# Requests whose trials are remembered.
+# Maximum number of requests whose trials are remembered.
 MOST_TRIALS = 256
 
 
 class SuspectCheck:
-    """Looks at a call before it is let in, and again before it begins."""
+    """Checks a call on arrival and again before it is sent."""
 
     def __init__(self, gate: 'Gate'):
         self.gate = gate
-        # When the next trial of a request may begin here.
+        # The earliest time of the next trial here, by request.
         self.next_trial: dict[bytes, float] = {}
 
     def turn_away(self, call: 'GateCall') -> bool:
-        """Refuse a call that must not reach the target; tell if it was."""
+        """Refuse a call that must not reach the target; True if refused."""
         fingerprint = call.start.fingerprint
         if not fingerprint:
             return False
@@ -39,19 +39,23 @@
             return False
         if judgement.standing is Standing.QUARANTINED:
             wait = judgement.until - self.gate.now()
-            self.refuse(call, 'targets ended while they ran it', wait)
+            self.refuse(
+                call, 'quarantined: targets ended while they ran it', wait
+            )
             return True
         if self.is_running(fingerprint):
-            self.refuse(call, 'a suspect that runs here', RUNNING_RETRY)
+            self.refuse(
+                call, 'suspect request is already running here', RUNNING_RETRY
+            )
             return True
         return judgement.is_trial and self.turn_away_trial(call, fingerprint)
 
     def turn_away_trial(self, call: 'GateCall', fingerprint: bytes) -> bool:
-        """Let one trial through, and others wait until it has shown much."""
+        """Let one trial through and refuse others for a while."""
         now = self.gate.now()
         wait = self.next_trial.get(fingerprint, now) - now
         if wait > 0.0:
-            self.refuse(call, 'a trial was made lately', wait)
+            self.refuse(call, 'a trial of this request ran recently', wait)
             return True
         if call.key in self.gate.state.running:
             self.note_trial(fingerprint, now)
@@ -63,9 +67,10 @@
         self.next_trial[fingerprint] = now + TRIAL_SECONDS
 
     def is_running(self, fingerprint: bytes) -> bool:
-        """Tell whether the target has the same request already.
+        """Tell whether the target already runs the same request.
 
-        One at a time: else several targets would end of it at once.
+        Only one runs at a time: otherwise one request could terminate several
+        targets at once.
         """
         return any(
             call.target_call is not None
@@ -74,7 +79,7 @@
         )
 
     def refuse(self, call: 'GateCall', detail: str, wait: float) -> None:
-        """Give a slot back, if the call has one, and refuse the call."""
+        """Refuse a call and free its slot, if it has one."""
         gate = self.gate
         if call.key in gate.state.running:
             gate.release(call, None, False)
--- a/cyclamenlift/gate/tasks.py
+++ b/cyclamenlift/gate/tasks.py
@@ -1,4 +1,4 @@
-"""The gate: takes calls from entries and lets them into its own target."""
+"""The gate: admits calls from entries to the target of its instance."""
 
 from collections.abc import Callable
 from collections.abc import Hashable
@@ -46,16 +46,16 @@
 from cyclamenlift.wire.gen.protocol.ttypes import TargetState
 
 LOG = structlog.get_logger('gate')
-# Answers of the last few seconds, faded by age, that outweigh a health page
-# that says otherwise, and the share of failures from which they do not.
+# A failing health check is overruled by at least this many recent answers,
+# weighted by age, if fewer than the share below were failures.
 WELL_ANSWERED = 3.0
 BAD_SHARE = 0.5
-# Stands between the name of a call and that of a call made for it.
+# Separates the trace ID of a call from the suffix of its nested calls.
 PART_OF_NAME = '.'
 
 
 class Gate:
-    """Owns the calls inside one target and the budget for measuring it."""
+    """Owns the calls of one target and the probe budget for it."""
 
     def __init__(
         self,
@@ -76,9 +76,9 @@
         self.announcements = Announcements(self, self.clock.unix_ms)
         self.news = GateNews()
         self.delays = Delays()
-        # The host of the target, '' where it is not known.
+        # The target's host, '' if unknown.
         self.target_host = ''
-        # Bytes a second of this instance's link, 0 if it is not known.
+        # Capacity of this instance's link in bytes per second, 0 if unknown.
         self.link_rate = 0.0
         self.budget = ProbeBudget()
         self.calls: dict[Hashable, GateCall] = {}
@@ -97,7 +97,7 @@
         self.suspects = SuspectCheck(self)
 
     def subscribe(self, network) -> None:
-        """Take the messages of entries from the peer network."""
+        """Subscribe to the messages of entries on the peer network."""
         network.subscribe(CallStart, self.on_call_start)
         network.subscribe(Cancel, self.on_cancel)
         network.subscribe(Probe, self.on_probe)
@@ -106,11 +106,11 @@
     # -- commands ---------------------------------------------------------
 
     def apply_rules(self, rules: EventRules) -> None:
-        """Take a new event document.
+        """Apply a new event document.
 
-        The budget for measuring is one for each target. A budget for the
-        service would have to be shared out by the gates that this one
-        sees, and gates that do not see each other would exceed it.
+        The probe budget is per target. A budget per service would have to be
+        divided among the gates that this one sees, and gates that don't see
+        each other would exceed it together.
         """
         self.rule = rules.services.get(self.service)
         if self.rule is None:
@@ -120,7 +120,7 @@
         self.budget.set_rate(self.rule.probes_per_second, self.now())
 
     def drain(self) -> None:
-        """Take no new call; queued ones are refused as not run."""
+        """Stop admitting calls; refuse the queued ones as not run."""
         if self.state.target_state == TargetState.DRAINING:
             return
         waiting = self.state.drain()
@@ -130,18 +130,18 @@
         self.tell_state()
 
     def set_target_state(self, state: TargetState) -> None:
-        """Note a change that start-up or the target's health showed."""
+        """Set the target's state after start-up or a health check."""
         before = self.state.target_state
         self.state.set_target_state(state)
         if self.state.target_state != before:
             self.tell_state()
 
     def is_foreign(self, incarnation: str, address: str) -> bool:
-        """Tell whether what comes from an address is of another target.
+        """Tell whether an announcement comes from another instance's target.
 
-        Targets of other machines may come here while their own daemon is
-        gone. Nobody here could keep their callers away, so they must not be
-        confirmed.
+        Targets of other instances may announce themselves here while their own
+        daemon is down. They must not be acknowledged, as this gate can't
+        control the calls that reach them.
         """
         if (
             not self.target_host
@@ -154,27 +154,27 @@
         return foreign
 
     def announce(self, announcement: Announcement) -> Announced:
-        """Take what the target tells of itself."""
+        """Handle an announcement of the target."""
         return self.announcements.announce(announcement)
 
     def target_leaves(
         self, incarnation: str, born_ms: int = UNKNOWN_START
     ) -> None:
-        """Take no new call for a target that says that it goes."""
+        """Stop admitting calls to a target that announced its departure."""
         self.announcements.leave(incarnation, born_ms)
 
     def doubt_target(self) -> None:
-        """Note that another target answered at the address."""
+        """Note that a different target answered at the address."""
         self.announcements.doubt()
 
     def set_slots(self, slots: int) -> None:
-        """Take over how many calls the target runs at once."""
+        """Set how many calls the target runs at once."""
         self.state.set_slots(slots)
         for hook in self.slots_hooks:
             hook(slots)
 
     def note_answer_head(self, headers) -> None:
-        """Take over the load that rides on an answer of the target."""
+        """Record the load that the target reports in its answer headers."""
         if self.dialect.load:
             text = find_header(headers, self.dialect.load)
             load = parse_load(text)
@@ -187,7 +187,7 @@
                 self.questions.answered()
 
     def tell_news(self, now: float) -> None:
-        """Tell entries of a change of pace; send back what it makes late."""
+        """Notify entries of a pace change and refuse calls it makes late."""
         if self.news.is_due(self.state.pace_percent(now)):
             self.news.tell(self.figures(), now)
             self.entrance.send_hopeless_back(now)
@@ -195,7 +195,7 @@
     def release(
         self, call: GateCall, seconds: float | None, failed: bool
     ) -> None:
-        """End a call that held a slot and start those that waited."""
+        """End a call that held a slot and start queued calls."""
         self.forget(call)
         turn = self.state.finish(call.key, seconds, failed, self.now())
         self.follow(turn)
@@ -205,24 +205,24 @@
 
     @property
     def registration(self) -> Registration:
-        """Which incarnation of the target runs here."""
+        """The registration of the target's current incarnation."""
         return self.announcements.registration
 
     def figures(self, link=None) -> LoadFigures:
-        """Return the load, with the lag of one link if it is for it."""
+        """Return the load figures, with the lag of ``link`` if given."""
         lag = self.lag_now(link) if link is not None else 0.0
         return self.state.figures(self.now(), lag, self.body_wait())
 
     def lag_now(self, link) -> float:
-        """Return how late calls of a connection come now, in seconds."""
+        """Return the current lag of calls on a link, in seconds."""
         return self.delays.lag(link.number, machine_seconds())
 
     def bytes_due(self) -> int:
-        """Return the bytes of bodies that are still to come."""
+        """Return the bytes of request bodies that are still to arrive."""
         return sum(call.bytes_due() for call in self.calls.values())
 
     def body_wait(self) -> float:
-        """Return how long the bodies that were let in take to come."""
+        """Return the seconds the link needs for the outstanding bodies."""
         return self.bytes_due() / self.link_rate if self.link_rate else 0.0
 
     def is_idle(self) -> bool:
@@ -231,32 +231,32 @@
         return self.state.is_idle()
 
     def parent_of(self, call_id: str) -> GateCall | None:
-        """Return the call at this target that made another, if one did.
+        """Return the running call that made a nested call, if any.
 
-        A target that calls on takes the name of the call that it runs and
-        puts a part of its own behind it. Only calls that are here now can
-        be parents, so a name that merely looks so misleads nobody.
+        The target derives the ID of a nested call by appending a suffix to its
+        parent's. Only calls that are present here count as parents, so an ID
+        that has this form by chance does no harm.
         """
         name = call_id.rpartition(PART_OF_NAME)[0]
         return self.by_name.get(name) if name else None
 
     def answers_well(self) -> bool:
-        """Tell whether the target answered calls lately, most of them."""
+        """Tell whether most recent calls to the target succeeded."""
         errors = self.state.errors
         share = errors.share(self.now())
         return errors.total >= WELL_ANSWERED and share < BAD_SHARE
 
     def is_unknown(self) -> bool:
-        """Tell whether it is not known which target runs here."""
+        """Tell whether the target's incarnation is unknown or in doubt."""
         registration = self.registration
         return registration.current is None or registration.doubted
 
     def awaits_target(self) -> bool:
-        """Tell whether no call may go in before its target is known."""
+        """Tell whether calls must wait until the target is identified."""
         return bool(self.dialect.incarnation_asked) and self.is_unknown()
 
     def call_headers(self, call: GateCall) -> list[tuple[str, str]]:
-        """Return the headers that tell the target depth and time left."""
+        """Return the headers that pass depth and remaining time on."""
         left = max(1, int((call.deadline - self.now()) * MILLISECONDS))
         dialect = self.dialect
         headers = [(dialect.time_left_ms, str(left))]
@@ -274,14 +274,21 @@
         now = self.now()
         call = GateCall(self, link, start, now, self.lag_of(link, start))
         if start.service_name != self.service:
-            call.tell_refused(ResultCode.NO_TARGET, 'another service')
+            call.tell_refused(
+                ResultCode.NO_TARGET, 'call is for another service'
+            )
             return
         if self.awaits_target():
-            call.tell_refused(ResultCode.NO_TARGET, 'no target known yet')
+            call.tell_refused(
+                ResultCode.NO_TARGET, 'target not identified yet'
+            )
             return
         if self.quarantine.is_behind():
-            # What is kept from all targets would reach this one.
-            call.tell_refused(ResultCode.NO_TARGET, 'ends not known yet')
+            # Without the quarantine list, a request that is barred from all
+            # targets would reach this one.
+            call.tell_refused(
+                ResultCode.NO_TARGET, 'quarantine list not synchronized yet'
+            )
             return
         self.news.note_call(link, now)
         if self.presence.absent:
@@ -297,7 +304,7 @@
         self.entrance.take(call)
 
     def lag_of(self, link, start: CallStart) -> float:
-        """Return how late a call came; 0 where its sender tells no time."""
+        """Return a call's transit delay; 0 if its sender gave no timestamp."""
         if not start.sent_at_us:
             return 0.0
         sent_at = start.sent_at_us / MICROSECONDS
@@ -314,7 +321,7 @@
             call.take_credit(credit.bytes_allowed)
 
     def on_cancel(self, link, cancel: Cancel) -> None:
-        """Confirm a cancellation; only a queued call is proven not run."""
+        """Confirm a cancellation; only an unsent call is proven not run."""
         call = self.calls.get((link.number, cancel.call_id))
         if call is None:
             return
@@ -323,15 +330,15 @@
         link.send(Cancelled(cancel.call_id, not_run, self.figures(link)))
 
     def on_probe(self, link, probe: Probe) -> None:
-        """Answer from our own counters, within the budget; else drop it."""
+        """Answer from local counters within the budget; else drop it."""
         if self.budget.take(self.now()):
             link.send(ProbeAnswer(probe.probe_id, self.figures(link)))
 
     def on_link_lost(self, link) -> None:
-        """Stop the calls of an entry that is gone.
+        """Stop the calls of an entry whose link was lost.
 
-        A call that may not be repeated and has begun runs on: cutting it
-        would leave a booking half done for nobody's gain.
+        A call that is not idempotent and was sent runs on: cutting it would
+        leave a booking half done to nobody's benefit.
         """
         self.news.forget(link)
         self.delays.forget(link.number)
@@ -354,7 +361,7 @@
     # -- steps ------------------------------------------------------------
 
     def cut(self, call: GateCall) -> None:
-        """Take a call out, wherever it is."""
+        """Cancel a call in whatever stage it is."""
         asked = self.questions.withdraw(call.key)
         undecided = asked and call.key not in self.state.running
         if undecided or self.state.withdraw(call.key):
@@ -374,7 +381,7 @@
         cancel_timer(call.wait_timer)
 
     def follow(self, turn: Turn) -> None:
-        """Refuse what expired and begin what has its turn."""
+        """Refuse the calls that were dropped and begin those that start."""
         for expired in turn.expired:
             call = self.calls[expired.key]
             self.forget(call)
@@ -395,11 +402,15 @@
 
 
 def cancel_timer(timer) -> None:
-    """Stop a timer, if there is one."""
+    """Cancel a timer, if there is one."""
     if timer is not None:
         timer.cancel()
 
 
 def refuse_call(link, start: CallStart, code: ResultCode) -> None:
-    """Refuse a call where there is no gate at all."""
-    link.send(Refused(start.call_id, int(code), 'no target here', 0, None))
+    """Refuse a call on an instance that has no gate."""
+    link.send(
+        Refused(
+            start.call_id, int(code), 'no target on this instance', 0, None
+        )
+    )
--- a/cyclamenlift/gate/verdicts.py
+++ b/cyclamenlift/gate/verdicts.py
@@ -1,4 +1,4 @@
-"""What an answer of the target proves: pure decisions on its head."""
+"""Classifies target responses by what they prove."""
 
 import enum
 
@@ -7,16 +7,16 @@
 from cyclamenlift.http.headers import Headers
 
 MISDIRECTED = 421
-# Statuses that tell a caller that nothing ran. Only a target that says so
-# in the field for it may give them.
+# Status codes that tell a caller that nothing ran. They are passed on only if
+# the target confirms that with the corresponding header field.
 NOT_RUN_STATUS = frozenset((408, MISDIRECTED, 429, 503))
 
 
 class AnswerVerdict(enum.Enum):
     """ANSWER: pass it on. REFUSED: the target did not run the call.
 
-    REPLACED: nor did it, being another target than was asked for.
-    UNPROVEN: it may have run, and this is no answer to pass on.
+    REPLACED: not run either, as a different target answered. UNPROVEN: it may
+    have run, and the response can't be passed on.
     """
 
     ANSWER = 'answer'
@@ -28,11 +28,10 @@
 def judge_answer(
     dialect: Dialect, status: int, headers: Headers
 ) -> AnswerVerdict:
-    """Return what an answer is, by its status and header fields.
+    """Classify a response by its status and header fields.
 
-    In a dialect without proofs every answer is passed on. An error
-    without proof is passed on too, unless its status would promise that
-    nothing ran.
+    In a dialect without proofs every response is passed on. An error without
+    proof is passed on too, unless its status would promise that nothing ran.
     """
     if not dialect.proof:
         return AnswerVerdict.ANSWER
