--- a/cyclamenlift/gate/admission.py
+++ b/cyclamenlift/gate/admission.py
@@ -18,9 +18,9 @@
 RESERVED_SLOTS = 1
 # Slots are reserved if more urgent calls arrived within this many seconds: any
 # kind of call worth a reserve arrives more than once a second.
-URGENT_SECONDS = 1.0
+URGENT_WINDOW_SECONDS = 1.0
 # Targets with fewer slots reserve none.
-LEAST_SLOTS_TO_RESERVE = 3
+MIN_SLOTS_TO_RESERVE = 3
 # Retries use at most this share of the slots, as first tries are worth more
 # and might otherwise get none.
 REPEAT_SHARE = 0.8
@@ -46,11 +46,11 @@
 WAIT_SPREADS = 1.5
 # Retry-after, in seconds, when the target itself refused a call and its slots
 # are taken: a few service times at the usual tens of milliseconds.
-TARGET_FULL_WAIT = 0.1
+TARGET_FULL_RETRY_AFTER = 0.1
 # The same when its slots seem free: it rejects some calls whatever its load,
 # and the next one is as likely to be accepted now as later. A caller whose
 # objective is 200 ms has lost half of it after 100 ms.
-TARGET_SHEDS_WAIT = 0.01
+TARGET_SHEDDING_RETRY_AFTER = 0.01
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -68,7 +68,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Asking:
+class AdmissionRequest:
     """A call that asks for admission; times are monotonic seconds.
 
     After ``useful_deadline`` the answer is too late for the route's objective
@@ -99,44 +99,44 @@
         return (not self.nested, self.rank, not self.returned)
 
 
-class UrgencySeen:
+class RecentUrgencies:
     """Tracks when calls of each urgency last arrived."""
 
     def __init__(self) -> None:
         self.seen: dict[tuple[bool, int], float] = {}
 
-    def note(self, asking: Asking, now: float) -> None:
-        self.seen[asking.urgency] = now
+    def note(self, request: AdmissionRequest, now: float) -> None:
+        self.seen[request.urgency] = now
 
-    def more_urgent_come(self, asking: Asking, now: float) -> bool:
+    def has_more_urgent(self, request: AdmissionRequest, now: float) -> bool:
         """Tell whether more urgent calls arrived recently."""
         return any(
-            urgency < asking.urgency and now - at < URGENT_SECONDS
+            urgency < request.urgency and now - at < URGENT_WINDOW_SECONDS
             for urgency, at in self.seen.items()
         )
 
 
-def slots_for(
-    asking: Asking,
+def usable_slots(
+    request: AdmissionRequest,
     slots: int,
-    seen: UrgencySeen,
+    seen: RecentUrgencies,
     now: float,
     rules: AdmissionRules = DEFAULT_RULES,
 ) -> int:
     """Return how many slots, taken or free, this call may use."""
-    if asking.repeated and not asking.nested:
+    if request.repeated and not request.nested:
         return max(1, int(slots * rules.repeat_share))
-    if slots < LEAST_SLOTS_TO_RESERVE:
+    if slots < MIN_SLOTS_TO_RESERVE:
         return slots
-    if seen.more_urgent_come(asking, now):
+    if seen.has_more_urgent(request, now):
         return slots - rules.reserved_slots
     return slots
 
 
-def crowded_from(slots: int, share: float = CROWDED_SHARE) -> int:
+def crowded_threshold(slots: int, share: float = CROWDED_SHARE) -> int:
     """Return the number of running calls from which a target is busy.
 
-    >>> crowded_from(6), crowded_from(1)
+    >>> crowded_threshold(6), crowded_threshold(1)
     (3, 1)
     """
     return max(1, int(slots * share))
@@ -158,16 +158,16 @@
     return max(0, frees) * work / slots
 
 
-def typical_hold(running: Iterable[float], usual: float) -> float:
+def mean_hold_time(running: Iterable[float], usual: float) -> float:
     """Return the mean slot hold time of the running calls.
 
     This is the harmonic mean, since what matters is how often slots become
     free: a call that is seven times as slow frees its slot a seventh as often.
     Calls of unknown duration count as usual ones.
 
-    >>> typical_hold([], 0.1), typical_hold([0.1, 0.1], 0.2)
+    >>> mean_hold_time([], 0.1), mean_hold_time([0.1, 0.1], 0.2)
     (0.1, 0.1)
-    >>> round(typical_hold([0.1, 0.7], 0.1), 3)
+    >>> round(mean_hold_time([0.1, 0.7], 0.1), 3)
     0.175
     """
     count = 0
@@ -180,10 +180,14 @@
     return count / rate if count else usual
 
 
-def wait_when_refused(running: int, room: int) -> float:
+def retry_after_refusal(running: int, room: int) -> float:
     """Return the retry-after for a call that the target itself refused.
 
-    >>> wait_when_refused(12, 12), wait_when_refused(4, 12)
+    >>> retry_after_refusal(12, 12), retry_after_refusal(4, 12)
     (0.1, 0.01)
     """
-    return TARGET_FULL_WAIT if running >= room else TARGET_SHEDS_WAIT
+    return (
+        TARGET_FULL_RETRY_AFTER
+        if running >= room
+        else TARGET_SHEDDING_RETRY_AFTER
+    )
--- a/cyclamenlift/gate/entrance.py
+++ b/cyclamenlift/gate/admission_control.py
@@ -8,22 +8,22 @@
 
 from cyclamenlift.core.clock import MICROSECONDS
 from cyclamenlift.core.codes import ResultCode
-from cyclamenlift.gate.explaining import explain_hold
+from cyclamenlift.gate.decision_log import log_hold
 from cyclamenlift.gate.state import Admission
-from cyclamenlift.gate.state import Turn
+from cyclamenlift.gate.state import DequeueResult
 from cyclamenlift.gate.state import Verdict
 from cyclamenlift.wire.gen.protocol.ttypes import CallStart
 
 if typing.TYPE_CHECKING:
-    from cyclamenlift.gate.running import GateCall
+    from cyclamenlift.gate.gate_call import GateCall
     from cyclamenlift.gate.tasks import Gate
 
 # Retry-after for a call that waited in vain, in seconds: of the order of the
 # half second after which a slowdown is over.
-WAITED_RETRY = 0.25
+QUEUE_TIMEOUT_RETRY_AFTER = 0.25
 
 
-class Entrance:
+class AdmissionController:
     """Applies admission decisions to the calls of a gate."""
 
     def __init__(self, gate: 'Gate'):
@@ -31,17 +31,19 @@
 
     # -- letting calls in -------------------------------------------------
 
-    def take(self, call: 'GateCall') -> None:
+    def admit_new(self, call: 'GateCall') -> None:
         """Decide on a new call by the target's current pace."""
-        self.with_pace(call, self.decide)
+        self.when_pace_known(call, self.decide)
 
-    def with_pace(self, call: 'GateCall', go_on: Callable) -> None:
-        """Run ``go_on`` for a call once the target's pace is known."""
+    def when_pace_known(self, call: 'GateCall', resume: Callable) -> None:
+        """Run ``resume`` for a call once the target's pace is known."""
         gate = self.gate
-        if self.is_pace_doubtful(call, gate.now()):
-            if gate.questions.put(call.key, lambda: go_on(call, gate.now())):
+        if self.needs_pace_query(call, gate.now()):
+            if gate.pace_queries.defer(
+                call.key, lambda: resume(call, gate.now())
+            ):
                 return
-        go_on(call, gate.now())
+        resume(call, gate.now())
 
     def decide(self, call: 'GateCall', now: float) -> None:
         """Start a call, queue it or send it back."""
@@ -61,10 +63,10 @@
             call.begin(now)
         elif admission.latest_start:
             call.wait_timer = self.gate.scheduler.at(
-                admission.latest_start, lambda: self.on_wait_over(call)
+                admission.latest_start, lambda: self.on_queue_timeout(call)
             )
-        if admission.held:
-            explain_hold(self.gate, call, admission.held)
+        if admission.hold_seconds:
+            log_hold(self.gate, call, admission.hold_seconds)
         if not call.ended:
             call.ask_for_body()
 
@@ -72,20 +74,22 @@
         """Decide on a call, by its route's objective if it has a route."""
         if not call.start.route_name:
             return self.gate.state.admit(call.key, call.deadline, now)
-        return self.gate.state.admit_routed(call.asking(), now)
+        return self.gate.state.admit_routed(call.admission_request(), now)
 
-    def on_body_gathered(self, call: 'GateCall') -> None:
+    def on_body_complete(self, call: 'GateCall') -> None:
         """Begin a call whose body is complete, if the pace allows it."""
-        self.with_pace(call, self.begin_or_hold)
+        self.when_pace_known(call, self.begin_or_hold)
 
     def begin_or_hold(self, call: 'GateCall', now: float) -> None:
         """Begin a call that has a slot, or hold it until a slowdown ends."""
-        admission = self.gate.state.reconsider(call.asking(), now)
-        if admission.held:
-            explain_hold(self.gate, call, admission.held)
-            call.gathering = False
+        admission = self.gate.state.recheck_before_start(
+            call.admission_request(), now
+        )
+        if admission.hold_seconds:
+            log_hold(self.gate, call, admission.hold_seconds)
+            call.is_buffering = False
             call.wait_timer = self.gate.scheduler.at(
-                admission.latest_start, lambda: self.on_wait_over(call)
+                admission.latest_start, lambda: self.on_queue_timeout(call)
             )
         else:
             call.begin(now)
@@ -95,39 +99,45 @@
     def send_back(self, call: 'GateCall', admission: Admission) -> None:
         """Refuse a call that was not admitted."""
         self.gate.forget(call)
-        call.tell_refused(admission.code, '', admission.retry_after)
+        call.send_refused(admission.code, '', admission.retry_after)
 
-    def on_wait_over(self, call: 'GateCall') -> None:
+    def on_queue_timeout(self, call: 'GateCall') -> None:
         """Refuse a queued call that can no longer finish in time."""
         if call.ended or not self.gate.state.withdraw(call.key):
             return
         self.gate.forget(call)
-        call.tell_refused(ResultCode.QUEUE_DEADLINE, 'waited', WAITED_RETRY)
+        call.send_refused(
+            ResultCode.QUEUE_DEADLINE, 'waited', QUEUE_TIMEOUT_RETRY_AFTER
+        )
         self.gate.check_idle()
 
-    def send_hopeless_back(self, now: float) -> None:
+    def refuse_late_calls(self, now: float) -> None:
         """Refuse queued calls that a slowdown has made late."""
-        self.gate.follow(Turn(expired=self.gate.state.hopeless(now)))
+        self.gate.apply_dequeued(
+            DequeueResult(dropped=self.gate.state.drop_late_calls(now))
+        )
 
-    def send_waiting_back(self, code: ResultCode) -> None:
+    def refuse_waiting_calls(self, code: ResultCode) -> None:
         """Refuse all calls that have not been sent to the target yet."""
-        self.gate.follow(Turn(expired=self.gate.state.empty_queue(code)))
+        self.gate.apply_dequeued(
+            DequeueResult(dropped=self.gate.state.empty_queue(code))
+        )
         for call in list(self.gate.calls.values()):
-            if call.gathering:
-                self.take_slot_back(call, code)
+            if call.is_buffering:
+                self.revoke_slot(call, code)
         # Decide again on calls that wait for the target's pace.
-        self.gate.questions.answered()
+        self.gate.pace_queries.resume_all()
         self.gate.check_idle()
 
-    def take_slot_back(self, call: 'GateCall', code: ResultCode) -> None:
+    def revoke_slot(self, call: 'GateCall', code: ResultCode) -> None:
         """Refuse a call whose body is still arriving at a departing target.
 
         The target would get it long after it announced its departure, or
         never.
         """
-        self.gate.questions.withdraw(call.key)
+        self.gate.pace_queries.withdraw(call.key)
         self.gate.release(call, None, False)
-        call.tell_refused(code)
+        call.send_refused(code)
 
     # -- queries ----------------------------------------------------------
 
@@ -136,12 +146,12 @@
         most = start.most_pace_percent or 0
         return 0 < most < self.gate.state.pace_percent(now)
 
-    def is_pace_doubtful(self, call: 'GateCall', now: float) -> bool:
+    def needs_pace_query(self, call: 'GateCall', now: float) -> bool:
         """Tell whether to query the target's pace before a call begins."""
         start = call.start
         if not (self.gate.dialect.load and start.route_name):
             return False
         objective = (start.objective_left_us or 0) / MICROSECONDS
-        return self.gate.state.learning.is_doubtful(
+        return self.gate.state.performance.is_pace_uncertain(
             start.route_name, objective, now
         )
--- a/cyclamenlift/gate/announcements.py
+++ b/cyclamenlift/gate/announcements.py
@@ -5,8 +5,8 @@
 
 import structlog
 
-from cyclamenlift.gate.registration import Announced
 from cyclamenlift.gate.registration import Announcement
+from cyclamenlift.gate.registration import AnnouncementOutcome
 from cyclamenlift.gate.registration import Registration
 from cyclamenlift.wire.gen.protocol.ttypes import TargetState
 
@@ -27,18 +27,18 @@
         self.registration = Registration(unix_ms)
         self.doubt_hooks: list[Callable[[], None]] = []
 
-    def announce(self, announcement: Announcement) -> Announced:
+    def announce(self, announcement: Announcement) -> AnnouncementOutcome:
         """Process an announcement; a stale one changes nothing."""
         gate = self.gate
         before = self.registration.incarnation
         draining = self.registration.draining
         outcome = self.registration.announce(announcement, gate.now())
-        if outcome is Announced.STALE:
+        if outcome is AnnouncementOutcome.STALE:
             self.log(announcement, outcome)
             return outcome
-        if outcome is Announced.NEW:
+        if outcome is AnnouncementOutcome.NEW:
             if before and not draining:
-                gate.ends.note_next_incarnation(before)
+                gate.ends.note_replaced(before)
             self.begin_incarnation(announcement, before)
         if announcement.slots and announcement.slots != gate.state.slots:
             gate.set_slots(announcement.slots)
@@ -52,8 +52,8 @@
     ) -> None:
         """Admit calls to a target that has just been identified."""
         gate = self.gate
-        self.log(announcement, Announced.NEW)
-        gate.state.renew(announcement.warm_up_seconds > 0.0)
+        self.log(announcement, AnnouncementOutcome.NEW)
+        gate.state.reset_for_incarnation(announcement.warm_up_seconds > 0.0)
         if before:
             gate.client.drop_idle()
         gate.presence.note_present('announcement')
@@ -80,7 +80,9 @@
         for hook in self.doubt_hooks:
             hook()
 
-    def log(self, announcement: Announcement, outcome: Announced) -> None:
+    def log(
+        self, announcement: Announcement, outcome: AnnouncementOutcome
+    ) -> None:
         """Log an announcement and its outcome."""
         LOG.info(
             'target_announced',
--- a/cyclamenlift/gate/crowding.py
+++ b/cyclamenlift/gate/concurrency.py
@@ -20,30 +20,30 @@
 # are too many, using all would lose the first burst after a start; if not, a
 # fifth of them stays idle for the time of a few dozen calls. Calls below this
 # share also measure the usual work of their route.
-START_SHARE = 0.8
+INITIAL_SHARE = 0.8
 # Calls in a band before its mean is used. Service times vary by a third, so
 # the mean of this many is accurate to less than a tenth.
-LEAST_SAMPLES = 20
+MIN_BAND_SAMPLES = 20
 # Calls of a route, and calls in the uncontended bands, before more slots are
 # tried. Fewer, since no slot is given up because of them, and on a target
 # without contention each second at eight tenths of its slots wastes a fifth of
 # its capacity while calls are queued.
-BASE_SAMPLES = 8
+MIN_BASELINE_SAMPLES = 8
 # Weight of a call in the moving average of its band: roughly the last hundred
 # calls count.
 WEIGHT = 0.02
 # Upper bound for a call's time relative to its route's usual work.
-CLIP = 4.0
+MAX_RATIO = 4.0
 # More slots are preferred if they achieve at least this share of the best
 # throughput, as the estimate of a band is off by a few hundredths.
-EVEN = 0.95
+TIE_SHARE = 0.95
 # How long to wait before a rejected band is tried again, in seconds. A trial
 # costs up to a third of the target's capacity for the time of two dozen calls,
 # so about one hundredth of it.
-LOOK_AGAIN_SECONDS = 15.0
+TRIAL_INTERVAL_SECONDS = 15.0
 
 
-class Band:
+class UtilizationBand:
     """Relative service times while up to ``most`` slots were in use."""
 
     __slots__ = ('count', 'most', 'ratio')
@@ -55,45 +55,45 @@
 
     @property
     def known(self) -> bool:
-        return self.count >= LEAST_SAMPLES
+        return self.count >= MIN_BAND_SAMPLES
 
     def note(self, ratio: float) -> None:
         """Record a call that took ``ratio`` of its route's usual time."""
         self.count += 1
         weight = max(WEIGHT, 1.0 / self.count)
-        self.ratio += weight * (min(CLIP, ratio) - self.ratio)
+        self.ratio += weight * (min(MAX_RATIO, ratio) - self.ratio)
 
 
-class Crowding:
+class ConcurrencyLimiter:
     """Learns how many calls a target should run at once.
 
     ``chosen`` is the number of slots with the best known throughput. The next
-    band is tried for a while (``looking``) if it was never tried or was
+    band is tried for a while (``trial_band``) if it was never tried or was
     rejected long ago.
     """
 
     def __init__(self, slots: int):
         self.slots = slots
         self.bands = make_bands(slots)
-        self.start = max(1, int(slots * START_SHARE))
-        self.chosen = self.start
-        self.looking: Band | None = None
-        self.look_deadline = 0.0
+        self.initial_limit = max(1, int(slots * INITIAL_SHARE))
+        self.chosen = self.initial_limit
+        self.trial_band: UtilizationBand | None = None
+        self.next_trial_at = 0.0
 
     # -- queries ----------------------------------------------------------
 
-    def band_of(self, in_use: float) -> Band:
+    def band_of(self, in_use: float) -> UtilizationBand:
         """Return the band for a mean number of slots in use."""
         for band in self.bands:
             if in_use <= band.most + 0.5:
                 return band
         return self.bands[-1]
 
-    def is_roomy(self, in_use: float) -> bool:
+    def is_uncontended(self, in_use: float) -> bool:
         """Tell whether a call ran at a utilization without contention."""
-        return self.band_of(in_use).most <= self.start
+        return self.band_of(in_use).most <= self.initial_limit
 
-    def slowness(self, in_use: float) -> float:
+    def contention_factor(self, in_use: float) -> float:
         """Return the factor by which work takes longer at a utilization."""
         band = self.band_of(in_use)
         return max(1.0, band.ratio) if band.known else 1.0
@@ -104,21 +104,21 @@
         No further band is tried during a slowdown of the target, as service
         times are then not comparable.
 
-        >>> Crowding(6).limit(0.0), Crowding(15).limit(0.0)
+        >>> ConcurrencyLimiter(6).limit(0.0), ConcurrencyLimiter(15).limit(0.0)
         (4, 12)
         """
         if not steady:
             return self.chosen
-        if self.looking is None and self.may_look(now):
-            self.look_further()
-        return self.looking.most if self.looking else self.chosen
+        if self.trial_band is None and self.may_start_trial(now):
+            self.start_trial()
+        return self.trial_band.most if self.trial_band else self.chosen
 
-    def may_look(self, now: float) -> bool:
+    def may_start_trial(self, now: float) -> bool:
         """Tell whether it is time to try more slots."""
-        if self.chosen >= self.slots or now < self.look_deadline:
+        if self.chosen >= self.slots or now < self.next_trial_at:
             return False
         roomy = sum(b.count for b in self.bands if b.most <= self.chosen)
-        return roomy >= BASE_SAMPLES
+        return roomy >= MIN_BASELINE_SAMPLES
 
     # -- commands ---------------------------------------------------------
 
@@ -127,19 +127,19 @@
         band = self.band_of(in_use)
         band.note(ratio)
         before = self.chosen
-        self.chosen = self.best()
-        if band is self.looking and band.known:
-            self.looking = None
+        self.chosen = self.find_best()
+        if band is self.trial_band and band.known:
+            self.trial_band = None
             before = band.most
         if self.chosen < before:
-            self.look_deadline = now + LOOK_AGAIN_SECONDS
+            self.next_trial_at = now + TRIAL_INTERVAL_SECONDS
 
-    def look_further(self) -> None:
+    def start_trial(self) -> None:
         """Start measuring the next band from scratch."""
-        self.looking = next(b for b in self.bands if b.most > self.chosen)
-        self.looking.count = 0
+        self.trial_band = next(b for b in self.bands if b.most > self.chosen)
+        self.trial_band.count = 0
 
-    def best(self) -> int:
+    def find_best(self) -> int:
         """Return the slots with the best throughput, the more if even.
 
         A band with too few samples is assumed to be like the one below; slots
@@ -151,25 +151,25 @@
         for band in self.bands:
             if band.known:
                 ratio = band.ratio
-            elif band.most > self.start:
+            elif band.most > self.initial_limit:
                 break
             done = band.most / ratio
-            if done >= EVEN * best_done:
+            if done >= TIE_SHARE * best_done:
                 best = band.most
                 best_done = max(best_done, done)
         return best
 
 
-class AllSlots:
+class FixedConcurrency:
     """Replaces ``ConcurrencyLimiter``: always uses all slots."""
 
     def __init__(self, slots: int):
         self.chosen = slots
 
-    def is_roomy(self, _in_use: float) -> bool:
+    def is_uncontended(self, _in_use: float) -> bool:
         return True
 
-    def slowness(self, _in_use: float) -> float:
+    def contention_factor(self, _in_use: float) -> float:
         return 1.0
 
     def limit(self, _now: float, _steady: bool = True) -> int:
@@ -179,7 +179,7 @@
         """Ignore the call, as the limit is fixed."""
 
 
-def make_bands(slots: int) -> list[Band]:
+def make_bands(slots: int) -> list[UtilizationBand]:
     """Return the utilization bands for ``slots``, each one slot or wider.
 
     >>> [band.most for band in make_bands(15)]
@@ -188,4 +188,4 @@
     [3, 4, 5, 6]
     """
     ends = {max(1, int(slots * share)) for share in BAND_SHARES}
-    return [Band(most) for most in sorted(ends)]
+    return [UtilizationBand(most) for most in sorted(ends)]
--- a/cyclamenlift/gate/explaining.py
+++ b/cyclamenlift/gate/decision_log.py
@@ -9,13 +9,13 @@
 from cyclamenlift.wire.gen.protocol.ttypes import TargetState
 
 if TYPE_CHECKING:
-    from cyclamenlift.gate.running import GateCall
+    from cyclamenlift.gate.gate_call import GateCall
     from cyclamenlift.gate.tasks import Gate
 
 LOG = structlog.get_logger('gate')
 
 
-def explain_refusal(
+def log_refusal(
     gate: 'Gate', call: 'GateCall', code: ResultCode, detail: str, wait: float
 ) -> None:
     """Log why a call was refused.
@@ -24,23 +24,23 @@
     """
     if call.start.route_name:
         wait_ms = int(wait * MILLISECONDS)
-        write_line('gate_refused', gate, call, code, detail, wait_ms=wait_ms)
+        log_decision('gate_refused', gate, call, code, detail, wait_ms=wait_ms)
 
 
-def explain_hold(gate: 'Gate', call: 'GateCall', held: float) -> None:
+def log_hold(gate: 'Gate', call: 'GateCall', hold_seconds: float) -> None:
     """Log that a call is held until a slowdown of the target ends."""
-    held_ms = int(held * MILLISECONDS)
-    write_line(
+    held_ms = int(hold_seconds * MILLISECONDS)
+    log_decision(
         'gate_held', gate, call, ResultCode.TARGET_SLOW, '', held_ms=held_ms
     )
 
 
-def explain_unknown(
+def log_unknown_outcome(
     gate: 'Gate', call: 'GateCall', code: ResultCode, detail: str
 ) -> None:
     """Log that it is unknown whether a call ran."""
     ran_ms = int((gate.now() - call.started_at) * MILLISECONDS)
-    write_line(
+    log_decision(
         'gate_unknown',
         gate,
         call,
@@ -52,13 +52,13 @@
     )
 
 
-def explain_slots(gate: 'Gate', before: int) -> None:
+def log_slots_chosen(gate: 'Gate', before: int) -> None:
     """Log a change of the learned concurrency limit and its reason.
 
     ``ratios`` maps the upper bound of each measured band to the relative
     service time there.
     """
-    crowding = gate.state.learning.crowding
+    crowding = gate.state.performance.limiter
     LOG.info(
         'slots_chosen',
         before=before,
@@ -73,7 +73,7 @@
     )
 
 
-def write_line(
+def log_decision(
     event: str,
     gate: 'Gate',
     call: 'GateCall',
@@ -94,12 +94,14 @@
         nested=call.start.nested,
         running=len(state.running),
         queued=len(state.queue),
-        room=state.room,
+        room=state.concurrency_limit,
         pace_percent=state.pace_percent(now),
-        pace_age_ms=int((now - state.learning.pace.told_at) * MILLISECONDS),
+        pace_age_ms=int(
+            (now - state.performance.pace.reported_at) * MILLISECONDS
+        ),
         state=TargetState(state.target_state).name,
         incarnation=gate.registration.incarnation,
-        lag_ms=int(gate.lag_now(call.link) * MILLISECONDS),
+        lag_ms=int(gate.current_lag(call.link) * MILLISECONDS),
         bodies_due=gate.bytes_due(),
         **fields,
     )
--- a/cyclamenlift/gate/estimates.py
+++ b/cyclamenlift/gate/estimates.py
@@ -38,19 +38,19 @@
         self.since = 0.0
 
     def note(self, failed: bool, now: float) -> None:
-        self.fade(now)
+        self.decay(now)
         self.total += 1.0
         if failed:
             self.failed += 1.0
 
     def share(self, now: float) -> float:
         """Return the share from 0 to 1; 0 without recent calls."""
-        self.fade(now)
+        self.decay(now)
         if self.total < 1.0:
             return 0.0
         return self.failed / self.total
 
-    def fade(self, now: float) -> None:
+    def decay(self, now: float) -> None:
         elapsed = now - self.since
         if elapsed < 0.01:
             return
--- a/cyclamenlift/gate/running.py
+++ b/cyclamenlift/gate/gate_call.py
@@ -10,15 +10,15 @@
 from cyclamenlift.core.clock import MICROSECONDS
 from cyclamenlift.core.clock import MILLISECONDS
 from cyclamenlift.core.codes import ResultCode
-from cyclamenlift.gate.admission import Asking
-from cyclamenlift.gate.admission import wait_when_refused
-from cyclamenlift.gate.explaining import explain_refusal
-from cyclamenlift.gate.explaining import explain_slots
-from cyclamenlift.gate.explaining import explain_unknown
-from cyclamenlift.gate.learning import Begun
-from cyclamenlift.gate.occupancy import Mark
+from cyclamenlift.gate.admission import AdmissionRequest
+from cyclamenlift.gate.admission import retry_after_refusal
+from cyclamenlift.gate.decision_log import log_refusal
+from cyclamenlift.gate.decision_log import log_slots_chosen
+from cyclamenlift.gate.decision_log import log_unknown_outcome
+from cyclamenlift.gate.occupancy import OccupancyMark
+from cyclamenlift.gate.performance import PaceAtStart
 from cyclamenlift.gate.verdicts import AnswerVerdict
-from cyclamenlift.gate.verdicts import judge_answer
+from cyclamenlift.gate.verdicts import classify_answer
 from cyclamenlift.http.headers import end_to_end
 from cyclamenlift.http.target import FailureKind
 from cyclamenlift.http.target import TargetFailure
@@ -44,7 +44,7 @@
 # quarter of a second on a link of 2 Mbit/s, and half a slowdown may have
 # passed by then. A gate buffers at most as many bodies as it has slots and
 # queue places.
-GATHERED_BODY = 256 * 1024
+MAX_BUFFERED_BODY = 256 * 1024
 CHUNK = 64 * 1024
 SERVER_ERROR = 500
 
@@ -67,15 +67,15 @@
         self.wait_timer = None
         self.target_call = None
         self.started_at = 0.0
-        self.mark: Mark | None = None
-        self.begun: Begun | None = None
+        self.mark: OccupancyMark | None = None
+        self.pace_at_start: PaceAtStart | None = None
         self.nested_open = 0
         self.nested_since = 0.0
         self.nested_seconds = 0.0
         self.ended = False
         self.body: list[bytes] = [start.body] if start.body else []
-        self.body_whole = start.body_complete
-        self.gathering = False
+        self.body_received = start.body_complete
+        self.is_buffering = False
         self.received = len(start.body or b'')
         self.status = 0
         self.headers: list[Header] = []
@@ -90,11 +90,11 @@
     # -- from the gate ----------------------------------------------------
 
     @property
-    def gathers(self) -> bool:
+    def buffers_body(self) -> bool:
         """Whether the body is buffered before the call is sent."""
-        if self.body_whole:
+        if self.body_received:
             return False
-        return (self.start.body_length or 0) <= GATHERED_BODY
+        return (self.start.body_length or 0) <= MAX_BUFFERED_BODY
 
     def begin(self, now: float) -> None:
         """Send the request to the target; the call has a slot.
@@ -103,15 +103,17 @@
         The quarantine is checked again, as it may have changed while the call
         waited.
         """
-        if self.gathers:
-            self.gathering = True
+        if self.buffers_body:
+            self.is_buffering = True
             return
-        if self.gate.suspects.turn_away(self):
+        if self.gate.suspects.refuse_suspect(self):
             return
-        self.gathering = False
+        self.is_buffering = False
         self.started_at = now
         self.mark = self.gate.state.occupancy.mark(now)
-        self.begun = self.gate.state.learning.pace.begun(now)
+        self.pace_at_start = self.gate.state.performance.pace.pace_at_start(
+            now
+        )
         self.target_call = self.gate.client.request(self.request(), self)
         self.forward_body()
 
@@ -124,14 +126,14 @@
             path=start.path,
             headers=headers,
             body_length=start.body_length,
-            call_id=start.trace_id if self.gate.checks_ids else '',
+            call_id=start.trace_id if self.gate.verifies_call_ids else '',
             repeatable=start.idempotent,
         )
 
     def ask_for_body(self) -> None:
         """Let the entry send a body that did not come with the call."""
-        if not self.body_whole:
-            self.gate.bodies.ask(self)
+        if not self.body_received:
+            self.gate.body_transfers.request_transfer(self)
 
     @property
     def is_local(self) -> bool:
@@ -143,7 +145,7 @@
 
     def bytes_due(self) -> int:
         """Return the bytes of the body that the link has yet to deliver."""
-        if self.body_whole or self.is_local:
+        if self.body_received or self.is_local:
             return 0
         return max(0, (self.start.body_length or 0) - self.received)
 
@@ -152,25 +154,25 @@
         if data:
             self.body.append(data)
             self.received += len(data)
-        self.body_whole = self.body_whole or last
-        self.gate.bodies.note_moved(self)
+        self.body_received = self.body_received or last
+        self.gate.body_transfers.note_chunk(self)
         if self.ended:
             return
         if self.target_call is not None:
             self.forward_body()
-        elif self.body_whole:
-            if self.gathering:
-                self.gate.entrance.on_body_gathered(self)
-        elif data and self.gathers:
+        elif self.body_received:
+            if self.is_buffering:
+                self.gate.admission_control.on_body_complete(self)
+        elif data and self.buffers_body:
             self.link.send(Credit(self.start.call_id, len(data)))
 
     def forward_body(self) -> None:
-        if self.ended or not (self.body or self.body_whole):
+        if self.ended or not (self.body or self.body_received):
             return
         data = b''.join(self.body)
         self.body.clear()
-        self.target_call.send_body(data, self.body_whole)
-        if self.ended or self.body_whole:
+        self.target_call.send_body(data, self.body_received)
+        if self.ended or self.body_received:
             return
         if self.target_call.pending < WINDOW:
             self.link.send(Credit(self.start.call_id, len(data)))
@@ -194,16 +196,16 @@
     @property
     def begun_pace_percent(self) -> int:
         """The target's pace when it began this call, 0 if unknown."""
-        return self.begun.pace_percent if self.begun else 0
+        return self.pace_at_start.pace_percent if self.pace_at_start else 0
 
-    def asking(self) -> Asking:
+    def admission_request(self) -> AdmissionRequest:
         """Return the admission request for this call, which has a route."""
         start = self.start
         objective = (start.objective_left_us or 0) / MICROSECONDS
         useful = self.sent_at + objective
         if start.nested or useful > self.deadline:
             useful = self.deadline
-        return Asking(
+        return AdmissionRequest(
             key=self.key,
             deadline=self.deadline,
             useful_deadline=useful,
@@ -238,7 +240,7 @@
 
     def on_head(self, status, headers, length: int | None) -> None:
         self.gate.note_answer_head(headers)
-        self.verdict = judge_answer(self.gate.dialect, status, headers)
+        self.verdict = classify_answer(self.gate.dialect, status, headers)
         self.status = status
         if self.verdict is not AnswerVerdict.ANSWER:
             return
@@ -282,24 +284,24 @@
         state = self.gate.state
         now = self.gate.now()
         beside = state.occupancy.mean_since(self.mark, now) - 1.0
-        before = state.learning.crowding.chosen
+        before = state.performance.limiter.chosen
         state.note_work(
             self.start.route_name,
             seconds,
             beside,
             now,
             self.nested_seconds,
-            self.begun,
+            self.pace_at_start,
         )
-        if state.learning.crowding.chosen != before:
-            explain_slots(self.gate, before)
+        if state.performance.limiter.chosen != before:
+            log_slots_chosen(self.gate, before)
 
     def end_without_answer(self) -> None:
         """Report a target's response that can't be passed on."""
         self.gate.release(self, None, True)
         if self.verdict is AnswerVerdict.UNPROVEN:
             detail = f'status {self.status} without proof'
-            self.tell_broken(ResultCode.BAD_TARGET_ANSWER, detail)
+            self.send_broken(ResultCode.BAD_TARGET_ANSWER, detail)
             return
         code = ResultCode.TARGET_REFUSED
         if self.verdict is AnswerVerdict.REPLACED:
@@ -307,8 +309,8 @@
             self.gate.doubt_target()
         detail = f'status {self.status}, target reports that it did not run'
         state = self.gate.state
-        wait = wait_when_refused(len(state.running), state.room)
-        self.tell_refused(code, detail, wait)
+        wait = retry_after_refusal(len(state.running), state.concurrency_limit)
+        self.send_refused(code, detail, wait)
 
     def on_drained(self) -> None:
         if self.owed_credit:
@@ -319,11 +321,11 @@
         self.gate.release(self, None, True)
         if not failure.sent:
             code = ResultCode.TARGET_UNREACHABLE
-            self.tell_refused(code, failure.detail)
+            self.send_refused(code, failure.detail)
         elif failure.kind is FailureKind.CLOSED:
             self.gate.ends.note_broken(self, failure.detail)
         else:
-            self.tell_broken(ResultCode.TARGET_BROKE_OFF, failure.detail)
+            self.send_broken(ResultCode.TARGET_BROKE_OFF, failure.detail)
 
     # -- to the entry -----------------------------------------------------
 
@@ -358,12 +360,12 @@
         if self.window <= 0:
             self.target_call.pause()
 
-    def tell_refused(
+    def send_refused(
         self, code: ResultCode, detail: str = '', wait: float = 0.0
     ) -> None:
         """Report that the call did not run: nothing reached the target."""
         self.gate.refused += 1
-        explain_refusal(self.gate, self, code, detail, wait)
+        log_refusal(self.gate, self, code, detail, wait)
         message = Refused(
             call_id=self.start.call_id,
             code=int(code),
@@ -373,14 +375,14 @@
         )
         self.link.send(message)
 
-    def tell_broken(
+    def send_broken(
         self,
         code: ResultCode,
         detail: str = '',
         end: EndReport | None = None,
     ) -> None:
         """Report that the call may have run, and a target's end if known."""
-        explain_unknown(self.gate, self, code, detail)
+        log_unknown_outcome(self.gate, self, code, detail)
         message = Broken(
             call_id=self.start.call_id,
             code=int(code),
--- a/cyclamenlift/gate/health.py
+++ b/cyclamenlift/gate/health.py
@@ -22,11 +22,11 @@
 LOG = structlog.get_logger('health')
 FAILURES_BEFORE_UNHEALTHY = 2
 # The page is polled for health at least this often, in seconds.
-HEALTH_ITSELF_SECONDS = 1.0
+MAX_POLL_INTERVAL_SECONDS = 1.0
 # Maximum age of the load, in periods, while no call waits for it. The gate
 # queries the pace before a call begins, so a later figure only serves to
 # inform entries.
-QUIET_PERIODS = 6.0
+MAX_QUIET_PERIODS = 6.0
 GOOD_STATUS = range(200, 400)
 
 
@@ -58,33 +58,33 @@
         if not self.path() and not self.gate.dialect.incarnation_asked:
             self.gate.set_target_state(TargetState.READY)
             return
-        self.gate.announcements.doubt_hooks.append(self.ask)
-        self.gate.questions.ask = self.ask_now
-        self.ask()
-        self.gate.scheduler.every(self.settings.health_seconds, self.ask)
+        self.gate.announcements.doubt_hooks.append(self.poll)
+        self.gate.pace_queries.send_query = self.poll_now
+        self.poll()
+        self.gate.scheduler.every(self.settings.health_seconds, self.poll)
 
-    def heard_lately(self) -> bool:
+    def is_load_recent(self) -> bool:
         """Tell whether a recent answer reported the load, so no poll is due.
 
         The page is still polled once a second to check health itself.
         """
         gate = self.gate
         now = gate.now()
-        if not gate.dialect.load or gate.is_unknown():
+        if not gate.dialect.load or gate.is_target_unknown():
             return False
-        if now - self.asked_at >= HEALTH_ITSELF_SECONDS:
+        if now - self.asked_at >= MAX_POLL_INTERVAL_SECONDS:
             return False
-        age = now - gate.state.learning.pace.told_at
-        return age < self.oldest_figure()
+        age = now - gate.state.performance.pace.reported_at
+        return age < self.max_load_age()
 
-    def oldest_figure(self) -> float:
+    def max_load_age(self) -> float:
         """Return the age from which the target's load is polled again.
 
         Calls on hold wait for the figure that ends a slowdown.
         """
         if self.gate.state.queue:
             return self.settings.health_seconds
-        return QUIET_PERIODS * self.settings.health_seconds
+        return MAX_QUIET_PERIODS * self.settings.health_seconds
 
     def path(self) -> str:
         """Return the path of the page, from the document or the settings."""
@@ -93,14 +93,14 @@
             return rule.health_path
         return self.settings.health_path
 
-    def ask(self) -> None:
+    def poll(self) -> None:
         """Poll unless a request is open or the load is recent."""
         if self.call is not None or not self.path():
             return
-        if not self.heard_lately():
-            self.ask_now()
+        if not self.is_load_recent():
+            self.poll_now()
 
-    def ask_now(self) -> bool:
+    def poll_now(self) -> bool:
         """Make sure a request is open; False if none can be sent."""
         if self.call is not None:
             return True
@@ -127,15 +127,15 @@
     def on_timeout(self) -> None:
         if self.call is not None:
             self.call.cancel()
-            self.judge(False)
+            self.record_result(False)
 
-    def judge(self, good: bool) -> None:
+    def record_result(self, good: bool) -> None:
         self.call = None
         self.timer.cancel()
         if self.gate.presence.absent:
             # There is no target whose health could be recorded.
             return
-        if not good and self.gate.answers_well():
+        if not good and self.gate.is_answering():
             # Successful answers to calls overrule a failing page.
             LOG.info('health_page_overruled', status=self.status)
             good = True
@@ -152,9 +152,9 @@
     def on_head(self, status, headers, _length) -> None:
         self.status = status
         self.gate.note_answer_head(headers)
-        self.learn_target(headers)
+        self.learn_incarnation(headers)
 
-    def learn_target(self, headers) -> None:
+    def learn_incarnation(self, headers) -> None:
         """Learn the target's incarnation from its health page.
 
         This way a daemon that starts beside a running target need not wait for
@@ -185,11 +185,11 @@
         """Ignore the content of the page: only its status counts."""
 
     def on_end(self) -> None:
-        self.judge(self.status in GOOD_STATUS)
-        self.gate.ends.note_running(self.asked_at)
+        self.record_result(self.status in GOOD_STATUS)
+        self.gate.ends.note_alive(self.asked_at)
 
     def on_drained(self) -> None:
         """Do nothing: the request has no body."""
 
     def on_failure(self, _failure) -> None:
-        self.judge(False)
+        self.record_result(False)
--- a/cyclamenlift/gate/delays.py
+++ b/cyclamenlift/gate/lag_tracker.py
@@ -21,58 +21,59 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Way:
+class LinkDelay:
     """The delay of one connection; times are on the gate's clock.
 
-    ``quickest`` is the smallest difference of the two clocks that was
-    observed, at ``quickest_at``; ``lag`` is the extra delay of the last call.
+    ``min_offset`` is the smallest difference of the two clocks that was
+    observed, at ``min_offset_at``; ``lag`` is the extra delay of the last
+    call.
     """
 
-    quickest: float
-    quickest_at: float
+    min_offset: float
+    min_offset_at: float
     lag: float = 0.0
     lag_at: float = 0.0
 
 
-class Delays:
+class LagTracker:
     """The delays of all connections to a gate, by link number."""
 
     def __init__(self) -> None:
-        self.ways: dict[Hashable, Way] = {}
+        self.by_link: dict[Hashable, LinkDelay] = {}
 
     def note(self, link: Hashable, sent_at: float, now: float) -> float:
         """Record a call; return its lag in seconds.
 
-        >>> delays = Delays()
+        >>> delays = LagTracker()
         >>> delays.note(1, 100.0, 7.0), round(delays.note(1, 101.0, 8.5), 2)
         (0.0, 0.5)
         """
-        difference = now - sent_at
-        way = self.ways.get(link)
-        if way is None:
-            way = self.ways[link] = Way(difference, now)
-        drifted = way.quickest + DRIFT * (now - way.quickest_at)
-        if difference <= drifted:
-            way.quickest = difference
-            way.quickest_at = now
-            drifted = difference
-        way.lag = difference - drifted
-        way.lag_at = now
-        return way.lag
+        offset = now - sent_at
+        delay = self.by_link.get(link)
+        if delay is None:
+            delay = self.by_link[link] = LinkDelay(offset, now)
+        baseline = delay.min_offset + DRIFT * (now - delay.min_offset_at)
+        if offset <= baseline:
+            delay.min_offset = offset
+            delay.min_offset_at = now
+            baseline = offset
+        delay.lag = offset - baseline
+        delay.lag_at = now
+        return delay.lag
 
     def lag(self, link: Hashable, now: float) -> float:
         """Return the current lag, decreasing since the last call.
 
-        >>> delays = Delays()
+        >>> delays = LagTracker()
         >>> _ = delays.note(1, 100.0, 7.0), delays.note(1, 101.0, 8.5)
         >>> round(delays.lag(1, 8.7), 2), delays.lag(1, 9.5)
         (0.3, 0.0)
         """
-        way = self.ways.get(link)
-        if way is None:
+        delay = self.by_link.get(link)
+        if delay is None:
             return 0.0
-        return max(0.0, way.lag - (now - way.lag_at))
+        return max(0.0, delay.lag - (now - delay.lag_at))
 
     def forget(self, link: Hashable) -> None:
         """Remove a connection that was closed."""
-        self.ways.pop(link, None)
+        self.by_link.pop(link, None)
--- a/cyclamenlift/gate/occupancy.py
+++ b/cyclamenlift/gate/occupancy.py
@@ -4,7 +4,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Mark:
+class OccupancyMark:
     """A time and the slot-seconds that were used until then."""
 
     at: float
@@ -27,10 +27,10 @@
         self.count = count
         self.at = now
 
-    def mark(self, now: float) -> Mark:
-        return Mark(now, self.used + self.count * (now - self.at))
+    def mark(self, now: float) -> OccupancyMark:
+        return OccupancyMark(now, self.used + self.count * (now - self.at))
 
-    def mean_since(self, mark: Mark, now: float) -> float:
+    def mean_since(self, mark: OccupancyMark, now: float) -> float:
         """Return the mean number of running calls since ``mark``.
 
         >>> occupancy = Occupancy()
--- a/cyclamenlift/gate/news.py
+++ b/cyclamenlift/gate/pace_notifier.py
@@ -10,50 +10,50 @@
 # Entries that called within this time, in seconds, are notified of pace
 # changes. A little longer than they trust an old figure, so that no change is
 # missed while one is trusted.
-NEWS_SECONDS = PACE_FRESH + 0.5
+SUBSCRIPTION_SECONDS = PACE_FRESH + 0.5
 # A change of the pace by more than this factor is sent.
 PACE_STEP = 1.3
 
 
 @dataclasses.dataclass(slots=True)
-class GateUser:
+class Subscriber:
     """An entry's link and when it last sent a call."""
 
     link: object
-    called_at: float
+    last_call_at: float
 
 
-class GateNews:
+class PaceNotifier:
     """The entries to notify, and the pace that they were last sent.
 
     ``hooks`` are also run with the figures, for the entry in this process.
     """
 
     def __init__(self) -> None:
-        self.users: dict[int, GateUser] = {}
-        self.told_pace = 0
+        self.subscribers: dict[int, Subscriber] = {}
+        self.last_sent_pace = 0
         self.hooks: list[Callable[[LoadFigures], None]] = []
 
     def note_call(self, link, now: float) -> None:
         """Record that an entry sent a call over ``link``."""
-        self.users[link.number] = GateUser(link, now)
+        self.subscribers[link.number] = Subscriber(link, now)
 
     def forget(self, link) -> None:
-        self.users.pop(link.number, None)
+        self.subscribers.pop(link.number, None)
 
     def is_due(self, pace_percent: int) -> bool:
         """Tell whether a pace differs from the one that was last sent."""
         if not pace_percent:
             return False
-        return not is_same_pace(pace_percent, self.told_pace)
+        return not is_same_pace(pace_percent, self.last_sent_pace)
 
-    def tell(self, figures: LoadFigures, now: float) -> None:
+    def notify(self, figures: LoadFigures, now: float) -> None:
         """Send the figures to entries that called recently."""
-        self.told_pace = figures.pace_percent
+        self.last_sent_pace = figures.pace_percent
         news = LoadNews(figures)
-        for number, user in list(self.users.items()):
-            if now - user.called_at > NEWS_SECONDS:
-                del self.users[number]
+        for number, user in list(self.subscribers.items()):
+            if now - user.last_call_at > SUBSCRIPTION_SECONDS:
+                del self.subscribers[number]
             else:
                 user.link.send(news)
         for hook in self.hooks:
--- a/cyclamenlift/gate/questions.py
+++ b/cyclamenlift/gate/pace_queries.py
@@ -11,40 +11,42 @@
 # How long a call waits for the pace, in seconds, before it continues without
 # it. An estimate: the health page is on the same instance, so a longer delay
 # means that the instance is overloaded.
-ANSWER_SECONDS = 0.02
+QUERY_TIMEOUT_SECONDS = 0.02
 
 
-class PaceQuestions:
+class PaceQueries:
     """Sends one pace query at a time and resumes the calls that wait.
 
-    ``ask`` makes sure that a query is open and returns False if none can be
-    sent.
+    ``send_query`` makes sure that a query is open; it returns False if none
+    can be sent.
     """
 
     def __init__(self, scheduler) -> None:
         self.scheduler = scheduler
-        self.ask: Callable[[], bool] = lambda: False
+        self.send_query: Callable[[], bool] = lambda: False
         self.waiting: dict[Hashable, Callable[[], None]] = {}
         self.timer = None
 
-    def put(self, key: Hashable, go_on: Callable[[], None]) -> bool:
-        """Query the pace and run ``go_on`` then; False if impossible."""
-        if not self.ask():
+    def defer(self, key: Hashable, resume: Callable[[], None]) -> bool:
+        """Query the pace and run ``resume`` then; False if impossible."""
+        if not self.send_query():
             return False
         if not self.waiting:
-            self.timer = self.scheduler.after(ANSWER_SECONDS, self.answered)
-        self.waiting[key] = go_on
+            self.timer = self.scheduler.after(
+                QUERY_TIMEOUT_SECONDS, self.resume_all
+            )
+        self.waiting[key] = resume
         return True
 
-    def answered(self) -> None:
+    def resume_all(self) -> None:
         """Resume all waiting calls, after an answer or a timeout."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
         waiting = list(self.waiting.values())
         self.waiting.clear()
-        for go_on in waiting:
-            go_on()
+        for resume in waiting:
+            resume()
 
     def withdraw(self, key: Hashable) -> bool:
         """Remove a call that has ended; False if it was not waiting."""
--- a/cyclamenlift/gate/learning.py
+++ b/cyclamenlift/gate/performance.py
@@ -3,14 +3,14 @@
 import dataclasses
 import math
 
-from cyclamenlift.gate.admission import Asking
-from cyclamenlift.gate.crowding import BASE_SAMPLES
-from cyclamenlift.gate.crowding import Crowding
+from cyclamenlift.gate.admission import AdmissionRequest
+from cyclamenlift.gate.concurrency import ConcurrencyLimiter
+from cyclamenlift.gate.concurrency import MIN_BASELINE_SAMPLES
 from cyclamenlift.gate.estimates import ServiceTime
-from cyclamenlift.gate.news import is_same_pace
-from cyclamenlift.gate.spells import PaceKeeping
-from cyclamenlift.gate.spells import Progress
-from cyclamenlift.gate.spells import Spells
+from cyclamenlift.gate.pace_notifier import is_same_pace
+from cyclamenlift.gate.slowdowns import PaceRetention
+from cyclamenlift.gate.slowdowns import SlowdownHistory
+from cyclamenlift.gate.slowdowns import WorkProgress
 from cyclamenlift.http.dialects import TargetLoad
 from cyclamenlift.routing.finish import best_start
 from cyclamenlift.routing.finish import PERCENT
@@ -22,16 +22,16 @@
 NEVER = float('-inf')
 # Pace figures older than this, in seconds, are ignored: the neighbours that
 # slow a target down come and go in about half a second.
-PACE_SECONDS = 0.5
+PACE_MAX_AGE_SECONDS = 0.5
 # Assumed cost of querying the pace before a call, in seconds: the round trip
 # on the local instance and its processor time on a small core. An estimate.
-ASKING_SECONDS = 0.002
+PACE_QUERY_SECONDS = 0.002
 # The pace that is assumed if none was reported, in percent of the usual.
 USUAL_PACE = 100
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Begun:
+class PaceAtStart:
     """The target's pace when a call began there, 0 if it was unknown.
 
     ``progress`` is the value of ``WorkProgress`` at that time.
@@ -46,19 +46,19 @@
 
     def __init__(self) -> None:
         self.load: TargetLoad | None = None
-        self.told_at = 0.0
+        self.reported_at = 0.0
         self.steady_percent = 0
         self.steady_since = NEVER
-        self.spells = Spells()
-        self.progress = Progress()
+        self.slowdowns = SlowdownHistory()
+        self.progress = WorkProgress()
 
     def note(self, load: TargetLoad, now: float) -> None:
-        if self.age(now) > PACE_SECONDS:
-            self.spells.lose_sight()
-        self.spells.note(load.pace_percent, now)
+        if self.age(now) > PACE_MAX_AGE_SECONDS:
+            self.slowdowns.reset_current()
+        self.slowdowns.note(load.pace_percent, now)
         self.progress.note(load.pace_percent, now)
         self.load = load
-        self.told_at = now
+        self.reported_at = now
         if not is_same_pace(load.pace_percent, self.steady_percent):
             self.steady_percent = load.pace_percent
             self.steady_since = now
@@ -66,53 +66,53 @@
     def forget(self) -> None:
         """Reset for another target."""
         self.load = None
-        self.spells.lose_sight()
+        self.slowdowns.reset_current()
 
     def age(self, now: float) -> float:
         """Return the age of the newest pace figure in seconds."""
-        return now - self.told_at if self.load is not None else math.inf
+        return now - self.reported_at if self.load is not None else math.inf
 
     def percent(self, now: float) -> int:
         """Return the current pace, 100 for the usual one, 0 if unknown."""
-        if self.age(now) > PACE_SECONDS:
+        if self.age(now) > PACE_MAX_AGE_SECONDS:
             return 0
         return self.load.pace_percent
 
-    def begun(self, now: float) -> Begun:
+    def pace_at_start(self, now: float) -> PaceAtStart:
         """Return the pace to store with a call that begins now."""
-        return Begun(self.percent(now), self.progress.until(now))
+        return PaceAtStart(self.percent(now), self.progress.until(now))
 
     def spell_left(self, now: float) -> float:
         """Return the expected rest of the current slowdown in seconds."""
         if self.percent(now) <= MOST_PACE:
             return 0.0
-        return self.spells.left(now)
+        return self.slowdowns.remaining(now)
 
     def is_usual(self, now: float) -> bool:
         """Tell whether the target is in no slowdown."""
         return self.percent(now) <= MOST_PACE
 
-    def was_kept(self, seconds: float, now: float) -> bool:
+    def was_constant(self, seconds: float, now: float) -> bool:
         """Tell whether the pace was constant for the last ``seconds``."""
         return self.steady_since <= now - seconds
 
 
-class Learning:
+class PerformanceModel:
     """Estimates service times by route, pace and concurrency."""
 
     def __init__(self, slots: int) -> None:
         self.pace = TargetPace()
-        self.keeping = PaceKeeping()
+        self.pace_retention = PaceRetention()
         self.work = WorkTable()
         # Mean time for which a call of any route holds a slot at the usual
         # pace.
         self.slot_time = ServiceTime()
-        self.make_crowding = Crowding
-        self.crowding = Crowding(slots)
+        self.make_limiter = ConcurrencyLimiter
+        self.limiter = ConcurrencyLimiter(slots)
 
     def set_slots(self, slots: int) -> None:
         """Reset the concurrency limiter for a new number of slots."""
-        self.crowding = self.make_crowding(slots)
+        self.limiter = self.make_limiter(slots)
 
     def note(
         self,
@@ -121,7 +121,7 @@
         beside: float,
         now: float,
         nested: float = 0.0,
-        begun: Begun | None = None,
+        pace_at_start: PaceAtStart | None = None,
     ) -> None:
         """Update the model with a call that ran beside ``beside`` others.
 
@@ -131,82 +131,93 @@
         during which the target's pace was constant are used.
         """
         own = max(0.0, seconds - nested)
-        changed = not self.pace.was_kept(seconds, now)
-        if begun is None:
+        changed = not self.pace.was_constant(seconds, now)
+        if pace_at_start is None:
             if changed:
                 return
-            begun = self.pace.begun(now)
-        if own <= 0.0 or not self.tells_of_work(begun):
+            pace_at_start = self.pace.pace_at_start(now)
+        if own <= 0.0 or not self.is_work_sample(pace_at_start):
             return
         if changed:
-            self.note_changed(route, own, begun, now, nested)
-            if not self.keeping.kept:
+            self.note_pace_change(route, own, pace_at_start, now, nested)
+            if not self.pace_retention.is_retained:
                 return
-        pace = begun.pace_percent
-        at_usual = at_usual_pace(own, pace)
-        self.slot_time.note(at_usual + nested)
+        pace = pace_at_start.pace_percent
+        usual_seconds = at_usual_pace(own, pace)
+        self.slot_time.note(usual_seconds + nested)
         in_use = beside + 1.0
-        if self.work.knows(route, BASE_SAMPLES):
-            ratio = at_usual / self.work.seconds(route)
-            self.crowding.note(ratio, in_use, now)
-        if self.crowding.is_roomy(in_use):
+        if self.work.knows(route, MIN_BASELINE_SAMPLES):
+            ratio = usual_seconds / self.work.seconds(route)
+            self.limiter.note(ratio, in_use, now)
+        if self.limiter.is_uncontended(in_use):
             self.work.note(route, own, pace, 0, nested)
 
-    def tells_of_work(self, begun: Begun) -> bool:
+    def is_work_sample(self, pace_at_start: PaceAtStart) -> bool:
         """Tell whether a call that began at this pace measures its work.
 
         Targets that never report a pace are assumed to keep the usual one.
         """
-        if not begun.pace_percent:
+        if not pace_at_start.pace_percent:
             return self.pace.load is None or not self.pace.load.pace_percent
-        return begun.pace_percent <= MOST_PACE
+        return pace_at_start.pace_percent <= MOST_PACE
 
-    def note_changed(
-        self, route: str, own: float, begun: Begun, now: float, nested: float
+    def note_pace_change(
+        self,
+        route: str,
+        own: float,
+        pace_at_start: PaceAtStart,
+        now: float,
+        nested: float,
     ) -> None:
         """Update the pace model with a call during which the pace changed."""
-        if nested or not begun.pace_percent:
+        if nested or not pace_at_start.pace_percent:
             return
-        if not self.work.knows(route, BASE_SAMPLES):
+        if not self.work.knows(route, MIN_BASELINE_SAMPLES):
             return
         usual = self.work.seconds(route)
-        followed = self.pace.progress.until(now) - begun.progress
-        keeping = at_usual_pace(own, begun.pace_percent)
-        self.keeping.note(keeping / usual, followed / usual)
+        followed = self.pace.progress.until(now) - pace_at_start.progress
+        keeping = at_usual_pace(own, pace_at_start.pace_percent)
+        self.pace_retention.note(keeping / usual, followed / usual)
 
-    def is_doubtful(self, route: str, objective: float, now: float) -> bool:
+    def is_pace_uncertain(
+        self, route: str, objective: float, now: float
+    ) -> bool:
         """Tell whether querying the pace pays off before a call begins."""
         work = self.work.seconds(route, objective)
         age = self.pace.age(now)
-        return self.pace.spells.risk(work, age, now) > ASKING_SECONDS
+        return self.pace.slowdowns.risk(work, age, now) > PACE_QUERY_SECONDS
 
     def limit(self, now: float) -> int:
         """Return how many calls should run at once now."""
-        return self.crowding.limit(now, self.pace.is_usual(now))
+        return self.limiter.limit(now, self.pace.is_usual(now))
 
-    def expect(self, asking: Asking, running: int, now: float) -> Start:
+    def estimate(
+        self, request: AdmissionRequest, running: int, now: float
+    ) -> Start:
         """Return the soonest way to finish a call beside ``running`` others.
 
         The time includes that of its nested calls.
         """
-        work = self.work.seconds(asking.route, asking.objective)
-        work *= self.crowding.slowness(running + 1)
+        work = self.work.seconds(request.route, request.objective)
+        work *= self.limiter.contention_factor(running + 1)
         start = self.best_start(work, now)
-        nested = self.work.nested(asking.route)
+        nested = self.work.nested(request.route)
         return Start(start.held, start.seconds + nested)
 
     def best_start(self, work: float, now: float) -> Start:
         """Return the soonest way to finish ``work`` at the current pace."""
         percent = self.pace.percent(now) or USUAL_PACE
         left = self.pace.spell_left(now)
-        if not self.keeping.kept:
-            return Start(0.0, followed_work(work, percent, left))
+        if not self.pace_retention.is_retained:
+            return Start(0.0, work_following_pace(work, percent, left))
         return best_start(work, percent, left)
 
-    def spread(self, asking: Asking, start: Start, now: float) -> float:
+    def spread(
+        self, request: AdmissionRequest, start: Start, now: float
+    ) -> float:
         """Return the expected deviation of a call's time from its mean."""
-        spread = self.work.spread(asking.route, asking.objective)
-        if start.held or not self.keeping.kept:
+        spread = self.work.spread(request.route, request.objective)
+        if start.held or not self.pace_retention.is_retained:
             return spread
         return spread * max(1.0, self.pace.percent(now) / PERCENT)
 
@@ -215,11 +226,15 @@
         return self.slot_time.mean or guess
 
 
-def followed_work(work: float, pace_percent: int, spell_left: float) -> float:
+def work_following_pace(
+    work: float, pace_percent: int, spell_left: float
+) -> float:
     """Return how long work takes if it follows the target's pace.
 
-    >>> followed_work(0.1, 100, 0.0), round(followed_work(0.1, 700, 0.4), 3)
-    (0.1, 0.443)
+    >>> work_following_pace(0.1, 100, 0.0)
+    0.1
+    >>> round(work_following_pace(0.1, 700, 0.4), 3)
+    0.443
     """
     factor = max(1.0, pace_percent / PERCENT)
     done_in_spell = spell_left / factor
--- a/cyclamenlift/gate/presence.py
+++ b/cyclamenlift/gate/presence.py
@@ -21,11 +21,11 @@
 # Interval between connection attempts to an absent target, in seconds: the
 # delay until a returning target is noticed, at the cost of one refused
 # connection each.
-TRY_SECONDS = 0.25
+CONNECT_INTERVAL_SECONDS = 0.25
 # Delay before the address is tried again if a connection was refused while
 # others were still open, in seconds: the connections of a process that exited
 # are lost within milliseconds.
-CHECK_SECONDS = 0.01
+RECHECK_SECONDS = 0.01
 
 
 class Presence:
@@ -35,9 +35,9 @@
         self.gate = gate
         self.absent = False
         self.absent_at = 0.0
-        self.checking = False
+        self.rechecking = False
 
-    def note_nobody_listens(self) -> None:
+    def note_connection_refused(self) -> None:
         """Handle a refused connection to the target.
 
         A target at its connection limit may refuse one while it still serves
@@ -48,9 +48,9 @@
         if self.absent or leaves:
             return
         if gate.client.has_connections():
-            self.check_again()
+            self.schedule_recheck()
             return
-        self.checking = False
+        self.rechecking = False
         self.absent = True
         self.absent_at = gate.now()
         LOG.warning(
@@ -59,8 +59,10 @@
             waiting=len(gate.calls),
         )
         gate.set_target_state(TargetState.STARTING)
-        gate.entrance.send_waiting_back(ResultCode.TARGET_UNREACHABLE)
-        self.plan_try()
+        gate.admission_control.refuse_waiting_calls(
+            ResultCode.TARGET_UNREACHABLE
+        )
+        self.schedule_connect()
 
     def note_present(self, shown_by: str) -> None:
         """Handle evidence that the target is running again."""
@@ -82,27 +84,27 @@
         if asked_at > self.absent_at:
             self.note_present('answer')
 
-    def check_again(self) -> None:
+    def schedule_recheck(self) -> None:
         """Retry the address once the loss of open connections is known."""
-        if self.checking:
+        if self.rechecking:
             return
-        self.checking = True
-        self.gate.scheduler.after(CHECK_SECONDS, self.check)
+        self.rechecking = True
+        self.gate.scheduler.after(RECHECK_SECONDS, self.recheck)
 
-    def check(self) -> None:
-        if self.checking:
+    def recheck(self) -> None:
+        if self.rechecking:
             self.gate.client.look(self.gate.now())
-            self.gate.scheduler.after(CHECK_SECONDS, self.end_check)
+            self.gate.scheduler.after(RECHECK_SECONDS, self.end_recheck)
 
-    def end_check(self) -> None:
-        self.checking = False
+    def end_recheck(self) -> None:
+        self.rechecking = False
 
-    def plan_try(self) -> None:
-        self.gate.scheduler.after(TRY_SECONDS, self.try_address)
+    def schedule_connect(self) -> None:
+        self.gate.scheduler.after(CONNECT_INTERVAL_SECONDS, self.try_connect)
 
-    def try_address(self) -> None:
+    def try_connect(self) -> None:
         """Try to connect repeatedly until the target is present."""
         if not self.absent:
             return
         self.gate.client.look(self.gate.now())
-        self.plan_try()
+        self.schedule_connect()
--- a/cyclamenlift/gate/registration.py
+++ b/cyclamenlift/gate/registration.py
@@ -12,15 +12,15 @@
 import dataclasses
 import enum
 
-ENDED_KEPT = 64
+MAX_ENDED = 64
 # Start time of an incarnation that was not reported: health pages don't
 # contain it, and some targets never send it.
 UNKNOWN_START = 0
 # Sequence number of an announcement that was derived from the health page.
-ASKED = -1
+FROM_HEALTH_PAGE = -1
 
 
-class Announced(enum.Enum):
+class AnnouncementOutcome(enum.Enum):
     """The effect of an announcement."""
 
     NEW = 'new'
@@ -33,10 +33,10 @@
     """The attributes that a target reports of itself.
 
     ``slots`` is how many calls it runs at once; ``warm_up_seconds`` how much
-    longer it is slow after its start; ``sequence`` is ``ASKED`` if the data
-    come from its health page. ``born_ms`` is its start in Unix milliseconds,
-    ``UNKNOWN_START`` if not reported; ``address`` is where it listens, empty
-    if not reported.
+    longer it is slow after its start; ``sequence`` is ``FROM_HEALTH_PAGE`` if
+    the data come from its health page. ``born_ms`` is its start in Unix
+    milliseconds, ``UNKNOWN_START`` if not reported; ``address`` is where it
+    listens, empty if not reported.
     """
 
     incarnation: str
@@ -44,19 +44,19 @@
     slots: int
     draining: bool = False
     warm_up_seconds: float = 0.0
-    sequence: int = ASKED
+    sequence: int = FROM_HEALTH_PAGE
     version: str = ''
     born_ms: int = UNKNOWN_START
     address: str = ''
 
     @property
-    def was_asked(self) -> bool:
+    def from_health_page(self) -> bool:
         """Whether this comes from the health page, not an announcement."""
-        return self.sequence == ASKED
+        return self.sequence == FROM_HEALTH_PAGE
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Ended:
+class EndedIncarnation:
     """An incarnation that has ended.
 
     ``born_ms`` is its start or, if that was never reported, the later time at
@@ -83,7 +83,7 @@
         self.warm_deadline = 0.0
         self.left = False
         self.doubted = False
-        self.ended: collections.OrderedDict[str, Ended] = (
+        self.ended: collections.OrderedDict[str, EndedIncarnation] = (
             collections.OrderedDict()
         )
 
@@ -114,7 +114,7 @@
         ended = self.ended.get(announcement.incarnation)
         if ended is None:
             return False
-        if announcement.was_asked:
+        if announcement.from_health_page:
             return ended.left
         if not announcement.born_ms or not ended.born_ms:
             return True
@@ -122,52 +122,56 @@
 
     # -- commands ---------------------------------------------------------
 
-    def announce(self, announcement: Announcement, now: float) -> Announced:
+    def announce(
+        self, announcement: Announcement, now: float
+    ) -> AnnouncementOutcome:
         """Process an announcement; STALE changes nothing."""
         if self.is_over(announcement):
-            return Announced.STALE
+            return AnnouncementOutcome.STALE
         current = self.current
         if current is None:
             return self.replace(announcement, now)
         if is_older(announcement.born_ms, current.born_ms):
-            return Announced.STALE
+            return AnnouncementOutcome.STALE
         if announcement.incarnation != current.incarnation:
             return self.replace(announcement, now)
         if is_older(current.born_ms, announcement.born_ms):
             return self.replace(announcement, now)
-        return self.renew(announcement, current, now)
+        return self.update_current(announcement, current, now)
 
-    def renew(
+    def update_current(
         self, announcement: Announcement, current: Announcement, now: float
-    ) -> Announced:
+    ) -> AnnouncementOutcome:
         """Process a further announcement of the current incarnation."""
-        if not announcement.was_asked:
+        if not announcement.from_health_page:
             if announcement.sequence <= current.sequence:
-                return Announced.STALE
+                return AnnouncementOutcome.STALE
             if current.born_ms and not announcement.born_ms:
                 # This target reports its start: another one sent this.
-                return Announced.STALE
+                return AnnouncementOutcome.STALE
         if self.draining and not announcement.draining:
             # A drain is final: this announcement was sent before it.
-            return Announced.STALE
+            return AnnouncementOutcome.STALE
         self.doubted = False
         if not announcement.born_ms:
             announcement = dataclasses.replace(
                 announcement, born_ms=current.born_ms
             )
         self.note(announcement, now)
-        return Announced.AGAIN
+        return AnnouncementOutcome.AGAIN
 
-    def replace(self, announcement: Announcement, now: float) -> Announced:
+    def replace(
+        self, announcement: Announcement, now: float
+    ) -> AnnouncementOutcome:
         """Switch to another incarnation."""
         if self.current is not None:
             self.end(self.incarnation, self.born_ms, self.draining)
-        if announcement.was_asked:
+        if announcement.from_health_page:
             self.ended.pop(announcement.incarnation, None)
         self.left = False
         self.doubted = False
         self.note(announcement, now)
-        return Announced.NEW
+        return AnnouncementOutcome.NEW
 
     def note(self, announcement: Announcement, now: float) -> None:
         self.current = announcement
@@ -180,8 +184,8 @@
         if known is not None and is_older(born_ms, known.born_ms):
             born_ms = known.born_ms
             left = known.left
-        self.ended[incarnation] = Ended(born_ms, left)
-        while len(self.ended) > ENDED_KEPT:
+        self.ended[incarnation] = EndedIncarnation(born_ms, left)
+        while len(self.ended) > MAX_ENDED:
             self.ended.popitem(last=False)
 
     def leave(self, incarnation: str, born_ms: int = UNKNOWN_START) -> bool:
--- a/cyclamenlift/gate/spells.py
+++ b/cyclamenlift/gate/slowdowns.py
@@ -14,45 +14,45 @@
 
 # Assumed duration of slowdowns before any was observed, in seconds, as
 # measured on real sites. Counts as two observations.
-FIRST_LENGTHS = (0.5, 0.5)
+INITIAL_LENGTHS = (0.5, 0.5)
 # The same for the time between slowdowns, and for how much longer work takes
 # in one, as a factor minus one: the lowest values that were observed.
-FIRST_GAPS = (1.5, 1.5)
-FIRST_EXCESS = 3.0
+INITIAL_GAPS = (1.5, 1.5)
+INITIAL_EXCESS = 3.0
 EXCESS_WEIGHT = 0.25
-LEAST_GAP = 0.1
+MIN_GAP = 0.1
 # Slowdowns in the history: about half a minute's where they take up a quarter
 # of the time.
-LENGTHS_KEPT = 16
+HISTORY_LENGTH = 16
 # Calls during which the pace changed that are needed to override the measured
 # default, that calls keep their pace. Service times vary by a third, so the
 # mean of this many is accurate to a tenth.
-LEAST_CHANGED = 12
+MIN_PACE_CHANGES = 12
 # Minimum weight of a call in the moving averages.
 WEIGHT = 0.05
 # Lower bound for a call's work relative to its route's usual work.
-LEAST_RATIO = 0.2
+MIN_RATIO = 0.2
 
 
-class Spells:
+class SlowdownHistory:
     """Detects slowdowns of the target and estimates their duration."""
 
     def __init__(self) -> None:
-        self.lengths = collections.deque(FIRST_LENGTHS, LENGTHS_KEPT)
-        self.gaps = collections.deque(FIRST_GAPS, LENGTHS_KEPT)
+        self.lengths = collections.deque(INITIAL_LENGTHS, HISTORY_LENGTH)
+        self.gaps = collections.deque(INITIAL_GAPS, HISTORY_LENGTH)
         self.since: float | None = None
         self.usual_since: float | None = None
         # Mean extra time that work takes in a slowdown, as a factor minus one.
-        self.excess = FIRST_EXCESS
+        self.excess = INITIAL_EXCESS
 
     def note(self, pace_percent: int, now: float) -> None:
         """Record a pace figure."""
         if pace_percent > SPELL_PACE:
-            self.note_slow(pace_percent, now)
+            self.note_slowdown(pace_percent, now)
         else:
-            self.note_usual(now)
+            self.note_usual_pace(now)
 
-    def note_slow(self, pace_percent: int, now: float) -> None:
+    def note_slowdown(self, pace_percent: int, now: float) -> None:
         if self.since is not None:
             return
         self.since = now
@@ -62,14 +62,14 @@
             self.gaps.append(now - self.usual_since)
             self.usual_since = None
 
-    def note_usual(self, now: float) -> None:
+    def note_usual_pace(self, now: float) -> None:
         if self.since is not None:
             self.lengths.append(now - self.since)
             self.since = None
         if self.usual_since is None:
             self.usual_since = now
 
-    def lose_sight(self) -> None:
+    def reset_current(self) -> None:
         """Discard the current slowdown or gap, whose end was not observed."""
         self.since = None
         self.usual_since = None
@@ -81,7 +81,7 @@
         multiplied by the probability that one has begun in the ``age`` seconds
         since the figure.
 
-        >>> round(Spells().risk(0.66, 0.04, 1.0), 3)
+        >>> round(SlowdownHistory().risk(0.66, 0.04, 1.0), 3)
         0.053
         """
         gaps = list(self.gaps)
@@ -89,19 +89,19 @@
             # Count the current gap too: at a target without slowdowns it is
             # the only one, and grows.
             gaps.append(now - self.usual_since)
-        gap = max(LEAST_GAP, sum(gaps) / len(gaps))
+        gap = max(MIN_GAP, sum(gaps) / len(gaps))
         return work * self.excess * min(1.0, age / gap)
 
-    def left(self, now: float) -> float:
+    def remaining(self, now: float) -> float:
         """Return the expected rest of the current slowdown, 0 without one.
 
         It is estimated from past slowdowns that lasted longer than this one
         has so far. If there are none, the slowdown is of another kind and is
         expected to last as long again as it already has.
 
-        >>> spells = Spells()
+        >>> spells = SlowdownHistory()
         >>> spells.note(700, 1.0)
-        >>> round(spells.left(1.2), 1), round(spells.left(3.0), 1)
+        >>> round(spells.remaining(1.2), 1), round(spells.remaining(3.0), 1)
         (0.3, 2.0)
         """
         if self.since is None:
@@ -113,7 +113,7 @@
         return sum(longer) / len(longer)
 
 
-class Progress:
+class WorkProgress:
     """Cumulative work that a call following the target's pace would do.
 
     In seconds of work at the usual pace. The difference of two readings is the
@@ -139,7 +139,7 @@
         return self.done + elapsed * PERCENT / self.pace_percent
 
 
-class PaceKeeping:
+class PaceRetention:
     """Learns whether calls keep the pace at which they began.
 
     For each call during which the pace changed, its work is computed under two
@@ -163,7 +163,7 @@
         """Record a call's work relative to the usual, by both hypotheses."""
         self.count += 1
         weight = max(WEIGHT, 1.0 / self.count)
-        keeping = max(LEAST_RATIO, keeping)
+        keeping = max(MIN_RATIO, keeping)
         self.weights += weight * (1.0 / keeping - self.weights)
         share = following / keeping
         self.followed_shares += weight * (share - self.followed_shares)
@@ -181,8 +181,8 @@
         return self.followed_shares / self.weights
 
     @property
-    def kept(self) -> bool:
+    def is_retained(self) -> bool:
         """Whether calls keep their pace, according to the samples."""
-        if self.count < LEAST_CHANGED:
+        if self.count < MIN_PACE_CHANGES:
             return True
         return abs(self.keeping - 1.0) <= abs(self.following - 1.0)
--- a/cyclamenlift/gate/state.py
+++ b/cyclamenlift/gate/state.py
@@ -13,18 +13,18 @@
 
 from cyclamenlift.core.clock import MILLISECONDS
 from cyclamenlift.core.codes import ResultCode
-from cyclamenlift.gate.admission import Asking
-from cyclamenlift.gate.admission import crowded_from
+from cyclamenlift.gate.admission import AdmissionRequest
+from cyclamenlift.gate.admission import crowded_threshold
 from cyclamenlift.gate.admission import DEFAULT_RULES
+from cyclamenlift.gate.admission import mean_hold_time
+from cyclamenlift.gate.admission import RecentUrgencies
 from cyclamenlift.gate.admission import seconds_until_slot
-from cyclamenlift.gate.admission import slots_for
-from cyclamenlift.gate.admission import typical_hold
-from cyclamenlift.gate.admission import UrgencySeen
+from cyclamenlift.gate.admission import usable_slots
 from cyclamenlift.gate.estimates import ErrorShare
 from cyclamenlift.gate.estimates import ServiceTime
-from cyclamenlift.gate.learning import Begun
-from cyclamenlift.gate.learning import Learning
 from cyclamenlift.gate.occupancy import Occupancy
+from cyclamenlift.gate.performance import PaceAtStart
+from cyclamenlift.gate.performance import PerformanceModel
 from cyclamenlift.http.dialects import TargetLoad
 from cyclamenlift.routing.finish import Start
 from cyclamenlift.wire.gen.protocol.ttypes import LoadFigures
@@ -55,11 +55,11 @@
     code: ResultCode = ResultCode.ANSWERED
     retry_after: float = 0.0
     latest_start: float = 0.0
-    held: float = 0.0
+    hold_seconds: float = 0.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Expired:
+class DroppedCall:
     """A call that was removed from the queue and has not run."""
 
     key: Hashable
@@ -67,11 +67,11 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Turn:
+class DequeueResult:
     """The calls that left the queue after a slot became free."""
 
     started: list[Hashable] = dataclasses.field(default_factory=list)
-    expired: list[Expired] = dataclasses.field(default_factory=list)
+    dropped: list[DroppedCall] = dataclasses.field(default_factory=list)
 
 
 class GateState:
@@ -83,20 +83,20 @@
         self.running: set[Hashable] = set()
         # Seconds for which each running call is expected to hold its slot,
         # from its start to its end.
-        self.holds: dict[Hashable, float] = {}
-        self.queue: collections.OrderedDict[Hashable, Asking] = (
+        self.hold_times: dict[Hashable, float] = {}
+        self.queue: collections.OrderedDict[Hashable, AdmissionRequest] = (
             collections.OrderedDict()
         )
-        self.urgency = UrgencySeen()
-        self.learning = Learning(slots)
-        self.limit = self.learning.limit(0.0)
+        self.urgency = RecentUrgencies()
+        self.performance = PerformanceModel(slots)
+        self.limit = self.performance.limit(0.0)
         self.rules = DEFAULT_RULES
         self.order_of = operator.attrgetter('order')
         self.occupancy = Occupancy()
         self.target_state = TargetState.STARTING
         self.service_time = ServiceTime()
         self.errors = ErrorShare()
-        self.foreign = 0
+        self.untracked_calls = 0
 
     # -- commands ---------------------------------------------------------
 
@@ -111,164 +111,174 @@
             return Admission(Verdict.START)
         if len(self.queue) >= self.queue_limit:
             return self.refuse(ResultCode.OVERLOADED)
-        if now + self.expected_wait() + self.service_time.mean > deadline:
+        if now + self.mean_queue_wait() + self.service_time.mean > deadline:
             return self.refuse(ResultCode.QUEUE_DEADLINE)
-        self.queue[key] = Asking(key, deadline)
+        self.queue[key] = AdmissionRequest(key, deadline)
         return Admission(Verdict.QUEUED)
 
-    def admit_routed(self, asking: Asking, now: float) -> Admission:
+    def admit_routed(self, request: AdmissionRequest, now: float) -> Admission:
         """Decide on a call of a route, whose answer has a useful deadline."""
         if self.target_state == TargetState.DRAINING:
             return self.refuse(ResultCode.DRAINING)
-        if now >= asking.deadline:
+        if now >= request.deadline:
             return self.refuse(ResultCode.DEADLINE_NOT_RUN)
-        self.urgency.note(asking, now)
+        self.urgency.note(request, now)
         self.update_limit(now)
-        ahead = self.count_ahead(asking, now)
-        room = slots_for(asking, self.room, self.urgency, now, self.rules)
-        best = self.expect(asking, now)
+        ahead = self.count_ahead(request, now)
+        limit = usable_slots(
+            request, self.concurrency_limit, self.urgency, now, self.rules
+        )
+        best = self.estimate(request, now)
         guess = best.seconds - best.held
-        spread = self.learning.spread(asking, best, now)
-        if self.is_wasted(asking, best, now):
+        spread = self.performance.spread(request, best, now)
+        if self.would_waste_slot(request, best, now):
             few = self.crowded_slots()
-            uncrowded = self.wait_behind(0, few, guess)
+            uncrowded = self.wait_for_slot(0, few, guess)
             return self.refuse_until(ResultCode.QUEUE_DEADLINE, uncrowded)
-        if not best.held and not ahead and len(self.running) < room:
-            self.start(asking.key, now, guess)
+        if not best.held and not ahead and len(self.running) < limit:
+            self.start(request.key, now, guess)
             return Admission(Verdict.START)
-        wait = max(best.held, self.wait_behind(ahead, room, guess))
+        wait = max(best.held, self.wait_for_slot(ahead, limit, guess))
         latest = (
-            asking.useful_deadline - guess - self.rules.wait_spreads * spread
+            request.useful_deadline - guess - self.rules.wait_spreads * spread
         )
-        if asking.repeated and not asking.nested:
+        if request.repeated and not request.nested:
             return self.refuse_until(ResultCode.OVERLOADED, wait)
         if len(self.queue) >= max(self.queue_limit, self.slots):
             return self.refuse_until(ResultCode.OVERLOADED, wait)
         if now + wait > latest:
             return self.refuse_until(ResultCode.QUEUE_DEADLINE, wait)
-        self.queue[asking.key] = asking
-        return Admission(Verdict.QUEUED, latest_start=latest, held=best.held)
+        self.queue[request.key] = request
+        return Admission(
+            Verdict.QUEUED, latest_start=latest, hold_seconds=best.held
+        )
 
-    def reconsider(self, asking: Asking, now: float) -> Admission:
+    def recheck_before_start(
+        self, request: AdmissionRequest, now: float
+    ) -> Admission:
         """Decide again on a call that has a slot but was not sent yet.
 
         If the call would finish sooner after the current slowdown, it gives
         its slot back and is queued until the slowdown ends.
         """
-        best = self.expect(asking, now)
+        best = self.estimate(request, now)
         if not best.held:
-            self.start(asking.key, now, best.seconds)
+            self.start(request.key, now, best.seconds)
             return Admission(Verdict.START)
-        self.running.discard(asking.key)
-        self.holds.pop(asking.key, None)
+        self.running.discard(request.key)
+        self.hold_times.pop(request.key, None)
         self.note_occupancy(now)
-        self.queue[asking.key] = asking
-        latest = asking.useful_deadline - (best.seconds - best.held)
-        return Admission(Verdict.QUEUED, latest_start=latest, held=best.held)
+        self.queue[request.key] = request
+        latest = request.useful_deadline - (best.seconds - best.held)
+        return Admission(
+            Verdict.QUEUED, latest_start=latest, hold_seconds=best.held
+        )
 
-    def hopeless(self, now: float) -> list[Expired]:
+    def drop_late_calls(self, now: float) -> list[DroppedCall]:
         """Remove and return queued calls that can't finish in time."""
         found = []
         self.update_limit(now)
-        for key, asking in list(self.queue.items()):
-            if asking.useful_deadline is None:
+        for key, request in list(self.queue.items()):
+            if request.useful_deadline is None:
                 continue
-            best = self.expect(asking, now)
-            wait = self.wait_behind(self.count_ahead(asking, now), self.room)
+            best = self.estimate(request, now)
+            wait = self.wait_for_slot(
+                self.count_ahead(request, now), self.concurrency_limit
+            )
             done = now + max(wait, best.held) + best.seconds - best.held
-            if done > asking.useful_deadline:
+            if done > request.useful_deadline:
                 del self.queue[key]
-                found.append(Expired(key, ResultCode.QUEUE_DEADLINE))
+                found.append(DroppedCall(key, ResultCode.QUEUE_DEADLINE))
         return found
 
     def finish(
         self, key: Hashable, seconds: float | None, failed: bool, now: float
-    ) -> Turn:
+    ) -> DequeueResult:
         """Free the slot of ``key`` and start queued calls.
 
         ``seconds`` is the target's service time, or None if the call was cut
         off and its duration is meaningless.
         """
         self.running.discard(key)
-        self.holds.pop(key, None)
+        self.hold_times.pop(key, None)
         self.note_occupancy(now)
         if seconds is not None:
             self.service_time.note(seconds)
         self.errors.note(failed, now)
-        return self.fill(now)
+        return self.start_queued(now)
 
-    def fill(self, now: float) -> Turn:
+    def start_queued(self, now: float) -> DequeueResult:
         """Assign free slots to queued calls that are not on hold."""
-        turn = Turn()
+        result = DequeueResult()
         self.update_limit(now)
         for key in sorted(self.queue, key=self.order_in_queue):
-            if len(self.running) >= self.room:
+            if len(self.running) >= self.concurrency_limit:
                 break
-            asking = self.queue[key]
-            if now >= asking.deadline:
+            request = self.queue[key]
+            if now >= request.deadline:
                 del self.queue[key]
                 code = ResultCode.DEADLINE_NOT_RUN
-                turn.expired.append(Expired(key, code))
+                result.dropped.append(DroppedCall(key, code))
                 continue
-            best = self.expect(asking, now)
+            best = self.estimate(request, now)
             if best.held:
                 continue
             del self.queue[key]
             self.start(key, now, best.seconds)
-            turn.started.append(key)
-        return turn
+            result.started.append(key)
+        return result
 
     def start(self, key: Hashable, now: float, seconds: float = 0.0) -> None:
         """Give a call a slot that it should hold for ``seconds``."""
         self.running.add(key)
-        self.holds[key] = seconds
+        self.hold_times[key] = seconds
         self.note_occupancy(now)
 
     def note_occupancy(self, now: float) -> None:
-        self.occupancy.note(len(self.running) + self.foreign, now)
+        self.occupancy.note(len(self.running) + self.untracked_calls, now)
 
     def set_slots(self, slots: int) -> None:
         """Set how many calls the target can run at once."""
         self.slots = slots
-        self.learning.set_slots(slots)
-        self.limit = self.learning.crowding.chosen
+        self.performance.set_slots(slots)
+        self.limit = self.performance.limiter.chosen
 
     def update_limit(self, now: float) -> None:
         """Recompute how many calls should run at once now."""
-        self.limit = self.learning.limit(now)
+        self.limit = self.performance.limit(now)
 
     def withdraw(self, key: Hashable) -> bool:
         """Remove a call from the queue; True proves that it never ran."""
         return self.queue.pop(key, None) is not None
 
-    def drain(self) -> list[Expired]:
+    def drain(self) -> list[DroppedCall]:
         """Stop admitting calls; return the queued ones, which did not run."""
         self.target_state = TargetState.DRAINING
         return self.empty_queue(ResultCode.DRAINING)
 
-    def empty_queue(self, code: ResultCode) -> list[Expired]:
+    def empty_queue(self, code: ResultCode) -> list[DroppedCall]:
         """Remove and return all queued calls, which did not run."""
-        waiting = [Expired(key, code) for key in self.queue]
+        waiting = [DroppedCall(key, code) for key in self.queue]
         self.queue.clear()
         return waiting
 
-    def renew(self, cold: bool) -> None:
+    def reset_for_incarnation(self, cold: bool) -> None:
         """Reset for a new incarnation of the target.
 
         What the previous incarnation reported no longer counts. A cold one
         also starts with an empty error history.
         """
         self.target_state = TargetState.STARTING
-        self.learning.pace.forget()
-        self.foreign = 0
+        self.performance.pace.forget()
+        self.untracked_calls = 0
         if cold:
             self.errors = ErrorShare()
 
     def note_target_load(self, load: TargetLoad, now: float) -> None:
         """Record the load that the target reported itself."""
-        self.learning.pace.note(load, now)
+        self.performance.pace.note(load, now)
         others = load.running + load.waiting - len(self.running)
-        self.foreign = max(0, others)
+        self.untracked_calls = max(0, others)
         self.note_occupancy(now)
 
     def note_work(
@@ -278,10 +288,12 @@
         beside: float,
         now: float,
         nested: float = 0.0,
-        begun: Begun | None = None,
+        pace_at_start: PaceAtStart | None = None,
     ) -> None:
         """Record an answered call; see ``PerformanceModel.note``."""
-        self.learning.note(route, seconds, beside, now, nested, begun)
+        self.performance.note(
+            route, seconds, beside, now, nested, pace_at_start
+        )
         self.update_limit(now)
 
     def set_target_state(self, state: TargetState) -> None:
@@ -292,35 +304,35 @@
     # -- queries ----------------------------------------------------------
 
     def refuse(self, code: ResultCode) -> Admission:
-        wait = max(MIN_RETRY_AFTER, self.expected_wait())
+        wait = max(MIN_RETRY_AFTER, self.mean_queue_wait())
         return Admission(Verdict.REFUSED, code, wait)
 
     @property
-    def room(self) -> int:
+    def concurrency_limit(self) -> int:
         """The number of calls to run at once: the limit for known calls.
 
         Calls that the target reports beyond those known here occupy slots too:
         a previous daemon may have sent them, or they were cancelled here and
         still run.
         """
-        return max(1, self.limit - self.foreign)
+        return max(1, self.limit - self.untracked_calls)
 
     def refuse_until(self, code: ResultCode, wait: float) -> Admission:
         return Admission(Verdict.REFUSED, code, max(MIN_RETRY_AFTER, wait))
 
-    def count_ahead(self, asking: Asking, now: float) -> int:
+    def count_ahead(self, request: AdmissionRequest, now: float) -> int:
         """Return how many queued calls start before this one.
 
         Calls held until a slowdown ends don't count: they leave free slots to
         calls that are not held.
         """
-        own = self.order_of(asking)
+        own = self.order_of(request)
         return sum(
             1
             for key, other in self.queue.items()
-            if key != asking.key
+            if key != request.key
             and self.order_of(other) <= own
-            and not self.expect(other, now).held
+            and not self.estimate(other, now).held
         )
 
     def order_in_queue(self, key: Hashable) -> tuple:
@@ -328,28 +340,32 @@
 
     def crowded_slots(self) -> int:
         """Return the number of running calls from which the target is busy."""
-        return crowded_from(self.slots, self.rules.crowded_share)
+        return crowded_threshold(self.slots, self.rules.crowded_share)
 
-    def wait_behind(self, ahead: int, room: int, guess: float = 0.0) -> float:
+    def wait_for_slot(
+        self, ahead: int, limit: int, guess: float = 0.0
+    ) -> float:
         """Return the seconds until a slot is free behind ``ahead`` calls.
 
         ``guess`` is the slot hold time to assume before any was measured.
         """
-        usual = self.learning.slot_seconds(guess)
-        held = typical_hold(self.holds.values(), usual)
-        return seconds_until_slot(ahead, len(self.running), room, held)
+        usual = self.performance.slot_seconds(guess)
+        held = mean_hold_time(self.hold_times.values(), usual)
+        return seconds_until_slot(ahead, len(self.running), limit, held)
 
-    def expect(self, asking: Asking, now: float) -> Start:
+    def estimate(self, request: AdmissionRequest, now: float) -> Start:
         """Return the soonest way to finish a call, nested calls included."""
-        if asking.useful_deadline is None:
+        if request.useful_deadline is None:
             return Start(0.0, self.service_time.mean)
-        return self.learning.expect(asking, len(self.running), now)
+        return self.performance.estimate(request, len(self.running), now)
 
     def pace_percent(self, now: float) -> int:
         """Return the pace: 100 is usual, 200 half speed, 0 unknown."""
-        return self.learning.pace.percent(now)
+        return self.performance.pace.percent(now)
 
-    def is_wasted(self, asking: Asking, best: Start, now: float) -> bool:
+    def would_waste_slot(
+        self, request: AdmissionRequest, best: Start, now: float
+    ) -> bool:
         """Tell whether a slot would go to a call that will be late.
 
         Applies only when other calls compete for slots; a target with free
@@ -357,11 +373,11 @@
         """
         if len(self.running) < self.crowded_slots():
             return False
-        spread = self.learning.spread(asking, best, now)
+        spread = self.performance.spread(request, best, now)
         done = now + best.seconds + self.rules.crowded_spreads * spread
-        return done > asking.useful_deadline
+        return done > request.useful_deadline
 
-    def expected_wait(self) -> float:
+    def mean_queue_wait(self) -> float:
         """Return the expected queueing time by recent service times."""
         ahead = len(self.queue) + 1
         return ahead * self.service_time.mean / self.slots
@@ -376,7 +392,7 @@
         return LoadFigures(
             in_flight=len(self.running),
             queued=len(self.queue),
-            slots=self.room,
+            slots=self.concurrency_limit,
             latency_us=int(self.service_time.mean * 1_000_000),
             error_permille=int(self.errors.share(now) * 1000),
             state=self.target_state,
@@ -384,6 +400,6 @@
             lag_ms=int(lag * MILLISECONDS),
             body_wait_ms=int(body_wait * MILLISECONDS),
             spell_left_ms=int(
-                self.learning.pace.spell_left(now) * MILLISECONDS
+                self.performance.pace.spell_left(now) * MILLISECONDS
             ),
         )
--- a/cyclamenlift/gate/suspects.py
+++ b/cyclamenlift/gate/suspects.py
@@ -6,18 +6,18 @@
 from cyclamenlift.quarantine.state import Standing
 
 if typing.TYPE_CHECKING:
-    from cyclamenlift.gate.running import GateCall
+    from cyclamenlift.gate.gate_call import GateCall
     from cyclamenlift.gate.tasks import Gate
 
 # Retry-after for a suspect that is already running here, in seconds: a harmful
 # request terminates its target within about a tenth of a second, and a
 # harmless one is answered in that time.
-RUNNING_RETRY = 0.25
+RUNNING_RETRY_AFTER = 0.25
 # Time between two trials of a request, in seconds: the first may have been
 # rejected by the target and have shown nothing.
 TRIAL_SECONDS = 30.0
 # Maximum number of requests whose trials are remembered.
-MOST_TRIALS = 256
+MAX_TRIALS = 256
 
 
 class SuspectCheck:
@@ -28,7 +28,7 @@
         # The earliest time of the next trial here, by request.
         self.next_trial: dict[bytes, float] = {}
 
-    def turn_away(self, call: 'GateCall') -> bool:
+    def refuse_suspect(self, call: 'GateCall') -> bool:
         """Refuse a call that must not reach the target; True if refused."""
         fingerprint = call.start.fingerprint
         if not fingerprint:
@@ -45,12 +45,16 @@
             return True
         if self.is_running(fingerprint):
             self.refuse(
-                call, 'suspect request is already running here', RUNNING_RETRY
+                call,
+                'suspect request is already running here',
+                RUNNING_RETRY_AFTER,
             )
             return True
-        return judgement.is_trial and self.turn_away_trial(call, fingerprint)
+        return judgement.is_trial and self.refuse_extra_trial(
+            call, fingerprint
+        )
 
-    def turn_away_trial(self, call: 'GateCall', fingerprint: bytes) -> bool:
+    def refuse_extra_trial(self, call: 'GateCall', fingerprint: bytes) -> bool:
         """Let one trial through and refuse others for a while."""
         now = self.gate.now()
         wait = self.next_trial.get(fingerprint, now) - now
@@ -62,7 +66,7 @@
         return False
 
     def note_trial(self, fingerprint: bytes, now: float) -> None:
-        if len(self.next_trial) >= MOST_TRIALS:
+        if len(self.next_trial) >= MAX_TRIALS:
             self.next_trial.clear()
         self.next_trial[fingerprint] = now + TRIAL_SECONDS
 
@@ -85,4 +89,4 @@
             gate.release(call, None, False)
         else:
             gate.forget(call)
-        call.tell_refused(ResultCode.REQUEST_QUARANTINED, detail, wait)
+        call.send_refused(ResultCode.REQUEST_QUARANTINED, detail, wait)
--- a/cyclamenlift/gate/tasks.py
+++ b/cyclamenlift/gate/tasks.py
@@ -10,23 +10,23 @@
 from cyclamenlift.core.clock import MILLISECONDS
 from cyclamenlift.core.codes import ResultCode
 from cyclamenlift.core.streams import Address
+from cyclamenlift.gate.admission_control import AdmissionController
 from cyclamenlift.gate.announcements import Announcements
-from cyclamenlift.gate.bodies import BodyTurns
-from cyclamenlift.gate.delays import Delays
-from cyclamenlift.gate.ends import EndWatch
-from cyclamenlift.gate.entrance import Entrance
-from cyclamenlift.gate.news import GateNews
+from cyclamenlift.gate.body_transfers import BodyTransfers
+from cyclamenlift.gate.gate_call import GateCall
+from cyclamenlift.gate.lag_tracker import LagTracker
+from cyclamenlift.gate.pace_notifier import PaceNotifier
+from cyclamenlift.gate.pace_queries import PaceQueries
 from cyclamenlift.gate.presence import Presence
 from cyclamenlift.gate.probes import ProbeBudget
-from cyclamenlift.gate.questions import PaceQuestions
-from cyclamenlift.gate.registration import Announced
 from cyclamenlift.gate.registration import Announcement
+from cyclamenlift.gate.registration import AnnouncementOutcome
 from cyclamenlift.gate.registration import Registration
 from cyclamenlift.gate.registration import UNKNOWN_START
-from cyclamenlift.gate.running import GateCall
+from cyclamenlift.gate.state import DequeueResult
 from cyclamenlift.gate.state import GateState
-from cyclamenlift.gate.state import Turn
 from cyclamenlift.gate.suspects import SuspectCheck
+from cyclamenlift.gate.termination import TerminationDetector
 from cyclamenlift.http.dialects import DEFAULT_DIALECT
 from cyclamenlift.http.dialects import Dialect
 from cyclamenlift.http.dialects import parse_load
@@ -48,10 +48,10 @@
 LOG = structlog.get_logger('gate')
 # A failing health check is overruled by at least this many recent answers,
 # weighted by age, if fewer than the share below were failures.
-WELL_ANSWERED = 3.0
-BAD_SHARE = 0.5
+MIN_ANSWERS = 3.0
+MAX_ERROR_SHARE = 0.5
 # Separates the trace ID of a call from the suffix of its nested calls.
-PART_OF_NAME = '.'
+NESTED_ID_SEPARATOR = '.'
 
 
 class Gate:
@@ -71,28 +71,28 @@
         self.client = client
         self.service = service
         self.dialect = dialect
-        self.checks_ids = dialect.call_id_repeated
+        self.verifies_call_ids = dialect.call_id_repeated
         self.state = GateState(slots)
         self.announcements = Announcements(self, self.clock.unix_ms)
-        self.news = GateNews()
-        self.delays = Delays()
+        self.news = PaceNotifier()
+        self.lag_tracker = LagTracker()
         # The target's host, '' if unknown.
         self.target_host = ''
         # Capacity of this instance's link in bytes per second, 0 if unknown.
         self.link_rate = 0.0
         self.budget = ProbeBudget()
         self.calls: dict[Hashable, GateCall] = {}
-        self.by_name: dict[str, GateCall] = {}
+        self.calls_by_trace_id: dict[str, GateCall] = {}
         self.rule: ServiceRule | None = None
         self.idle_hooks: list[Callable[[], None]] = []
         self.state_hooks: list[Callable[[TargetState], None]] = []
         self.slots_hooks: list[Callable[[int], None]] = []
         self.refused = 0
-        self.questions = PaceQuestions(scheduler)
-        self.ends = EndWatch(self)
+        self.pace_queries = PaceQueries(scheduler)
+        self.ends = TerminationDetector(self)
         self.presence = Presence(self)
-        self.bodies = BodyTurns(self)
-        self.entrance = Entrance(self)
+        self.body_transfers = BodyTransfers(self)
+        self.admission_control = AdmissionController(self)
         self.quarantine = Quarantine(scheduler)
         self.suspects = SuspectCheck(self)
 
@@ -125,16 +125,16 @@
             return
         waiting = self.state.drain()
         LOG.info('gate_draining', queued=len(waiting))
-        self.follow(Turn(expired=waiting))
-        self.entrance.send_waiting_back(ResultCode.DRAINING)
-        self.tell_state()
+        self.apply_dequeued(DequeueResult(dropped=waiting))
+        self.admission_control.refuse_waiting_calls(ResultCode.DRAINING)
+        self.run_state_hooks()
 
     def set_target_state(self, state: TargetState) -> None:
         """Set the target's state after start-up or a health check."""
         before = self.state.target_state
         self.state.set_target_state(state)
         if self.state.target_state != before:
-            self.tell_state()
+            self.run_state_hooks()
 
     def is_foreign(self, incarnation: str, address: str) -> bool:
         """Tell whether an announcement comes from another instance's target.
@@ -153,7 +153,7 @@
             LOG.info('check_in_of_another', incarnation=incarnation[:60])
         return foreign
 
-    def announce(self, announcement: Announcement) -> Announced:
+    def announce(self, announcement: Announcement) -> AnnouncementOutcome:
         """Handle an announcement of the target."""
         return self.announcements.announce(announcement)
 
@@ -181,24 +181,24 @@
             if load is not None:
                 now = self.now()
                 self.state.note_target_load(load, now)
-                self.tell_news(now)
+                self.notify_pace_change(now)
                 if self.state.queue:
-                    self.follow(self.state.fill(now))
-                self.questions.answered()
+                    self.apply_dequeued(self.state.start_queued(now))
+                self.pace_queries.resume_all()
 
-    def tell_news(self, now: float) -> None:
+    def notify_pace_change(self, now: float) -> None:
         """Notify entries of a pace change and refuse calls it makes late."""
         if self.news.is_due(self.state.pace_percent(now)):
-            self.news.tell(self.figures(), now)
-            self.entrance.send_hopeless_back(now)
+            self.news.notify(self.figures(), now)
+            self.admission_control.refuse_late_calls(now)
 
     def release(
         self, call: GateCall, seconds: float | None, failed: bool
     ) -> None:
         """End a call that held a slot and start queued calls."""
         self.forget(call)
-        turn = self.state.finish(call.key, seconds, failed, self.now())
-        self.follow(turn)
+        result = self.state.finish(call.key, seconds, failed, self.now())
+        self.apply_dequeued(result)
         self.check_idle()
 
     # -- queries ----------------------------------------------------------
@@ -210,12 +210,12 @@
 
     def figures(self, link=None) -> LoadFigures:
         """Return the load figures, with the lag of ``link`` if given."""
-        lag = self.lag_now(link) if link is not None else 0.0
+        lag = self.current_lag(link) if link is not None else 0.0
         return self.state.figures(self.now(), lag, self.body_wait())
 
-    def lag_now(self, link) -> float:
+    def current_lag(self, link) -> float:
         """Return the current lag of calls on a link, in seconds."""
-        return self.delays.lag(link.number, machine_seconds())
+        return self.lag_tracker.lag(link.number, machine_seconds())
 
     def bytes_due(self) -> int:
         """Return the bytes of request bodies that are still to arrive."""
@@ -226,7 +226,7 @@
         return self.bytes_due() / self.link_rate if self.link_rate else 0.0
 
     def is_idle(self) -> bool:
-        if self.questions.waiting or self.ends.is_looking:
+        if self.pace_queries.waiting or self.ends.has_unreported:
             return False
         return self.state.is_idle()
 
@@ -237,23 +237,25 @@
         parent's. Only calls that are present here count as parents, so an ID
         that has this form by chance does no harm.
         """
-        name = call_id.rpartition(PART_OF_NAME)[0]
-        return self.by_name.get(name) if name else None
+        name = call_id.rpartition(NESTED_ID_SEPARATOR)[0]
+        return self.calls_by_trace_id.get(name) if name else None
 
-    def answers_well(self) -> bool:
+    def is_answering(self) -> bool:
         """Tell whether most recent calls to the target succeeded."""
         errors = self.state.errors
         share = errors.share(self.now())
-        return errors.total >= WELL_ANSWERED and share < BAD_SHARE
+        return errors.total >= MIN_ANSWERS and share < MAX_ERROR_SHARE
 
-    def is_unknown(self) -> bool:
+    def is_target_unknown(self) -> bool:
         """Tell whether the target's incarnation is unknown or in doubt."""
         registration = self.registration
         return registration.current is None or registration.doubted
 
     def awaits_target(self) -> bool:
         """Tell whether calls must wait until the target is identified."""
-        return bool(self.dialect.incarnation_asked) and self.is_unknown()
+        return (
+            bool(self.dialect.incarnation_asked) and self.is_target_unknown()
+        )
 
     def call_headers(self, call: GateCall) -> list[tuple[str, str]]:
         """Return the headers that pass depth and remaining time on."""
@@ -272,43 +274,45 @@
 
     def on_call_start(self, link, start: CallStart) -> None:
         now = self.now()
-        call = GateCall(self, link, start, now, self.lag_of(link, start))
+        call = GateCall(
+            self, link, start, now, self.transit_delay(link, start)
+        )
         if start.service_name != self.service:
-            call.tell_refused(
+            call.send_refused(
                 ResultCode.NO_TARGET, 'call is for another service'
             )
             return
         if self.awaits_target():
-            call.tell_refused(
+            call.send_refused(
                 ResultCode.NO_TARGET, 'target not identified yet'
             )
             return
         if self.quarantine.is_behind():
             # Without the quarantine list, a request that is barred from all
             # targets would reach this one.
-            call.tell_refused(
+            call.send_refused(
                 ResultCode.NO_TARGET, 'quarantine list not synchronized yet'
             )
             return
         self.news.note_call(link, now)
         if self.presence.absent:
-            call.tell_refused(ResultCode.TARGET_UNREACHABLE, 'nobody listens')
+            call.send_refused(ResultCode.TARGET_UNREACHABLE, 'nobody listens')
             return
-        if self.suspects.turn_away(call):
+        if self.suspects.refuse_suspect(call):
             return
         self.calls[call.key] = call
-        self.by_name[start.trace_id] = call
+        self.calls_by_trace_id[start.trace_id] = call
         call.timer = self.scheduler.at(
             call.deadline, lambda: self.on_deadline(call)
         )
-        self.entrance.take(call)
+        self.admission_control.admit_new(call)
 
-    def lag_of(self, link, start: CallStart) -> float:
+    def transit_delay(self, link, start: CallStart) -> float:
         """Return a call's transit delay; 0 if its sender gave no timestamp."""
         if not start.sent_at_us:
             return 0.0
         sent_at = start.sent_at_us / MICROSECONDS
-        return self.delays.note(link.number, sent_at, machine_seconds())
+        return self.lag_tracker.note(link.number, sent_at, machine_seconds())
 
     def on_body_chunk(self, link, chunk: BodyChunk) -> None:
         call = self.calls.get((link.number, chunk.call_id))
@@ -341,7 +345,7 @@
         leave a booking half done to nobody's benefit.
         """
         self.news.forget(link)
-        self.delays.forget(link.number)
+        self.lag_tracker.forget(link.number)
         for key, call in list(self.calls.items()):
             if key[0] != link.number:
                 continue
@@ -354,39 +358,39 @@
         sent = call.was_sent()
         self.cut(call)
         if sent:
-            call.tell_broken(ResultCode.DEADLINE_UNKNOWN)
+            call.send_broken(ResultCode.DEADLINE_UNKNOWN)
         else:
-            call.tell_refused(ResultCode.DEADLINE_NOT_RUN)
+            call.send_refused(ResultCode.DEADLINE_NOT_RUN)
 
     # -- steps ------------------------------------------------------------
 
     def cut(self, call: GateCall) -> None:
         """Cancel a call in whatever stage it is."""
-        asked = self.questions.withdraw(call.key)
+        asked = self.pace_queries.withdraw(call.key)
         undecided = asked and call.key not in self.state.running
         if undecided or self.state.withdraw(call.key):
             self.forget(call)
             self.check_idle()
             return
-        self.ends.note_cut(call)
+        self.ends.note_cancelled(call)
         call.stop_target()
         self.release(call, None, False)
 
     def forget(self, call: GateCall) -> None:
         call.ended = True
         self.calls.pop(call.key, None)
-        self.by_name.pop(call.start.trace_id, None)
-        self.bodies.end(call)
+        self.calls_by_trace_id.pop(call.start.trace_id, None)
+        self.body_transfers.end(call)
         cancel_timer(call.timer)
         cancel_timer(call.wait_timer)
 
-    def follow(self, turn: Turn) -> None:
+    def apply_dequeued(self, result: DequeueResult) -> None:
         """Refuse the calls that were dropped and begin those that start."""
-        for expired in turn.expired:
-            call = self.calls[expired.key]
+        for dropped in result.dropped:
+            call = self.calls[dropped.key]
             self.forget(call)
-            call.tell_refused(expired.code)
-        for key in turn.started:
+            call.send_refused(dropped.code)
+        for key in result.started:
             call = self.calls.get(key)
             if call is not None:
                 call.begin(self.now())
@@ -396,7 +400,7 @@
             for hook in self.idle_hooks:
                 hook()
 
-    def tell_state(self) -> None:
+    def run_state_hooks(self) -> None:
         for hook in self.state_hooks:
             hook(self.state.target_state)
 
--- a/cyclamenlift/gate/ends.py
+++ b/cyclamenlift/gate/termination.py
@@ -15,7 +15,7 @@
 from cyclamenlift.wire.gen.protocol.ttypes import EndReport
 
 if typing.TYPE_CHECKING:
-    from cyclamenlift.gate.running import GateCall
+    from cyclamenlift.gate.gate_call import GateCall
     from cyclamenlift.gate.tasks import Gate
     from cyclamenlift.http.client import TargetClient
 
@@ -23,16 +23,16 @@
 # A call counts as running at the termination if it broke off at most this
 # long, in seconds, before a connection was refused: all calls break off within
 # milliseconds, and the address is probed immediately afterwards.
-BROKE_JUST_NOW = 1.0
+REFUSED_WINDOW_SECONDS = 1.0
 # The same before another incarnation announces itself: targets restart within
 # some seconds.
-BROKE_BEFORE_START = 10.0
+REPLACED_WINDOW_SECONDS = 10.0
 # How long to delay reporting a broken call to its entry, in seconds, so that
 # the report can say whether the target terminated. An address on the same
 # instance refuses, and a health page there answers, within a few milliseconds.
-LOOK_SECONDS = 0.05
+REPORT_DELAY_SECONDS = 0.05
 # Maximum number of fingerprints in a log line.
-MOST_LOGGED = 48
+MAX_LOGGED = 48
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -45,7 +45,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Untold:
+class UnreportedCall:
     """A broken call that has not been reported to its entry yet."""
 
     call: 'GateCall'
@@ -53,37 +53,39 @@
     broke_at: float
 
 
-class EndWatch:
+class TerminationDetector:
     """Keeps recently broken calls until their cause is known."""
 
     def __init__(self, gate: 'Gate'):
         self.gate = gate
         self.broken: list[BrokenCall] = []
-        self.untold: list[Untold] = []
+        self.unreported: list[UnreportedCall] = []
         self.timer = None
         self.ended = 0
 
     def watch(self, client: 'TargetClient') -> None:
         """Observe from a client's connections whether the target listens."""
-        client.refused_hooks.append(self.note_nobody_listens)
-        client.found_hooks.append(self.note_found)
+        client.refused_hooks.append(self.note_connection_refused)
+        client.found_hooks.append(self.note_connected)
 
     @property
-    def is_looking(self) -> bool:
+    def has_unreported(self) -> bool:
         """Whether broken calls have still to be reported to entries."""
-        return bool(self.untold)
+        return bool(self.unreported)
 
     def note_broken(self, call: 'GateCall', detail: str) -> None:
         """Record a call that broke off, and probe the target's address."""
         self.remember(call)
         now = self.gate.now()
-        self.untold.append(Untold(call, detail, now))
-        if len(self.untold) == 1:
+        self.unreported.append(UnreportedCall(call, detail, now))
+        if len(self.unreported) == 1:
             scheduler = self.gate.scheduler
-            self.timer = scheduler.after(LOOK_SECONDS, self.tell)
-            self.gate.client.look(now + LOOK_SECONDS)
+            self.timer = scheduler.after(
+                REPORT_DELAY_SECONDS, self.report_broken
+            )
+            self.gate.client.look(now + REPORT_DELAY_SECONDS)
 
-    def note_cut(self, call: 'GateCall') -> None:
+    def note_cancelled(self, call: 'GateCall') -> None:
         """Record a call that was cancelled while the target ran it.
 
         Its effects may still terminate the target a moment later.
@@ -93,7 +95,7 @@
 
     def remember(self, call: 'GateCall') -> None:
         now = self.gate.now()
-        oldest = now - BROKE_BEFORE_START
+        oldest = now - REPLACED_WINDOW_SECONDS
         self.broken = [b for b in self.broken if b.broke_at >= oldest]
         fingerprint = call.start.fingerprint or b''
         self.broken.append(BrokenCall(fingerprint, call.started_at, now))
@@ -102,44 +104,50 @@
         """Record an answer: the target was running when that call began."""
         if self.broken:
             self.broken = [b for b in self.broken if b.broke_at >= begun_at]
-        self.note_running(begun_at)
+        self.note_alive(begun_at)
 
-    def note_found(self) -> None:
+    def note_connected(self) -> None:
         """Query the health page of a target that accepts connections.
 
         A terminating process accepts connections until its listener is closed,
         and a hanging one even longer: only an answer proves that it runs.
         """
         self.gate.presence.note_present('connection')
-        if self.untold:
-            self.gate.questions.ask()
+        if self.unreported:
+            self.gate.pace_queries.send_query()
 
-    def note_running(self, asked_at: float) -> None:
+    def note_alive(self, asked_at: float) -> None:
         """Record that the target answered a request sent at ``asked_at``.
 
         Calls that broke off before that were merely disconnected.
         """
         self.gate.presence.note_answer(asked_at)
-        if not self.untold:
+        if not self.unreported:
             return
-        if asked_at >= self.untold[-1].broke_at:
-            self.tell()
+        if asked_at >= self.unreported[-1].broke_at:
+            self.report_broken()
         else:
-            self.gate.questions.ask()
+            self.gate.pace_queries.send_query()
 
-    def note_nobody_listens(self) -> None:
+    def note_connection_refused(self) -> None:
         """Record that the target's address refuses connections."""
         registration = self.gate.registration
         if not registration.draining:
             incarnation = registration.incarnation
-            self.end('nobody listens', incarnation, BROKE_JUST_NOW)
-        self.gate.presence.note_nobody_listens()
+            self.conclude_termination(
+                'nobody listens', incarnation, REFUSED_WINDOW_SECONDS
+            )
+        self.gate.presence.note_connection_refused()
 
-    def note_next_incarnation(self, before: str) -> None:
+    def note_replaced(self, before: str) -> None:
         """Record that another incarnation replaced ``before``."""
-        self.end('another incarnation', before, BROKE_BEFORE_START)
+        self.conclude_termination(
+            'another incarnation', before, REPLACED_WINDOW_SECONDS
+        )
 
-    def end(self, shown_by: str, incarnation: str, seconds: float) -> None:
+    def conclude_termination(
+        self, shown_by: str, incarnation: str, seconds: float
+    ) -> None:
         """Conclude that the target terminated while it ran broken calls."""
         since = self.gate.now() - seconds
         ran = {
@@ -160,11 +168,13 @@
             incarnation=incarnation,
             ran=len(ran),
             reports=[report.report_id for report in reports],
-            fingerprints=[f.hex() for f in ran][:MOST_LOGGED],
+            fingerprints=[f.hex() for f in ran][:MAX_LOGGED],
+        )
+        self.report_broken(
+            ResultCode.TARGET_ENDED, reports[0] if reports else None
         )
-        self.tell(ResultCode.TARGET_ENDED, reports[0] if reports else None)
 
-    def tell(
+    def report_broken(
         self,
         code: ResultCode = ResultCode.TARGET_BROKE_OFF,
         end: EndReport | None = None,
@@ -177,11 +187,11 @@
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
-        waiting, self.untold = self.untold, []
+        waiting, self.unreported = self.unreported, []
         told = set()
-        for untold in waiting:
-            call = untold.call
+        for unreported in waiting:
+            call = unreported.call
             first = call.link.number not in told
             told.add(call.link.number)
-            call.tell_broken(code, untold.detail, end if first else None)
+            call.send_broken(code, unreported.detail, end if first else None)
         self.gate.check_idle()
--- a/cyclamenlift/gate/verdicts.py
+++ b/cyclamenlift/gate/verdicts.py
@@ -25,7 +25,7 @@
     UNPROVEN = 'unproven'
 
 
-def judge_answer(
+def classify_answer(
     dialect: Dialect, status: int, headers: Headers
 ) -> AnswerVerdict:
     """Classify a response by its status and header fields.
--- a/cyclamenlift/runtime/mechanisms.py
+++ b/cyclamenlift/runtime/mechanisms.py
@@ -14,12 +14,12 @@
 from cyclamenlift.core.codes import ResultCode
 from cyclamenlift.core.problems import Problem
 from cyclamenlift.core.registry import Registry
-from cyclamenlift.gate.crowding import AllSlots
+from cyclamenlift.gate.concurrency import FixedConcurrency
 from cyclamenlift.routing.finish import PERCENT
 from cyclamenlift.routing.finish import Start
 
 if TYPE_CHECKING:
-    from cyclamenlift.gate.learning import Learning
+    from cyclamenlift.gate.performance import PerformanceModel
     from cyclamenlift.runtime.daemon import DaemonNode
 
 LOG = structlog.get_logger('mechanisms')
@@ -81,7 +81,7 @@
 @mechanism('slots_by_crowding', 'runs as many calls as get most done')
 def without_slots_by_crowding(node: 'DaemonNode') -> None:
     state = node.gate.state
-    state.learning.make_crowding = AllSlots
+    state.performance.make_limiter = FixedConcurrency
     state.set_slots(state.slots)
 
 
@@ -122,29 +122,33 @@
 
 @mechanism('hopeless_back', 'sends back what a slow spell has made late')
 def without_hopeless_back(node: 'DaemonNode') -> None:
-    node.gate.entrance.send_hopeless_back = lambda _now: None
+    node.gate.admission_control.refuse_late_calls = lambda _now: None
 
 
 @mechanism('hold_in_spells', 'holds calls while their target is slow')
 def without_holding(node: 'DaemonNode') -> None:
-    learning = node.gate.state.learning
-    learning.best_start = lambda work, now: begin_now(learning, work, now)
+    performance = node.gate.state.performance
+    performance.best_start = lambda work, now: begin_now(
+        performance, work, now
+    )
 
 
-def begin_now(learning: 'Learning', work: float, now: float) -> Start:
+def begin_now(
+    performance: 'PerformanceModel', work: float, now: float
+) -> Start:
     """Return how long ``work`` takes that begins whatever the pace is."""
-    percent = learning.pace.percent(now) or PERCENT
+    percent = performance.pace.percent(now) or PERCENT
     return Start(0.0, work * max(1.0, percent / PERCENT))
 
 
 @mechanism('ask_pace', 'asks a target for its pace before a call begins')
 def without_asking(node: 'DaemonNode') -> None:
-    node.gate.entrance.is_pace_doubtful = lambda _call, _now: False
+    node.gate.admission_control.needs_pace_query = lambda _call, _now: False
 
 
 @mechanism('path_lag', 'takes the time on a slow link off the time left')
 def without_path_lag(node: 'DaemonNode') -> None:
-    node.gate.lag_of = lambda _link, _start: 0.0
+    node.gate.transit_delay = lambda _link, _start: 0.0
 
 
 @mechanism('pace_news', 'tells entries when a target changes its pace')
--- a/tests/gate/builders.py
+++ b/tests/gate/builders.py
@@ -1,6 +1,6 @@
 """A gate between a target that answers nothing and the end of a link."""
 
-from cyclamenlift.gate.admission import Asking
+from cyclamenlift.gate.admission import AdmissionRequest
 from cyclamenlift.gate.registration import Announcement
 from cyclamenlift.gate.tasks import Gate
 from cyclamenlift.runtime.local import local_pair
@@ -73,7 +73,7 @@
         )
         self.gate.announce(Announcement('i-1', 'prices', 8))
         self.gate.set_target_state(TargetState.READY)
-        self.gate.questions.ask = self.ask
+        self.gate.pace_queries.send_query = self.ask
         self.entry_end, self.gate_end = local_pair(iter(range(1, 9)))
         self.told = []
         for kind in (Refused, Cancelled, Broken, AnswerStart):
@@ -122,9 +122,11 @@
         self.gate.on_call_start(self.gate_end, start)
 
 
-def look_up(key, now: float, objective: float, deadline: float) -> Asking:
+def look_up(
+    key, now: float, objective: float, deadline: float
+) -> AdmissionRequest:
     """Return a look-up that comes now; its times count from now, in s."""
-    return Asking(
+    return AdmissionRequest(
         key,
         now + deadline,
         now + objective,
--- a/tests/gate/test_admission.py
+++ b/tests/gate/test_admission.py
@@ -8,9 +8,9 @@
 import pytest
 
 from cyclamenlift.core.codes import ResultCode
-from cyclamenlift.gate.admission import Asking
-from cyclamenlift.gate.admission import crowded_from
-from cyclamenlift.gate.crowding import LEAST_SAMPLES
+from cyclamenlift.gate.admission import AdmissionRequest
+from cyclamenlift.gate.admission import crowded_threshold
+from cyclamenlift.gate.concurrency import MIN_BAND_SAMPLES
 from cyclamenlift.gate.state import GateState
 from cyclamenlift.gate.state import Verdict
 from cyclamenlift.http.dialects import TargetLoad
@@ -27,12 +27,12 @@
     """Return a gate that has seen its route's calls for a while."""
     state = GateState(SLOTS)
     for beside in (2, SLOTS - 2, SLOTS - 1):
-        for _ in range(2 * LEAST_SAMPLES):
+        for _ in range(2 * MIN_BAND_SAMPLES):
             state.note_work('look-up', WORK, beside, 0.0)
     return state
 
 
-def asking(key, now: float = 0.0, **changes) -> Asking:
+def request(key, now: float = 0.0, **changes) -> AdmissionRequest:
     fields = {
         'key': key,
         'deadline': now + DEADLINE,
@@ -40,12 +40,12 @@
         'route': 'look-up',
         'rank': 2,
     }
-    return Asking(**{**fields, **changes})
+    return AdmissionRequest(**{**fields, **changes})
 
 
 def fill(state: GateState, count: int, now: float = 0.0) -> list[Verdict]:
     return [
-        state.admit_routed(asking(n, now), now).verdict for n in range(count)
+        state.admit_routed(request(n, now), now).verdict for n in range(count)
     ]
 
 
@@ -61,7 +61,7 @@
 def test_a_refusal_tells_when_there_will_be_room():
     state = gate()
     fill(state, 40)
-    refused = state.admit_routed(asking('late'), 0.0)
+    refused = state.admit_routed(request('late'), 0.0)
     assert refused.code == ResultCode.QUEUE_DEADLINE
     assert 0.1 < refused.retry_after < OBJECTIVE
 
@@ -69,7 +69,7 @@
 def test_a_call_that_waits_has_a_latest_start():
     state = gate()
     fill(state, SLOTS)
-    admission = state.admit_routed(asking('next'), 0.0)
+    admission = state.admit_routed(request('next'), 0.0)
     assert admission.verdict is Verdict.QUEUED
     assert admission.latest_start == pytest.approx(OBJECTIVE - WORK)
 
@@ -77,7 +77,7 @@
 def test_calls_of_running_work_go_before_all_others():
     state = gate()
     fill(state, SLOTS + 4)
-    nested = asking('nested', nested=True, useful_deadline=DEADLINE, rank=5)
+    nested = request('nested', nested=True, useful_deadline=DEADLINE, rank=5)
     assert state.admit_routed(nested, 0.0).verdict is Verdict.QUEUED
     assert state.finish(0, WORK, False, 0.1).started == ['nested']
 
@@ -85,18 +85,18 @@
 def test_the_urgent_go_before_the_less_urgent():
     state = gate()
     fill(state, SLOTS + 4)
-    state.admit_routed(asking('urgent', rank=1), 0.0)
+    state.admit_routed(request('urgent', rank=1), 0.0)
     assert state.finish(0, WORK, False, 0.1).started == ['urgent']
 
 
 def test_a_slot_is_kept_while_urgent_calls_come_and_given_when_not():
     state = gate()
-    state.admit_routed(asking('urgent', rank=0), 0.0)
+    state.admit_routed(request('urgent', rank=0), 0.0)
     state.finish('urgent', WORK, False, 0.0)
     started = fill(state, SLOTS).count(Verdict.START)
     assert started == SLOTS - 1
     later = gate()
-    later.admit_routed(asking('urgent', rank=0), 0.0)
+    later.admit_routed(request('urgent', rank=0), 0.0)
     later.finish('urgent', WORK, False, 0.0)
     assert fill(later, SLOTS, now=5.0).count(Verdict.START) == SLOTS
 
@@ -107,7 +107,7 @@
     fill(state, 40)
     waiting = len(state.queue)
     state.note_target_load(SLOW, 0.1)
-    sent_back = state.hopeless(0.1)
+    sent_back = state.drop_late_calls(0.1)
     assert sent_back
     assert len(state.queue) == waiting - len(sent_back)
     assert {e.code for e in sent_back} == {ResultCode.QUEUE_DEADLINE}
@@ -116,7 +116,7 @@
 def test_repeats_take_no_slot_that_a_first_try_may_need():
     state = gate()
     verdicts = [
-        state.admit_routed(asking(n, repeated=True), 0.0).verdict
+        state.admit_routed(request(n, repeated=True), 0.0).verdict
         for n in range(SLOTS)
     ]
     assert verdicts.count(Verdict.START) == 4
@@ -130,7 +130,7 @@
         state.note_work('look-up', WORK, 2, 0.0)
         state.note_work('look-up', WORK * 1.7, SLOTS - 2, 0.0)
         state.note_work('look-up', WORK * 1.7, SLOTS - 1, 0.0)
-    assert state.room == 4
+    assert state.concurrency_limit == 4
 
 
 def test_a_target_that_does_not_slow_down_keeps_all_its_slots():
@@ -139,7 +139,7 @@
         state.note_work('look-up', WORK, 2, 0.0)
         state.note_work('look-up', WORK * 1.1, SLOTS - 2, 0.0)
         state.note_work('look-up', WORK * 1.1, SLOTS - 1, 0.0)
-    assert state.room == SLOTS
+    assert state.concurrency_limit == SLOTS
 
 
 def test_calls_that_an_earlier_daemon_sent_hold_their_slots():
@@ -148,14 +148,14 @@
     state.note_target_load(TargetLoad(4, 1, SLOTS, 100), 0.0)
     assert fill(state, SLOTS).count(Verdict.START) == 1
     state.note_target_load(TargetLoad(1, 0, SLOTS, 100), 0.1)
-    assert state.room == SLOTS
+    assert state.concurrency_limit == SLOTS
 
 
 def test_who_has_come_back_goes_before_those_who_come_first():
     state = gate()
     fill(state, SLOTS)
-    assert state.admit_routed(asking('first'), 0.0).verdict is Verdict.QUEUED
-    back = asking('back', returned=True)
+    assert state.admit_routed(request('first'), 0.0).verdict is Verdict.QUEUED
+    back = request('back', returned=True)
     assert state.admit_routed(back, 0.0).verdict is Verdict.QUEUED
     assert state.finish(0, WORK, False, 0.01).started == ['back']
 
@@ -163,8 +163,8 @@
 def test_coming_back_does_not_make_a_call_more_urgent_than_another_kind():
     state = gate()
     fill(state, SLOTS)
-    state.admit_routed(asking('back', returned=True), 0.0)
-    state.admit_routed(asking('urgent', rank=1), 0.0)
+    state.admit_routed(request('back', returned=True), 0.0)
+    state.admit_routed(request('urgent', rank=1), 0.0)
     assert state.finish(0, WORK, False, 0.01).started == ['urgent']
 
 
@@ -174,29 +174,31 @@
     state = gate()
     late = WORK / 2
     roomy = [
-        state.admit_routed(asking(n, useful_deadline=late), 0.0).verdict
-        for n in range(crowded_from(SLOTS))
+        state.admit_routed(request(n, useful_deadline=late), 0.0).verdict
+        for n in range(crowded_threshold(SLOTS))
     ]
     assert set(roomy) == {Verdict.START}
-    refused = state.admit_routed(asking('late', useful_deadline=late), 0.0)
+    refused = state.admit_routed(request('late', useful_deadline=late), 0.0)
     assert refused.code == ResultCode.QUEUE_DEADLINE
-    assert refused.retry_after == pytest.approx(WORK / crowded_from(SLOTS))
-    assert state.admit_routed(asking('in time'), 0.0).verdict is Verdict.START
+    assert refused.retry_after == pytest.approx(
+        WORK / crowded_threshold(SLOTS)
+    )
+    assert state.admit_routed(request('in time'), 0.0).verdict is Verdict.START
 
 
 def test_a_slow_target_that_is_crowded_takes_only_what_can_still_be_in_time():
     state = gate()
-    fill(state, crowded_from(SLOTS))
-    running = crowded_from(SLOTS)
+    fill(state, crowded_threshold(SLOTS))
+    running = crowded_threshold(SLOTS)
     state.note_target_load(TargetLoad(running, 0, SLOTS, 700), 0.0)
     # 120 ms of work take 840 ms if they begin now, and about 620 ms if they
     # begin when the spell is over, so none begins before.
-    tight = asking('tight', useful_deadline=OBJECTIVE)
+    tight = request('tight', useful_deadline=OBJECTIVE)
     assert state.admit_routed(tight, 0.0).verdict is Verdict.REFUSED
-    ample = asking('ample', useful_deadline=0.9)
+    ample = request('ample', useful_deadline=0.9)
     held = state.admit_routed(ample, 0.0)
     assert held.verdict is Verdict.QUEUED
-    assert held.held == pytest.approx(0.5)
-    assert state.fill(0.1).started == []
+    assert held.hold_seconds == pytest.approx(0.5)
+    assert state.start_queued(0.1).started == []
     state.note_target_load(TargetLoad(running, 0, SLOTS, 100), 0.5)
-    assert state.fill(0.5).started == ['ample']
+    assert state.start_queued(0.5).started == ['ample']
--- a/tests/gate/test_asking_pace.py
+++ b/tests/gate/test_asking_pace.py
@@ -57,7 +57,7 @@
 def test_without_an_answer_the_call_is_decided_on_all_the_same():
     bench = GateBench()
     bench.call()
-    bench.gate.questions.answered()
+    bench.gate.pace_queries.resume_all()
     assert len(bench.target.requests) == 1
 
 
--- a/tests/gate/test_bodies.py
+++ b/tests/gate/test_body_transfers.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from cyclamenlift.gate.bodies import BODY_WINDOW
+from cyclamenlift.gate.body_transfers import BODY_WINDOW
 from cyclamenlift.wire.gen.protocol.ttypes import BodyChunk
 from cyclamenlift.wire.gen.protocol.ttypes import Cancel
 from cyclamenlift.wire.gen.protocol.ttypes import Hello
@@ -78,7 +78,7 @@
     """Guards against one entry that stands still in front of all others."""
     let_in(bench, 3)
     bench.gate.now = lambda: 1.0
-    bench.gate.bodies.fill()
+    bench.gate.body_transfers.start_transfers()
     assert asked(bench) == [1, 2, 3]
 
 
--- a/tests/gate/test_crowding.py
+++ b/tests/gate/test_concurrency.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from cyclamenlift.gate.crowding import Crowding
-from cyclamenlift.gate.crowding import LOOK_AGAIN_SECONDS
+from cyclamenlift.gate.concurrency import ConcurrencyLimiter
+from cyclamenlift.gate.concurrency import TRIAL_INTERVAL_SECONDS
 from cyclamenlift.gate.state import GateState
 from cyclamenlift.http.dialects import TargetLoad
 
@@ -34,7 +34,7 @@
         """Answer so many calls; return how many ran at once each time."""
         rooms = []
         for _ in range(calls):
-            running = min(self.state.room, most)
+            running = min(self.state.concurrency_limit, most)
             rooms.append(running)
             route = self.rng.choice(sorted(WORK))
             seconds = WORK[route] * self.rng.lognormvariate(0.0, SPREAD)
@@ -94,19 +94,19 @@
 def test_a_target_that_has_become_better_gets_its_slots_back():
     target = Target(0.8, 1.7)
     target.answer(400)
-    assert target.state.learning.crowding.chosen == 12
+    assert target.state.performance.limiter.chosen == 12
     target.slower = 1.0
     begun = target.now
-    while target.state.learning.crowding.chosen < SLOTS:
+    while target.state.performance.limiter.chosen < SLOTS:
         target.answer(50)
-        assert target.now - begun < 3 * LOOK_AGAIN_SECONDS
+        assert target.now - begun < 3 * TRIAL_INTERVAL_SECONDS
 
 
 def test_a_band_is_told_by_its_upper_end():
-    crowding = Crowding(SLOTS)
-    assert crowding.is_roomy(12.0)
-    assert not crowding.is_roomy(13.0)
-    assert crowding.slowness(15.0) == 1.0
+    crowding = ConcurrencyLimiter(SLOTS)
+    assert crowding.is_uncontended(12.0)
+    assert not crowding.is_uncontended(13.0)
+    assert crowding.contention_factor(15.0) == 1.0
 
 
 def test_calls_of_a_call_do_not_make_its_target_look_slow():
@@ -114,16 +114,16 @@
     for _ in range(60):
         state.note_work('order', 0.078, 5, 0.0)
         state.note_work('order', 0.178, 12, 0.0, nested=0.100)
-    assert state.room > 12
+    assert state.concurrency_limit > 12
 
 
 def test_a_call_during_which_the_pace_changed_tells_nothing():
     state = GateState(SLOTS)
     state.note_target_load(TargetLoad(3, 0, SLOTS, 100), 1.0)
     state.note_work('list', 0.150, 3, 1.1)
-    assert not state.learning.work.knows('list', 1)
+    assert not state.performance.work.knows('list', 1)
     state.note_work('list', 0.150, 3, 1.2)
-    assert state.learning.work.knows('list', 1)
+    assert state.performance.work.knows('list', 1)
 
 
 def test_what_is_learned_while_a_target_is_cold_is_the_usual_work():
@@ -132,4 +132,4 @@
     for step in range(20):
         state.note_target_load(TargetLoad(3, 0, SLOTS, 200), 2.0 + step)
         state.note_work('list', 0.300, 3, 2.0 + step)
-    assert state.learning.work.seconds('list') == pytest.approx(0.150)
+    assert state.performance.work.seconds('list') == pytest.approx(0.150)
--- a/tests/gate/test_gathering.py
+++ b/tests/gate/test_gathering.py
@@ -9,7 +9,7 @@
 """
 
 from cyclamenlift.core.codes import ResultCode
-from cyclamenlift.gate.running import GATHERED_BODY
+from cyclamenlift.gate.gate_call import MAX_BUFFERED_BODY
 from cyclamenlift.wire.gen.protocol.ttypes import BodyChunk
 from cyclamenlift.wire.gen.protocol.ttypes import Cancel
 from tests.gate.builders import GateBench
@@ -52,7 +52,7 @@
 
 def test_the_pace_is_asked_for_again_when_the_body_has_come():
     bench = begun()
-    bench.gate.state.learning.pace.told_at -= 0.25
+    bench.gate.state.performance.pace.reported_at -= 0.25
     send(bench, 3, last=True)
     assert bench.asked == 1
     assert bench.target.requests == []
@@ -90,5 +90,5 @@
 
 
 def test_a_body_too_large_to_gather_is_passed_on_as_it_comes():
-    bench = begun(GATHERED_BODY + 1)
+    bench = begun(MAX_BUFFERED_BODY + 1)
     assert len(bench.target.requests) == 1
--- a/tests/gate/test_health.py
+++ b/tests/gate/test_health.py
@@ -20,7 +20,7 @@
 
 def judge(health: HealthCheck, good: bool, times: int) -> None:
     for _ in range(times):
-        health.judge(good)
+        health.record_result(good)
 
 
 def test_a_target_that_answers_well_is_no_worse_for_its_page():
@@ -55,7 +55,7 @@
     """Let the newest figure of the target's load be ``age`` seconds old."""
     health.settings = Period()
     gate.note_answer_head([('x-load', '0,0,6,100')])
-    gate.state.learning.pace.told_at -= age
+    gate.state.performance.pace.reported_at -= age
     health.asked_at = gate.now()
     return health
 
@@ -63,12 +63,12 @@
 def test_a_quiet_target_is_asked_for_its_load_less_often():
     """The gate asks before each long call, so all else is only news."""
     gate, health = checked()
-    assert aged(gate, health, 0.4).heard_lately()
-    assert not aged(gate, health, 0.5).heard_lately()
+    assert aged(gate, health, 0.4).is_load_recent()
+    assert not aged(gate, health, 0.5).is_load_recent()
 
 
 def test_held_calls_hear_of_the_end_of_a_spell_soon():
     gate, health = checked()
     aged(gate, health, 0.1)
     gate.state.queue['held'] = None
-    assert not health.heard_lately()
+    assert not health.is_load_recent()
--- a/tests/gate/test_delays.py
+++ b/tests/gate/test_lag_tracker.py
@@ -2,43 +2,45 @@
 
 import pytest
 
-from cyclamenlift.gate.delays import Delays
+from cyclamenlift.gate.lag_tracker import LagTracker
 
 # The sender's clock is this far behind the gate's, in seconds.
 APART = 1234.5
 QUICK = 0.001
 
 
-def take(delays: Delays, sent_at: float, way: float, link: int = 1) -> float:
+def take(
+    delays: LagTracker, sent_at: float, way: float, link: int = 1
+) -> float:
     return delays.note(link, sent_at, sent_at + APART + way)
 
 
 def test_what_comes_as_quickly_as_ever_has_no_lag():
-    delays = Delays()
+    delays = LagTracker()
     assert [take(delays, at, QUICK) for at in range(5)] == [0.0] * 5
 
 
 def test_a_full_way_shows_at_once_and_its_end_too():
-    delays = Delays()
+    delays = LagTracker()
     lags = [take(delays, at, way) for at, way in enumerate([0, 1.5, 0.7, 0])]
     assert lags == pytest.approx([0.0, 1.5, 0.7, 0.0], abs=0.001)
 
 
 def test_a_quicker_way_becomes_the_measure():
-    delays = Delays()
+    delays = LagTracker()
     take(delays, 0, 0.8)
     assert take(delays, 1, QUICK) == 0.0
     assert take(delays, 2, 0.8) == pytest.approx(0.799, abs=0.001)
 
 
 def test_clocks_that_drift_apart_are_no_lag():
-    delays = Delays()
+    delays = LagTracker()
     lags = [take(delays, at, at * 0.0001) for at in range(0, 100_000, 50)]
     assert max(lags) == 0.0
 
 
 def test_each_connection_has_a_way_of_its_own_until_it_is_gone():
-    delays = Delays()
+    delays = LagTracker()
     take(delays, 0, QUICK, link=1)
     take(delays, 0, 2.0, link=2)
     assert take(delays, 1, 2.0, link=2) == 0.0
--- a/tests/gate/test_overload.py
+++ b/tests/gate/test_overload.py
@@ -63,8 +63,8 @@
     def come(self, now: float) -> None:
         self.push(now + self.rng.expovariate(self.rate), 'come', None)
         key = (self.number, now)
-        asking = look_up(key, now, OBJECTIVE, DEADLINE)
-        admission = self.state.admit_routed(asking, now)
+        request = look_up(key, now, OBJECTIVE, DEADLINE)
+        admission = self.state.admit_routed(request, now)
         if admission.verdict is Verdict.START:
             self.begin(key, now)
         elif admission.verdict is Verdict.REFUSED:
--- a/tests/gate/test_presence.py
+++ b/tests/gate/test_presence.py
@@ -27,7 +27,7 @@
 
 def leave(bench: GateBench) -> None:
     """Let a connection to the target be refused."""
-    bench.gate.ends.note_nobody_listens()
+    bench.gate.ends.note_connection_refused()
 
 
 def codes(bench: GateBench) -> list[int]:
@@ -78,7 +78,7 @@
         bench.gate.state.errors.note(False, 0.0)
     leave(bench)
     for _ in range(3):
-        health.judge(False)
+        health.record_result(False)
     assert bench.gate.state.target_state == TargetState.STARTING
     bench.call(1)
     assert codes(bench) == [ResultCode.TARGET_UNREACHABLE]
@@ -87,9 +87,9 @@
 @pytest.mark.parametrize(
     'appear',
     [
-        lambda gate: gate.ends.note_found(),
+        lambda gate: gate.ends.note_connected(),
         lambda gate: gate.announce(Announcement('i-2', 'prices', 8)),
-        lambda gate: gate.ends.note_running(asked_at=1.0),
+        lambda gate: gate.ends.note_alive(asked_at=1.0),
     ],
     ids=['takes connections', 'announces itself', 'answers its page'],
 )
@@ -107,7 +107,7 @@
     bench = GateBench(can_ask=False)
     bench.gate.announcements.doubt()
     leave(bench)
-    bench.gate.ends.note_found()
+    bench.gate.ends.note_connected()
     assert not bench.gate.presence.absent
     assert bench.gate.state.target_state == TargetState.STARTING
 
@@ -142,6 +142,6 @@
     with capture_logs() as logs:
         leave(bench)
         leave(bench)
-        bench.gate.ends.note_found()
+        bench.gate.ends.note_connected()
     events = [e['event'] for e in logs if e['event'].startswith('target_')]
     assert events == ['target_absent', 'target_present']
--- a/tests/gate/test_slow_spells.py
+++ b/tests/gate/test_slow_spells.py
@@ -18,8 +18,8 @@
 
 import pytest
 
-from cyclamenlift.gate.admission import Asking
-from cyclamenlift.gate.learning import Begun
+from cyclamenlift.gate.admission import AdmissionRequest
+from cyclamenlift.gate.performance import PaceAtStart
 from cyclamenlift.gate.state import GateState
 from cyclamenlift.gate.state import Verdict
 from cyclamenlift.http.dialects import TargetLoad
@@ -48,7 +48,7 @@
     at: float
     seconds: float
     mark: object
-    begun: Begun
+    pace_at_start: PaceAtStart
 
 
 class SpellDay:
@@ -59,7 +59,7 @@
         self.rng = random.Random(seed)
         self.rate = rate
         self.state = GateState(SLOTS)
-        self.spells = draw_spells(self.rng)
+        self.slowdowns = draw_spells(self.rng)
         self.heap: list = []
         self.number = 0
         self.in_time = 0
@@ -83,27 +83,27 @@
 
     def pace(self, now: float) -> int:
         """Return the target's pace at an instant."""
-        slow = any(at <= now < at + SPELL for at in self.spells)
+        slow = any(at <= now < at + SPELL for at in self.slowdowns)
         return SLOW if slow else USUAL
 
     def tell(self, now: float) -> None:
         self.push(now + FIGURES, self.tell)
         load = TargetLoad(len(self.state.running), 0, SLOTS, self.pace(now))
         self.state.note_target_load(load, now)
-        self.follow(now, self.state.hopeless(now))
-        turn = self.state.fill(now)
-        self.follow(now, turn.expired, turn.started)
+        self.apply_dequeued(now, self.state.drop_late_calls(now))
+        result = self.state.start_queued(now)
+        self.apply_dequeued(now, result.dropped, result.started)
 
-    def follow(self, now: float, expired, started=()) -> None:
-        self.refused += len(expired)
+    def apply_dequeued(self, now: float, dropped, started=()) -> None:
+        self.refused += len(dropped)
         for key in started:
             self.begin(key, now)
 
     def come(self, now: float) -> None:
         self.push(now + self.rng.expovariate(self.rate), self.come)
         key = (self.number, now)
-        asking = look_up(key, now, OBJECTIVE, DEADLINE)
-        admission = self.state.admit_routed(asking, now)
+        request = look_up(key, now, OBJECTIVE, DEADLINE)
+        admission = self.state.admit_routed(request, now)
         if admission.verdict is Verdict.START:
             self.begin(key, now)
         elif admission.verdict is Verdict.REFUSED:
@@ -122,7 +122,7 @@
             now,
             self.seconds(work, now),
             self.state.occupancy.mark(now),
-            self.state.learning.pace.begun(now),
+            self.state.performance.pace.pace_at_start(now),
         )
         self.push(now + call.seconds, self.end, call)
 
@@ -131,7 +131,7 @@
         if self.keeps:
             return work * self.pace(now) / USUAL
         at = now
-        for spell in self.spells:
+        for spell in self.slowdowns:
             if spell + SPELL <= at:
                 continue
             before = max(0.0, spell - at)
@@ -149,14 +149,14 @@
     def end(self, now: float, call: Running) -> None:
         beside = self.state.occupancy.mean_since(call.mark, now) - 1.0
         self.state.note_work(
-            'look-up', call.seconds, beside, now, 0.0, call.begun
+            'look-up', call.seconds, beside, now, 0.0, call.pace_at_start
         )
         if now - call.key[1] <= OBJECTIVE:
             self.in_time += 1
         else:
             self.late += 1
-        turn = self.state.finish(call.key, call.seconds, False, now)
-        self.follow(now, turn.expired, turn.started)
+        result = self.state.finish(call.key, call.seconds, False, now)
+        self.apply_dequeued(now, result.dropped, result.started)
 
 
 def draw_spells(rng: random.Random) -> list[float]:
@@ -172,7 +172,7 @@
 
 def begin_at_once(day: SpellDay) -> None:
     """Let the gate begin each call whatever the pace is."""
-    day.state.learning.best_start = lambda work, _now: Start(0.0, work)
+    day.state.performance.best_start = lambda work, _now: Start(0.0, work)
 
 
 @pytest.mark.parametrize('seed', range(3))
@@ -184,7 +184,7 @@
     share = day.run()
     assert share > 0.97
     assert share > blind.run() + 0.1
-    assert day.state.learning.keeping.kept
+    assert day.state.performance.pace_retention.is_retained
 
 
 @pytest.mark.parametrize('seed', range(3))
@@ -194,20 +194,22 @@
     blind = SpellDay(False, seed)
     begin_at_once(blind)
     assert day.run() > blind.run() - 0.02
-    assert not day.state.learning.keeping.kept
+    assert not day.state.performance.pace_retention.is_retained
 
 
 def test_short_calls_are_not_held():
     day = SpellDay(True, 1)
     day.state.note_target_load(TargetLoad(0, 0, SLOTS, SLOW), 0.0)
-    short = Asking('short', 1.0, 0.5, route='check', objective=0.04)
+    short = AdmissionRequest('short', 1.0, 0.5, route='check', objective=0.04)
     assert day.state.admit_routed(short, 0.0).verdict is Verdict.START
 
 
 def test_a_call_that_can_not_wait_for_the_end_is_sent_back():
     state = GateState(SLOTS)
     state.note_target_load(TargetLoad(0, 0, SLOTS, SLOW), 0.0)
-    urgent = Asking('urgent', 2.0, 0.6, route='look-up', objective=0.6)
+    urgent = AdmissionRequest(
+        'urgent', 2.0, 0.6, route='look-up', objective=0.6
+    )
     admission = state.admit_routed(urgent, 0.0)
     assert admission.verdict is Verdict.REFUSED
     assert admission.retry_after == pytest.approx(0.5)
@@ -221,5 +223,5 @@
     usual = GateState(SLOTS)
     for number in range(SLOTS):
         usual.start(number, 0.0, WORK)
-    wait = state.wait_behind(0, SLOTS, WORK)
-    assert wait > 2 * usual.wait_behind(0, SLOTS, WORK)
+    wait = state.wait_for_slot(0, SLOTS, WORK)
+    assert wait > 2 * usual.wait_for_slot(0, SLOTS, WORK)
--- a/tests/gate/test_state.py
+++ b/tests/gate/test_state.py
@@ -64,9 +64,9 @@
     state = gate()
     state.admit('running', LATER, 0.0)
     state.admit('late', 1.0, 0.0)
-    turn = state.finish('running', 2.0, False, 2.0)
-    assert not turn.started
-    assert turn.expired[0].code == ResultCode.DEADLINE_NOT_RUN
+    result = state.finish('running', 2.0, False, 2.0)
+    assert not result.started
+    assert result.dropped[0].code == ResultCode.DEADLINE_NOT_RUN
 
 
 def test_withdraw_proves_only_queued_calls():
@@ -103,8 +103,8 @@
         elif step == 'f' and state.running:
             key = sorted(state.running)[pick % len(state.running)]
             ended.add(key)
-            turn = state.finish(key, 0.01, False, float(number))
-            ended.update(e.key for e in turn.expired)
+            result = state.finish(key, 0.01, False, float(number))
+            ended.update(e.key for e in result.dropped)
         elif step == 'w' and state.queue:
             key = sorted(state.queue)[pick % len(state.queue)]
             assert state.withdraw(key)
--- a/tests/gate/test_suspects.py
+++ b/tests/gate/test_suspects.py
@@ -70,7 +70,7 @@
 
 def test_one_that_waits_is_looked_at_again_before_it_begins(bench):
     bench.gate.state.queue_limit = 1
-    while len(bench.gate.state.running) < bench.gate.state.room:
+    while len(bench.gate.state.running) < bench.gate.state.concurrency_limit:
         bench.call(len(bench.gate.state.running), fingerprint=OTHER)
     begun = len(bench.target.requests)
     bench.call(99, fingerprint=BAD)
@@ -109,7 +109,7 @@
         listener.on_failure(CLOSED)
     assert bench.told == []
     assert not bench.gate.is_idle()
-    bench.gate.ends.note_nobody_listens()
+    bench.gate.ends.note_connection_refused()
     assert codes(bench) == [ResultCode.TARGET_ENDED] * 2
     assert bench.told[0].end.fingerprints == [BAD, OTHER]
     assert bench.told[1].end is None
@@ -119,7 +119,7 @@
 def test_entries_do_not_wait_long_where_nothing_shows_an_end(bench):
     bench.call(1, fingerprint=BAD)
     bench.target.listeners[0].on_failure(CLOSED)
-    bench.gate.ends.note_running(asked_at=bench.gate.now())
+    bench.gate.ends.note_alive(asked_at=bench.gate.now())
     assert codes(bench) == [ResultCode.TARGET_BROKE_OFF]
     assert bench.told[0].end is None
 
@@ -127,7 +127,7 @@
 def test_a_call_that_was_given_up_a_moment_before_the_end_counts(bench):
     bench.call(1, fingerprint=BAD)
     bench.gate.on_cancel(bench.gate_end, Cancel(1))
-    bench.gate.ends.note_nobody_listens()
+    bench.gate.ends.note_connection_refused()
     judgement = bench.gate.quarantine.judge('prices', BAD)
     assert judgement.standing is Standing.SUSPECT
 
--- a/tests/gate/test_ends.py
+++ b/tests/gate/test_termination.py
@@ -36,8 +36,8 @@
     with capture_logs() as logs:
         break_off(bench)
         assert bench.target.looks == 1
-        bench.gate.ends.note_nobody_listens()
-        bench.gate.ends.note_nobody_listens()
+        bench.gate.ends.note_connection_refused()
+        bench.gate.ends.note_connection_refused()
     assert ended(logs) == [[b'a'.hex(), b'b'.hex()]]
 
 
@@ -57,7 +57,7 @@
     with capture_logs() as logs:
         break_off(bench)
         bench.gate.ends.note_answer(begun_at=1.0)
-        bench.gate.ends.note_nobody_listens()
+        bench.gate.ends.note_connection_refused()
     assert ended(logs) == []
 
 
@@ -66,7 +66,7 @@
     bench.gate.target_leaves('i-1')
     with capture_logs() as logs:
         break_off(bench)
-        bench.gate.ends.note_nobody_listens()
+        bench.gate.ends.note_connection_refused()
     assert ended(logs) == []
 
 
@@ -74,7 +74,7 @@
     run(bench, b'a')
     with capture_logs() as logs:
         break_off(bench, TargetFailure(True, 'spoilt', FailureKind.OTHER))
-        bench.gate.ends.note_nobody_listens()
+        bench.gate.ends.note_connection_refused()
     assert ended(logs) == []
 
 
@@ -83,10 +83,10 @@
     run(bench, b'a')
     break_off(bench)
     before = bench.asked
-    bench.gate.ends.note_found()
+    bench.gate.ends.note_connected()
     assert bench.asked == before + 1
     assert not bench.told
-    bench.gate.ends.note_nobody_listens()
+    bench.gate.ends.note_connection_refused()
     assert [told.code for told in bench.told] == [ResultCode.TARGET_ENDED]
 
 
@@ -94,7 +94,7 @@
     """Guards against an answer from before the end that counts after it."""
     run(bench, b'a')
     break_off(bench)
-    bench.gate.ends.note_running(asked_at=-0.1)
+    bench.gate.ends.note_alive(asked_at=-0.1)
     assert not bench.told
-    bench.gate.ends.note_running(asked_at=0.1)
+    bench.gate.ends.note_alive(asked_at=0.1)
     assert [told.code for told in bench.told] == [ResultCode.TARGET_BROKE_OFF]
--- a/tests/gate/test_verdicts.py
+++ b/tests/gate/test_verdicts.py
@@ -3,7 +3,7 @@
 import pytest
 
 from cyclamenlift.gate.verdicts import AnswerVerdict
-from cyclamenlift.gate.verdicts import judge_answer
+from cyclamenlift.gate.verdicts import classify_answer
 from cyclamenlift.http.dialects import DEFAULT_DIALECT
 from tests.runtime.builders import platform_like_dialect
 
@@ -32,10 +32,10 @@
 )
 def test_only_a_proven_answer_is_passed_on(status, headers, verdict):
     dialect = platform_like_dialect()
-    assert judge_answer(dialect, status, headers) is verdict
+    assert classify_answer(dialect, status, headers) is verdict
 
 
 def test_a_dialect_without_proofs_passes_everything_on():
     for status in (200, 421, 429, 503):
-        found = judge_answer(DEFAULT_DIALECT, status, [])
+        found = classify_answer(DEFAULT_DIALECT, status, [])
         assert found is AnswerVerdict.ANSWER
--- a/tests/platform/test_targets.py
+++ b/tests/platform/test_targets.py
@@ -75,7 +75,7 @@
 
 
 def test_a_check_in_opens_the_gate_with_the_targets_slots(gate):
-    assert gate.is_unknown()
+    assert gate.is_target_unknown()
     assert beat(gate) == 200
     assert gate.state.slots == 6
     assert gate.state.target_state == TargetState.READY
@@ -140,7 +140,7 @@
 )
 def test_a_wrong_check_in_is_refused_and_changes_nothing(gate, changes):
     assert beat(gate, **changes) == 400
-    assert gate.is_unknown()
+    assert gate.is_target_unknown()
 
 
 @pytest.mark.parametrize('missing', sorted(BEAT))
@@ -149,7 +149,7 @@
     asked = Asked('/v1/Instances.Heartbeat/i-1', body.encode())
     TargetCheckIns(gate, 'prices').take(asked)
     assert asked.status == 400
-    assert gate.is_unknown()
+    assert gate.is_target_unknown()
 
 
 def test_a_restart_under_the_same_name_opens_a_draining_gate(gate):
--- a/tests/runtime/test_load_news.py
+++ b/tests/runtime/test_load_news.py
@@ -45,5 +45,5 @@
     gate.note_answer_head([('x-load', '1,0,4,700')])
     wary = CallStart(call_id=1, most_pace_percent=200)
     content = CallStart(call_id=2, most_pace_percent=0)
-    assert gate.entrance.is_too_slow(wary, 0.0)
-    assert not gate.entrance.is_too_slow(content, 0.0)
+    assert gate.admission_control.is_too_slow(wary, 0.0)
+    assert not gate.admission_control.is_too_slow(content, 0.0)
--- a/tests/runtime/test_mechanisms.py
+++ b/tests/runtime/test_mechanisms.py
@@ -67,7 +67,7 @@
     one = made('slots_by_crowding')
     one.leave_out()
     one.gate.set_slots(15)
-    assert one.gate.state.room == 15
+    assert one.gate.state.concurrency_limit == 15
 
 
 def test_hedges_are_off_in_every_document(made):
--- a/tests/runtime/test_path.py
+++ b/tests/runtime/test_path.py
@@ -11,7 +11,7 @@
 from cyclamenlift.calls.tries import Tries
 from cyclamenlift.core.codes import ResultCode
 from cyclamenlift.core.streams import Address
-from cyclamenlift.gate.running import GateCall
+from cyclamenlift.gate.gate_call import GateCall
 from cyclamenlift.http.exchange import Exchange
 from cyclamenlift.http.target_call import TargetCall
 from cyclamenlift.runtime.local import local_pair
--- a/tools/mutants_quarantine.py
+++ b/tools/mutants_quarantine.py
@@ -66,9 +66,9 @@
     ),
     Mutant(
         'a broken connection counts as an end',
-        'cyclamenlift/gate/ends.py',
-        'client.found_hooks.append(self.note_found)',
-        'client.found_hooks.append(self.note_nobody_listens)',
+        'cyclamenlift/gate/termination.py',
+        'client.found_hooks.append(self.note_connected)',
+        'client.found_hooks.append(self.note_connection_refused)',
         PATH_TESTS,
     ),
     Mutant(
