--- a/tests/gate/builders.py
+++ b/tests/gate/builders.py
@@ -1,4 +1,4 @@
-"""A gate between a target that answers nothing and the end of a link."""
+"""A gate with a target that never answers, and the entry's end of a link."""
 
 from cyclamenlift.gate.admission import AdmissionRequest
 from cyclamenlift.gate.registration import Announcement
@@ -19,7 +19,7 @@
 
 
 class SilentTarget:
-    """Takes requests and answers none."""
+    """A target client that accepts requests and never answers."""
 
     def __init__(self):
         self.requests = []
@@ -41,28 +41,28 @@
         return self.connected
 
     def drop_idle(self):
-        """Close nothing."""
+        """Do nothing: there are no connections."""
 
     def send_body(self, data, _last):
         self.bodies.append(data)
 
     def cancel(self):
-        """Stop."""
+        """Do nothing."""
 
 
 class NoTimer:
-    """A timer that runs nothing."""
+    """A timer that never fires."""
 
     def cancel(self) -> None:
-        """Cancel nothing."""
+        """Do nothing."""
 
 
 class GateBench:
-    """A gate that can ask its target, and the entry's end of a link."""
+    """A gate that can query its target, and the entry's end of a link."""
 
-    def __init__(self, can_ask: bool = True):
-        self.asked = 0
-        self.can_ask = can_ask
+    def __init__(self, can_query: bool = True):
+        self.queries = 0
+        self.can_query = can_query
         self.target = SilentTarget()
         self.gate = Gate(
             quiet_scheduler(),
@@ -73,12 +73,12 @@
         )
         self.gate.announce(Announcement('i-1', 'prices', 8))
         self.gate.set_target_state(TargetState.READY)
-        self.gate.pace_queries.send_query = self.ask
+        self.gate.pace_queries.send_query = self.count_query
         self.entry_end, self.gate_end = local_pair(iter(range(1, 9)))
-        self.told = []
+        self.outcomes = []
         for kind in (Refused, Cancelled, Broken, AnswerStart):
             self.entry_end.subscribe(
-                kind, lambda _link, message: self.told.append(message)
+                kind, lambda _link, message: self.outcomes.append(message)
             )
         self.credits = []
         self.entry_end.subscribe(
@@ -86,14 +86,14 @@
         )
         self.entry_end.subscribe(LoadNews, lambda _link, _news: None)
 
-    def ask(self) -> bool:
-        self.asked += 1
-        return self.can_ask
+    def count_query(self) -> bool:
+        self.queries += 1
+        return self.can_query
 
-    def tell(self, pace: int) -> None:
+    def report_pace(self, pace: int) -> None:
         self.gate.note_answer_head([('x-load', f'0,0,8,{pace}')])
 
-    def call(
+    def send_call(
         self,
         number: int = 1,
         most: int = 0,
@@ -125,7 +125,7 @@
 def look_up(
     key, now: float, objective: float, deadline: float
 ) -> AdmissionRequest:
-    """Return a look-up that comes now; its times count from now, in s."""
+    """Return a request for a look-up at ``now``; times are relative to it."""
     return AdmissionRequest(
         key,
         now + deadline,
--- a/tests/gate/test_admission.py
+++ b/tests/gate/test_admission.py
@@ -1,8 +1,9 @@
-"""Who enters a target when there are more calls than slots.
+"""Admission when a target gets more calls than it has slots.
 
-The load: calls for twice a target's slots for seconds, of kinds that differ
-in urgency, some of them made by calls that hold slots elsewhere. Figures:
-work of 120 ms with an objective of 400 ms, as on the sites' sheets.
+Guards against serving calls so late that none is in time. Calls for twice a
+target's slots arrive for seconds; they differ in urgency, and some are nested
+calls whose parents hold slots elsewhere. Work takes 120 ms with an objective
+of 400 ms, as specified for the sites.
 """
 
 import pytest
@@ -24,7 +25,7 @@
 
 
 def gate() -> GateState:
-    """Return a gate that has seen its route's calls for a while."""
+    """Return a gate that has measured calls of the route."""
     state = GateState(SLOTS)
     for beside in (2, SLOTS - 2, SLOTS - 1):
         for _ in range(2 * MIN_BAND_SAMPLES):
@@ -53,12 +54,12 @@
     verdicts = fill(gate(), 40)
     assert verdicts[:SLOTS] == [Verdict.START] * SLOTS
     waiting = verdicts.count(Verdict.QUEUED)
-    # 280 ms are left for waiting; six slots free one each 20 ms.
+    # 280 ms are left for waiting; six slots free one every 20 ms.
     assert 8 <= waiting <= 14
     assert verdicts[-1] is Verdict.REFUSED
 
 
-def test_a_refusal_tells_when_there_will_be_room():
+def test_refusal_carries_the_wait_for_a_free_slot():
     state = gate()
     fill(state, 40)
     refused = state.admit_routed(request('late'), 0.0)
@@ -66,7 +67,7 @@
     assert 0.1 < refused.retry_after < OBJECTIVE
 
 
-def test_a_call_that_waits_has_a_latest_start():
+def test_queued_call_has_a_latest_start():
     state = gate()
     fill(state, SLOTS)
     admission = state.admit_routed(request('next'), 0.0)
@@ -74,7 +75,7 @@
     assert admission.latest_start == pytest.approx(OBJECTIVE - WORK)
 
 
-def test_calls_of_running_work_go_before_all_others():
+def test_nested_calls_start_before_all_others():
     state = gate()
     fill(state, SLOTS + 4)
     nested = request('nested', nested=True, useful_deadline=DEADLINE, rank=5)
@@ -82,14 +83,14 @@
     assert state.finish(0, WORK, False, 0.1).started == ['nested']
 
 
-def test_the_urgent_go_before_the_less_urgent():
+def test_urgent_calls_start_before_less_urgent_ones():
     state = gate()
     fill(state, SLOTS + 4)
     state.admit_routed(request('urgent', rank=1), 0.0)
     assert state.finish(0, WORK, False, 0.1).started == ['urgent']
 
 
-def test_a_slot_is_kept_while_urgent_calls_come_and_given_when_not():
+def test_slot_is_reserved_only_while_urgent_calls_arrive():
     state = gate()
     state.admit_routed(request('urgent', rank=0), 0.0)
     state.finish('urgent', WORK, False, 0.0)
@@ -101,7 +102,7 @@
     assert fill(later, SLOTS, now=5.0).count(Verdict.START) == SLOTS
 
 
-def test_a_slow_spell_sends_back_what_can_no_longer_be_in_time():
+def test_slowdown_drops_queued_calls_that_will_be_late():
     state = gate()
     state.note_target_load(USUAL, 0.0)
     fill(state, 40)
@@ -113,7 +114,7 @@
     assert {e.code for e in sent_back} == {ResultCode.QUEUE_DEADLINE}
 
 
-def test_repeats_take_no_slot_that_a_first_try_may_need():
+def test_retries_use_a_limited_share_of_the_slots():
     state = gate()
     verdicts = [
         state.admit_routed(request(n, repeated=True), 0.0).verdict
@@ -123,7 +124,7 @@
     assert verdicts.count(Verdict.REFUSED) == 2
 
 
-def test_the_last_slots_are_given_up_where_a_crowd_costs_more():
+def test_concurrency_is_limited_where_contention_costs_more():
     """A target that takes 1.7 times as long from 80 % of its slots on."""
     state = GateState(SLOTS)
     for _ in range(60):
@@ -133,7 +134,7 @@
     assert state.concurrency_limit == 4
 
 
-def test_a_target_that_does_not_slow_down_keeps_all_its_slots():
+def test_target_without_contention_uses_all_slots():
     state = GateState(SLOTS)
     for _ in range(60):
         state.note_work('look-up', WORK, 2, 0.0)
@@ -142,7 +143,7 @@
     assert state.concurrency_limit == SLOTS
 
 
-def test_calls_that_an_earlier_daemon_sent_hold_their_slots():
+def test_calls_of_an_earlier_daemon_occupy_slots():
     """Regression: after a restart a busy target got all its slots again."""
     state = gate()
     state.note_target_load(TargetLoad(4, 1, SLOTS, 100), 0.0)
@@ -151,7 +152,7 @@
     assert state.concurrency_limit == SLOTS
 
 
-def test_who_has_come_back_goes_before_those_who_come_first():
+def test_returned_callers_start_before_new_ones():
     state = gate()
     fill(state, SLOTS)
     assert state.admit_routed(request('first'), 0.0).verdict is Verdict.QUEUED
@@ -160,7 +161,7 @@
     assert state.finish(0, WORK, False, 0.01).started == ['back']
 
 
-def test_coming_back_does_not_make_a_call_more_urgent_than_another_kind():
+def test_returning_does_not_outrank_urgency():
     state = gate()
     fill(state, SLOTS)
     state.admit_routed(request('back', returned=True), 0.0)
@@ -168,9 +169,9 @@
     assert state.finish(0, WORK, False, 0.01).started == ['urgent']
 
 
-def test_a_call_that_will_be_late_takes_no_slot_of_a_crowded_target():
-    # The load: twice what there is room for, some of it come back after a
-    # refusal with little time left.
+def test_call_that_will_be_late_gets_no_slot_of_a_crowded_target():
+    # The load is twice the capacity; some calls come back after a refusal with
+    # little time left.
     state = gate()
     late = WORK / 2
     roomy = [
@@ -186,13 +187,13 @@
     assert state.admit_routed(request('in time'), 0.0).verdict is Verdict.START
 
 
-def test_a_slow_target_that_is_crowded_takes_only_what_can_still_be_in_time():
+def test_slow_crowded_target_admits_only_calls_that_can_be_in_time():
     state = gate()
     fill(state, crowded_threshold(SLOTS))
     running = crowded_threshold(SLOTS)
     state.note_target_load(TargetLoad(running, 0, SLOTS, 700), 0.0)
     # 120 ms of work take 840 ms if they begin now, and about 620 ms if they
-    # begin when the spell is over, so none begins before.
+    # begin after the slowdown, so none begins before its end.
     tight = request('tight', useful_deadline=OBJECTIVE)
     assert state.admit_routed(tight, 0.0).verdict is Verdict.REFUSED
     ample = request('ample', useful_deadline=0.9)
--- a/tests/gate/test_asking_pace.py
+++ b/tests/gate/test_asking_pace.py
@@ -1,8 +1,9 @@
-"""A gate asks its target for the pace before it begins a call.
+"""A gate queries the target's pace before it begins a call.
 
-The load: a target tells its pace with each answer, two or three times a
-second, and a call of 660 ms that begins just after a slow spell has begun
-takes 4.6 s. One in ten calls began so with figures up to 120 ms old.
+Guards against calls that begin on an outdated pace. A target reports its pace
+with each answer, two or three times a second, and a call of 660 ms that begins
+just after the start of a slowdown takes 4.6 s. With figures up to 120 ms old,
+one in ten calls began that way.
 """
 
 import pytest
@@ -12,70 +13,70 @@
 from tests.gate.builders import GateBench
 
 
-def test_a_call_waits_for_the_word_of_its_target():
+def test_call_waits_for_the_pace_of_its_target():
     bench = GateBench()
-    bench.call()
-    assert bench.asked == 1
+    bench.send_call()
+    assert bench.queries == 1
     assert bench.target.requests == []
     assert not bench.gate.is_idle()
-    bench.tell(100)
+    bench.report_pace(100)
     assert len(bench.target.requests) == 1
 
 
-def test_a_target_in_a_spell_is_not_given_the_call():
+def test_call_is_held_during_a_slowdown():
     bench = GateBench()
-    bench.call()
-    bench.tell(700)
+    bench.send_call()
+    bench.report_pace(700)
     assert bench.target.requests == []
     assert len(bench.gate.state.queue) == 1
-    bench.tell(100)
+    bench.report_pace(100)
     assert len(bench.target.requests) == 1
 
 
-def test_a_call_that_may_go_elsewhere_goes_back_on_the_word():
+def test_call_with_a_pace_limit_is_refused_by_a_slow_target():
     bench = GateBench()
-    bench.call(most=200)
-    bench.tell(700)
-    assert [r.code for r in bench.told] == [int(ResultCode.TARGET_SLOW)]
+    bench.send_call(most=200)
+    bench.report_pace(700)
+    assert [r.code for r in bench.outcomes] == [int(ResultCode.TARGET_SLOW)]
     assert bench.gate.is_idle()
 
 
-def test_a_fresh_figure_needs_no_question():
+def test_recent_pace_is_not_queried_again():
     bench = GateBench()
-    bench.tell(100)
-    bench.call()
-    assert bench.asked == 0
+    bench.report_pace(100)
+    bench.send_call()
+    assert bench.queries == 0
     assert len(bench.target.requests) == 1
 
 
-def test_where_nothing_can_be_asked_the_call_begins():
-    bench = GateBench(can_ask=False)
-    bench.call()
+def test_call_begins_if_the_pace_can_not_be_queried():
+    bench = GateBench(can_query=False)
+    bench.send_call()
     assert len(bench.target.requests) == 1
 
 
-def test_without_an_answer_the_call_is_decided_on_all_the_same():
+def test_call_is_decided_on_when_the_query_times_out():
     bench = GateBench()
-    bench.call()
+    bench.send_call()
     bench.gate.pace_queries.resume_all()
     assert len(bench.target.requests) == 1
 
 
-def test_a_call_that_waits_for_the_word_can_be_cancelled_as_not_run():
+def test_call_that_waits_for_the_pace_is_cancelled_as_not_run():
     bench = GateBench()
-    bench.call()
+    bench.send_call()
     bench.gate.on_cancel(bench.gate_end, Cancel(1))
-    assert [c.not_run for c in bench.told] == [True]
-    bench.tell(100)
+    assert [c.not_run for c in bench.outcomes] == [True]
+    bench.report_pace(100)
     assert bench.target.requests == []
     assert bench.gate.is_idle()
 
 
 @pytest.mark.parametrize('pace', [100, 700])
-def test_a_drain_decides_on_calls_that_wait(pace):
+def test_drain_refuses_calls_that_wait_for_the_pace(pace):
     bench = GateBench()
-    bench.call()
+    bench.send_call()
     bench.gate.drain()
-    assert [r.code for r in bench.told] == [int(ResultCode.DRAINING)]
-    bench.tell(pace)
+    assert [r.code for r in bench.outcomes] == [int(ResultCode.DRAINING)]
+    bench.report_pace(pace)
     assert bench.target.requests == []
--- a/tests/gate/test_body_transfers.py
+++ b/tests/gate/test_body_transfers.py
@@ -1,9 +1,9 @@
-"""Bodies on their way leave room on a gate's link for everything else.
+"""Bodies in transfer leave bandwidth on a gate's link for other traffic.
 
-The load: uploads of 60 KB, many at once, over a link of 4.3 Mbit/s. Each
-body that was let in had 32 KB under way, so with seven of them a question
-to the gate waited 0.4 s behind bodies, and callers whose objective is 0.64 s
-asked several such gates before they heard that none had room.
+Guards against bodies that saturate the link: many uploads of 60 KB share a
+link of 4.3 Mbit/s. Each admitted body had 32 KB in flight, so with seven of
+them a call to the gate waited 0.4 s behind bodies, and callers whose objective
+is 0.64 s tried several such gates before they learned that none had capacity.
 """
 
 import pytest
@@ -15,29 +15,29 @@
 from tests.gate.builders import GateBench
 
 LENGTH = 60_000
-# 4.3 Mbit/s in bytes a second.
+# 4.3 Mbit/s in bytes per second.
 SLOW_LINK = 537_500.0
-# The longest that a question may wait behind bodies, in seconds: it crosses
-# the link twice, and several gates are asked within an objective of 0.5 s.
+# The longest that a call may wait behind bodies, in seconds: it crosses the
+# link twice, and several gates are tried within an objective of 0.5 s.
 MOST_WAIT = 0.125
 
 
 @pytest.fixture
 def bench():
     bench = GateBench()
-    bench.tell(100)
+    bench.report_pace(100)
     bench.gate.link_rate = SLOW_LINK
     bench.gate_end.hello = Hello('entry', 'bole', 3, 'c')
     return bench
 
 
-def let_in(bench: GateBench, calls: int) -> None:
+def admit_calls(bench: GateBench, calls: int) -> None:
     for number in range(1, calls + 1):
-        bench.call(number, length=LENGTH)
+        bench.send_call(number, length=LENGTH)
 
 
-def under_way(bench: GateBench, received: int = 0) -> int:
-    """Return the bytes that entries may have on the link."""
+def bytes_in_flight(bench: GateBench, received: int = 0) -> int:
+    """Return the bytes that entries are allowed to have on the link."""
     return sum(c.bytes_allowed for c in bench.credits) - received
 
 
@@ -46,51 +46,51 @@
 
 
 def deliver(bench: GateBench, number: int) -> None:
-    """Bring the whole body of a call."""
+    """Deliver the whole body of a call."""
     chunk = BodyChunk(number, b'x' * LENGTH, True)
     bench.gate.on_body_chunk(bench.gate_end, chunk)
 
 
-def test_a_question_waits_behind_few_bytes_of_bodies(bench):
-    """Guards against bodies that fill a slow link for all that is asked."""
-    let_in(bench, 7)
-    assert under_way(bench) <= MOST_WAIT * SLOW_LINK
+def test_bytes_of_bodies_in_flight_are_limited(bench):
+    """Guards against bodies that saturate a slow link."""
+    admit_calls(bench, 7)
+    assert bytes_in_flight(bench) <= MOST_WAIT * SLOW_LINK
 
 
-def test_the_next_body_is_asked_for_when_one_has_come(bench):
-    """Guards against bodies that are let in and never asked for."""
-    let_in(bench, 4)
+def test_next_body_is_requested_when_one_is_complete(bench):
+    """Guards against calls whose bodies are never requested."""
+    admit_calls(bench, 4)
     for number in (1, 2, 3, 4):
         assert number in asked(bench)
         deliver(bench, number)
     assert len(bench.target.requests) == 4
 
 
-def test_a_body_that_is_given_up_makes_room_for_the_next(bench):
-    """Guards against a place that a call keeps after its end."""
-    let_in(bench, 3)
+def test_cancelled_call_frees_its_transfer(bench):
+    """Guards against a transfer that outlives its call."""
+    admit_calls(bench, 3)
     first, second = asked(bench)
     bench.gate.on_cancel(bench.gate_end, Cancel(first))
     assert asked(bench) == [first, second, 3]
 
 
-def test_a_body_that_stops_coming_makes_room_for_the_next(bench):
-    """Guards against one entry that stands still in front of all others."""
-    let_in(bench, 3)
+def test_stalled_body_frees_its_transfer(bench):
+    """Guards against a stalled entry that blocks all others."""
+    admit_calls(bench, 3)
     bench.gate.now = lambda: 1.0
     bench.gate.body_transfers.start_transfers()
     assert asked(bench) == [1, 2, 3]
 
 
-def test_a_wide_link_is_not_kept_empty(bench):
-    """Guards against uploads that wait for each other without need."""
+def test_fast_link_carries_many_bodies_at_once(bench):
+    """Guards against needless serialization of uploads on a fast link."""
     bench.gate.link_rate = 125_000_000.0
-    let_in(bench, 7)
-    assert under_way(bench) == 7 * BODY_WINDOW
+    admit_calls(bench, 7)
+    assert bytes_in_flight(bench) == 7 * BODY_WINDOW
 
 
-def test_bodies_of_the_own_instance_cross_no_link(bench):
-    """Guards against local callers that wait for others' bodies."""
+def test_local_bodies_are_not_limited(bench):
+    """Guards against local callers that wait for remote bodies."""
     bench.gate_end.hello = None
-    let_in(bench, 7)
-    assert under_way(bench) == 7 * BODY_WINDOW
+    admit_calls(bench, 7)
+    assert bytes_in_flight(bench) == 7 * BODY_WINDOW
--- a/tests/gate/test_concurrency.py
+++ b/tests/gate/test_concurrency.py
@@ -1,9 +1,10 @@
-"""How many calls a target is worth running at once, learned from calls.
+"""The concurrency limit of a target is learned from its calls.
 
-The load: more calls than slots for seconds, at targets that take 1.7 times
-as long for every call while more than eight tenths of their 15 slots are in
-use, and at others that do not. Times of calls vary by a third. With 15
-slots in use the first kind gets as much done as 9 would.
+Guards against running too many or too few calls at once. More calls than slots
+arrive for seconds. Some targets take 1.7 times as long for every call while
+more than eight tenths of their 15 slots are in use, others don't. Service
+times vary by a third. With 15 slots in use the first kind has the throughput
+of 9.
 """
 
 import random
@@ -21,7 +22,7 @@
 
 
 class Target:
-    """A target under more calls than it has slots: all it may run runs."""
+    """A saturated target: as many calls run as the limit allows."""
 
     def __init__(self, knee: float, slower: float, slots: int = SLOTS):
         self.state = GateState(slots)
@@ -31,7 +32,7 @@
         self.now = 0.0
 
     def answer(self, calls: int, most: int = 10**6) -> list[int]:
-        """Answer so many calls; return how many ran at once each time."""
+        """Answer ``calls`` calls; return the concurrency of each."""
         rooms = []
         for _ in range(calls):
             running = min(self.state.concurrency_limit, most)
@@ -46,7 +47,7 @@
 
 
 @pytest.mark.parametrize('slots', [6, 13, 15, 18, 40])
-def test_a_target_that_slows_down_runs_what_gets_most_done(slots):
+def test_limit_reaches_the_best_throughput_under_contention(slots):
     target = Target(0.8, 1.7, slots)
     target.answer(400)
     rooms = target.answer(2000)
@@ -55,14 +56,14 @@
 
 
 @pytest.mark.parametrize('slots', [6, 13, 15, 18, 40])
-def test_a_target_that_does_not_slow_down_runs_all_soon(slots):
+def test_limit_reaches_all_slots_without_contention(slots):
     target = Target(2.0, 1.0, slots)
     rooms = target.answer(3000)
     assert rooms.index(slots) < 250
     assert rooms.count(slots) > 0.85 * len(rooms)
 
 
-def test_a_knee_below_the_share_to_start_with_is_found_too():
+def test_contention_below_the_initial_share_is_detected():
     target = Target(0.6, 2.0)
     target.answer(100, most=9)
     target.answer(600)
@@ -70,7 +71,7 @@
     assert rooms.count(9) > 0.9 * len(rooms)
 
 
-def test_nothing_is_tried_in_a_slow_spell():
+def test_no_trial_starts_during_a_slowdown():
     target = Target(0.8, 1.7)
     target.answer(7)
     for _ in range(30):
@@ -79,8 +80,8 @@
         assert set(target.answer(10)) == {12}
 
 
-def test_a_cold_target_that_does_not_slow_down_gets_its_slots_soon():
-    """The first seconds after a start: every caller is back at once."""
+def test_cold_target_without_contention_gets_its_slots_soon():
+    """In the first seconds after a start every caller is back at once."""
     target = Target(2.0, 1.0)
     rooms = []
     for _ in range(30):
@@ -91,7 +92,7 @@
     assert rooms.index(SLOTS) <= 110
 
 
-def test_a_target_that_has_become_better_gets_its_slots_back():
+def test_limit_rises_again_when_contention_ends():
     target = Target(0.8, 1.7)
     target.answer(400)
     assert target.state.performance.limiter.chosen == 12
@@ -102,14 +103,14 @@
         assert target.now - begun < 3 * TRIAL_INTERVAL_SECONDS
 
 
-def test_a_band_is_told_by_its_upper_end():
+def test_band_includes_its_upper_bound():
     crowding = ConcurrencyLimiter(SLOTS)
     assert crowding.is_uncontended(12.0)
     assert not crowding.is_uncontended(13.0)
     assert crowding.contention_factor(15.0) == 1.0
 
 
-def test_calls_of_a_call_do_not_make_its_target_look_slow():
+def test_nested_calls_do_not_count_as_contention():
     state = GateState(SLOTS)
     for _ in range(60):
         state.note_work('order', 0.078, 5, 0.0)
@@ -117,7 +118,7 @@
     assert state.concurrency_limit > 12
 
 
-def test_a_call_during_which_the_pace_changed_tells_nothing():
+def test_call_during_a_pace_change_is_no_sample():
     state = GateState(SLOTS)
     state.note_target_load(TargetLoad(3, 0, SLOTS, 100), 1.0)
     state.note_work('list', 0.150, 3, 1.1)
@@ -126,7 +127,7 @@
     assert state.performance.work.knows('list', 1)
 
 
-def test_what_is_learned_while_a_target_is_cold_is_the_usual_work():
+def test_work_measured_on_a_cold_target_is_normalized():
     state = GateState(SLOTS)
     state.note_target_load(TargetLoad(3, 0, SLOTS, 200), 1.0)
     for step in range(20):
--- a/tests/gate/test_gathering.py
+++ b/tests/gate/test_gathering.py
@@ -1,11 +1,12 @@
-"""A body that is long on its way meets the pace of when it has come.
-
-The load: floor plans of 60 KB over links of 2 Mbit/s come a quarter of a
-second after their head, while spells of half a second come a quarter of the
-time, and a target begins the work when it has read the body. Of 75 plans on
-a calm day 14 were begun in a spell, and 4 of these ran at the usual pace; 61
-were begun before one, and 6 of these took 2.6 to 6.3 times as long. What is
-sent twice is done twice, so nothing can be mended later.
+"""Calls with slow bodies are sent by the pace at the body's arrival.
+
+Guards against sending a call to the target before its body is complete.
+Uploads of 60 KB over links of 2 Mbit/s arrive a quarter of a second after
+their head, while slowdowns of half a second take up a quarter of the time, and
+a target starts working when it has read the body. Of 75 uploads on a quiet day
+14 were begun in a slowdown, and 4 of these ran at the usual pace; 61 were
+begun before one, and 6 of these took 2.6 to 6.3 times as long. A request that
+is sent twice is executed twice, so this can't be repaired later.
 """
 
 from cyclamenlift.core.codes import ResultCode
@@ -19,10 +20,10 @@
 
 
 def begun(length: int = LENGTH) -> GateBench:
-    """Return a gate that has let a call in whose body is on its way."""
+    """Return a gate that has admitted a call whose body is still arriving."""
     bench = GateBench()
-    bench.tell(100)
-    bench.call(length=length)
+    bench.report_pace(100)
+    bench.send_call(length=length)
     return bench
 
 
@@ -33,7 +34,7 @@
         bench.gate.on_body_chunk(bench.gate_end, chunk)
 
 
-def test_the_target_gets_the_call_when_its_body_has_come():
+def test_call_is_sent_when_its_body_is_complete():
     bench = begun()
     send(bench, 2)
     assert bench.target.requests == []
@@ -43,52 +44,52 @@
     assert bench.target.bodies == [b'x' * LENGTH]
 
 
-def test_the_entry_may_send_on_while_a_body_is_gathered():
+def test_credit_is_granted_while_a_body_is_buffered():
     bench = begun()
     before = len(bench.credits)
     send(bench, 2)
     assert [c.bytes_allowed for c in bench.credits[before:]] == [CHUNK, CHUNK]
 
 
-def test_the_pace_is_asked_for_again_when_the_body_has_come():
+def test_pace_is_queried_again_when_the_body_is_complete():
     bench = begun()
     bench.gate.state.performance.pace.reported_at -= 0.25
     send(bench, 3, last=True)
-    assert bench.asked == 1
+    assert bench.queries == 1
     assert bench.target.requests == []
-    bench.tell(100)
+    bench.report_pace(100)
     assert len(bench.target.requests) == 1
 
 
-def test_a_spell_that_began_meanwhile_is_waited_out():
+def test_slowdown_during_buffering_holds_the_call():
     bench = begun()
-    bench.tell(700)
+    bench.report_pace(700)
     send(bench, 3, last=True)
     assert bench.target.requests == []
     assert len(bench.gate.state.queue) == 1
     assert bench.gate.state.running == set()
-    bench.tell(100)
+    bench.report_pace(100)
     assert len(bench.target.requests) == 1
 
 
-def test_a_drain_sends_a_call_back_whose_body_is_on_its_way():
+def test_drain_refuses_a_call_whose_body_is_incomplete():
     bench = begun()
     send(bench, 1)
     bench.gate.drain()
-    assert [r.code for r in bench.told] == [int(ResultCode.DRAINING)]
+    assert [r.code for r in bench.outcomes] == [int(ResultCode.DRAINING)]
     send(bench, 2, last=True)
     assert bench.target.requests == []
     assert bench.gate.is_idle()
 
 
-def test_a_call_whose_body_is_on_its_way_is_cancelled_as_not_run():
+def test_call_whose_body_is_incomplete_is_cancelled_as_not_run():
     bench = begun()
     send(bench, 1)
     bench.gate.on_cancel(bench.gate_end, Cancel(1))
-    assert [c.not_run for c in bench.told] == [True]
+    assert [c.not_run for c in bench.outcomes] == [True]
     assert bench.gate.is_idle()
 
 
-def test_a_body_too_large_to_gather_is_passed_on_as_it_comes():
+def test_large_body_is_streamed_to_the_target():
     bench = begun(MAX_BUFFERED_BODY + 1)
     assert len(bench.target.requests) == 1
--- a/tests/gate/test_health.py
+++ b/tests/gate/test_health.py
@@ -1,4 +1,4 @@
-"""Health pages that mislead, either way."""
+"""Health pages that report the wrong state, either way."""
 
 from cyclamenlift.gate.health import HealthCheck
 from cyclamenlift.gate.registration import Announcement
@@ -23,7 +23,7 @@
         health.record_result(good)
 
 
-def test_a_target_that_answers_well_is_no_worse_for_its_page():
+def test_successful_answers_overrule_a_failing_page():
     gate, health = checked()
     for _ in range(10):
         gate.state.errors.note(False, 0.0)
@@ -31,13 +31,13 @@
     assert gate.state.target_state == TargetState.READY
 
 
-def test_a_page_counts_where_nothing_else_is_known():
+def test_failing_page_counts_without_answers():
     gate, health = checked()
     judge(health, False, 2)
     assert gate.state.target_state == TargetState.UNHEALTHY
 
 
-def test_a_page_counts_where_calls_fail_too():
+def test_failing_page_counts_if_calls_fail_too():
     gate, health = checked()
     for _ in range(10):
         gate.state.errors.note(True, 0.0)
@@ -46,13 +46,13 @@
 
 
 class Period:
-    """Settings of which only the period counts."""
+    """Settings that define only the polling period."""
 
     health_seconds = 0.08
 
 
 def aged(gate: Gate, health: HealthCheck, age: float) -> HealthCheck:
-    """Let the newest figure of the target's load be ``age`` seconds old."""
+    """Make the newest load figure of the target ``age`` seconds old."""
     health.settings = Period()
     gate.note_answer_head([('x-load', '0,0,6,100')])
     gate.state.performance.pace.reported_at -= age
@@ -60,14 +60,14 @@
     return health
 
 
-def test_a_quiet_target_is_asked_for_its_load_less_often():
-    """The gate asks before each long call, so all else is only news."""
+def test_idle_target_is_polled_less_often():
+    """The gate queries the pace before each long call, so polls are rarer."""
     gate, health = checked()
     assert aged(gate, health, 0.4).is_load_recent()
     assert not aged(gate, health, 0.5).is_load_recent()
 
 
-def test_held_calls_hear_of_the_end_of_a_spell_soon():
+def test_target_is_polled_often_while_calls_are_held():
     gate, health = checked()
     aged(gate, health, 0.1)
     gate.state.queue['held'] = None
--- a/tests/gate/test_lag_tracker.py
+++ b/tests/gate/test_lag_tracker.py
@@ -1,4 +1,4 @@
-"""Calls that came late because of what was before them on their way."""
+"""Calls that arrive late because of traffic ahead of them on the link."""
 
 import pytest
 
@@ -15,31 +15,31 @@
     return delays.note(link, sent_at, sent_at + APART + way)
 
 
-def test_what_comes_as_quickly_as_ever_has_no_lag():
+def test_constant_delay_is_no_lag():
     delays = LagTracker()
     assert [take(delays, at, QUICK) for at in range(5)] == [0.0] * 5
 
 
-def test_a_full_way_shows_at_once_and_its_end_too():
+def test_congestion_and_its_end_are_detected_at_once():
     delays = LagTracker()
     lags = [take(delays, at, way) for at, way in enumerate([0, 1.5, 0.7, 0])]
     assert lags == pytest.approx([0.0, 1.5, 0.7, 0.0], abs=0.001)
 
 
-def test_a_quicker_way_becomes_the_measure():
+def test_faster_call_becomes_the_baseline():
     delays = LagTracker()
     take(delays, 0, 0.8)
     assert take(delays, 1, QUICK) == 0.0
     assert take(delays, 2, 0.8) == pytest.approx(0.799, abs=0.001)
 
 
-def test_clocks_that_drift_apart_are_no_lag():
+def test_clock_drift_is_no_lag():
     delays = LagTracker()
     lags = [take(delays, at, at * 0.0001) for at in range(0, 100_000, 50)]
     assert max(lags) == 0.0
 
 
-def test_each_connection_has_a_way_of_its_own_until_it_is_gone():
+def test_each_connection_is_tracked_separately_until_closed():
     delays = LagTracker()
     take(delays, 0, QUICK, link=1)
     take(delays, 0, 2.0, link=2)
--- a/tests/gate/test_overload.py
+++ b/tests/gate/test_overload.py
@@ -1,11 +1,11 @@
-"""A target that has just started is asked for twice what it can do.
-
-The load: after a restart of all every caller is back at once, while targets
-take twice as long for three seconds. Calls of 60 ms, give or take a third,
-each of use for 200 ms, come at random at up to twice the rate that twelve of
-15 slots can serve then. Whoever is let in up to the last moment at which the
-mean call would still be in time is late half of the time, while shorter
-queues keep the slots as busy.
+"""Overload of a target that has just started.
+
+Guards against admitting calls that will be late. After a restart of all
+instances every caller is back at once, while targets take twice as long for
+three seconds. Calls of 60 ms, plus or minus a third, each useful for 200 ms,
+arrive at random at up to twice the rate that twelve of 15 slots can serve
+then. Half of the calls that are admitted at the last moment at which the mean
+call would be in time are late, while shorter queues keep the slots as busy.
 """
 
 import heapq
@@ -29,7 +29,7 @@
 
 
 class Overload:
-    """One gate and its target on an event heap."""
+    """Event-driven simulation of one gate and its target."""
 
     def __init__(self, times_what_fits: float, seed: int):
         self.rng = random.Random(seed)
@@ -92,7 +92,7 @@
 
 
 @pytest.mark.parametrize('seed', range(5))
-def test_what_is_let_in_is_in_time_and_the_slots_are_busy(seed):
+def test_overload_admits_calls_in_time_and_keeps_slots_busy(seed):
     overload = Overload(2.0, seed)
     overload.run()
     served = overload.in_time + overload.late
@@ -101,7 +101,7 @@
 
 
 @pytest.mark.parametrize('seed', range(5))
-def test_where_there_is_room_hardly_anybody_is_refused(seed):
+def test_few_calls_are_refused_below_capacity(seed):
     overload = Overload(0.6, seed)
     overload.run()
     assert overload.refused < 0.05 * overload.in_time
--- a/tests/gate/test_presence.py
+++ b/tests/gate/test_presence.py
@@ -1,10 +1,10 @@
-"""A gate whose target is gone takes no calls until somebody is there again.
+"""A gate whose target is gone refuses calls until it is back.
 
-The load: two of ten targets of a service end for good while the others get
-more than they can do, so entries ask every gate that is left. Each of the
-two gates took 14 calls a second, among them uploads of 60 KB over links of
-4.3 Mbit/s, and sent them back when no connection could be had: up to 0.8 s
-later, for an objective of 0.64 s.
+Guards against calls admitted for a target that has ended. Two of ten targets
+of a service terminate for good while the others are overloaded, so entries try
+every gate that is left. Each of the two gates got 14 calls a second, among
+them uploads of 60 KB over links of 4.3 Mbit/s, and refused them when no
+connection could be made: up to 0.8 s later, with an objective of 0.64 s.
 """
 
 import pytest
@@ -22,65 +22,65 @@
 
 @pytest.fixture
 def bench():
-    return GateBench(can_ask=False)
+    return GateBench(can_query=False)
 
 
-def leave(bench: GateBench) -> None:
-    """Let a connection to the target be refused."""
+def refuse_connection(bench: GateBench) -> None:
+    """Simulate a refused connection to the target."""
     bench.gate.ends.note_connection_refused()
 
 
 def codes(bench: GateBench) -> list[int]:
-    return [told.code for told in bench.told]
+    return [told.code for told in bench.outcomes]
 
 
-def test_calls_are_refused_at_once_while_nobody_listens(bench):
-    """Guards against calls let in to a target that is known to be gone."""
-    leave(bench)
-    bench.call(1)
+def test_calls_are_refused_at_once_while_the_target_is_absent(bench):
+    """Guards against calls admitted for a target that is known to be gone."""
+    refuse_connection(bench)
+    bench.send_call(1)
     assert codes(bench) == [ResultCode.TARGET_UNREACHABLE]
     assert bench.target.requests == []
 
 
-def test_no_body_is_asked_for_while_nobody_listens(bench):
-    """Guards against uploads that cross slow links to no target."""
-    leave(bench)
-    bench.call(1, length=UPLOAD)
+def test_no_body_is_requested_while_the_target_is_absent(bench):
+    """Guards against uploads that cross slow links in vain."""
+    refuse_connection(bench)
+    bench.send_call(1, length=UPLOAD)
     assert bench.credits == []
     assert codes(bench) == [ResultCode.TARGET_UNREACHABLE]
 
 
-def test_calls_that_wait_are_sent_back_when_the_target_goes(bench):
-    """Guards against callers that wait for slots of nobody."""
+def test_waiting_calls_are_refused_when_the_target_is_gone(bench):
+    """Guards against callers that wait for slots of an absent target."""
     bench.gate.state.set_slots(1)
-    bench.call(1, length=UPLOAD)
-    bench.call(2)
+    bench.send_call(1, length=UPLOAD)
+    bench.send_call(2)
     assert len(bench.gate.state.queue) == 1
-    leave(bench)
+    refuse_connection(bench)
     assert codes(bench) == [ResultCode.TARGET_UNREACHABLE] * 2
     assert bench.gate.is_idle()
 
 
-def test_entries_hear_that_nobody_is_there(bench):
-    """Guards against a gate that stays in the choice of entries."""
+def test_entries_are_notified_of_an_absent_target(bench):
+    """Guards against entries that keep selecting the gate."""
     states = []
     bench.gate.state_hooks.append(lambda state: states.append(state))
-    leave(bench)
+    refuse_connection(bench)
     assert states == [TargetState.STARTING]
     assert bench.gate.figures().state == TargetState.STARTING
 
 
-def test_good_answers_of_before_do_not_overrule_a_refused_page(bench):
+def test_earlier_answers_do_not_overrule_a_refused_connection(bench):
     """Guards against a target that counts as ready seconds after its end."""
     health = HealthCheck(bench.gate, None, None)
     health.timer = NoTimer()
     for _ in range(10):
         bench.gate.state.errors.note(False, 0.0)
-    leave(bench)
+    refuse_connection(bench)
     for _ in range(3):
         health.record_result(False)
     assert bench.gate.state.target_state == TargetState.STARTING
-    bench.call(1)
+    bench.send_call(1)
     assert codes(bench) == [ResultCode.TARGET_UNREACHABLE]
 
 
@@ -93,55 +93,55 @@
     ],
     ids=['takes connections', 'announces itself', 'answers its page'],
 )
-def test_calls_are_let_in_again_once_somebody_is_there(bench, appear):
-    """Guards against a target that stays out after it is back."""
-    leave(bench)
+def test_calls_are_admitted_again_once_the_target_is_back(bench, appear):
+    """Guards against a target that stays excluded after its return."""
+    refuse_connection(bench)
     appear(bench.gate)
     assert bench.gate.state.target_state == TargetState.READY
-    bench.call(1)
+    bench.send_call(1)
     assert len(bench.target.requests) == 1
 
 
-def test_a_target_that_nobody_has_heard_of_is_not_told_as_ready():
-    """Guards against entries that are sent to a gate which lets nobody in."""
-    bench = GateBench(can_ask=False)
+def test_unidentified_target_is_not_reported_as_ready():
+    """Guards against entries directed to a gate that admits no calls."""
+    bench = GateBench(can_query=False)
     bench.gate.announcements.doubt()
-    leave(bench)
+    refuse_connection(bench)
     bench.gate.ends.note_connected()
     assert not bench.gate.presence.absent
     assert bench.gate.state.target_state == TargetState.STARTING
 
 
-def test_a_late_word_of_the_one_that_went_does_not_bring_it_back(bench):
-    """Guards against a check-in that was under way when its sender ended."""
-    leave(bench)
+def test_delayed_announcement_does_not_bring_a_target_back(bench):
+    """Guards against an announcement in flight when its sender ended."""
+    refuse_connection(bench)
     bench.gate.announce(Announcement('i-1', 'prices', 8, sequence=9))
-    bench.call(1)
+    bench.send_call(1)
     assert codes(bench) == [ResultCode.TARGET_UNREACHABLE]
 
 
-def test_a_target_with_open_connections_is_not_taken_for_one_that_went(bench):
-    """Guards against a target that is full and turns one connection away."""
+def test_target_with_open_connections_is_not_absent(bench):
+    """Guards against a busy target that refuses a single connection."""
     bench.target.connected = True
-    leave(bench)
-    bench.call(1)
+    refuse_connection(bench)
+    bench.send_call(1)
     assert len(bench.target.requests) == 1
 
 
-def test_a_target_that_leaves_is_told_as_leaving(bench):
-    """Guards against a drain that is taken back by the end of its target."""
+def test_departing_target_is_reported_as_draining(bench):
+    """Guards against a drain that is undone by the target's end."""
     bench.gate.drain()
-    leave(bench)
+    refuse_connection(bench)
     assert bench.gate.state.target_state == TargetState.DRAINING
-    bench.call(1)
+    bench.send_call(1)
     assert codes(bench) == [ResultCode.DRAINING]
 
 
-def test_one_line_tells_that_the_target_went_and_one_that_it_is_there(bench):
-    """Guards against a belief that changes without a line."""
+def test_absence_and_return_are_logged_once_each(bench):
+    """Guards against a change of presence that is not logged."""
     with capture_logs() as logs:
-        leave(bench)
-        leave(bench)
+        refuse_connection(bench)
+        refuse_connection(bench)
         bench.gate.ends.note_connected()
     events = [e['event'] for e in logs if e['event'].startswith('target_')]
     assert events == ['target_absent', 'target_present']
--- a/tests/gate/test_probes.py
+++ b/tests/gate/test_probes.py
@@ -1,4 +1,4 @@
-"""The measuring budget where probes arrive."""
+"""The probe budget, enforced where probes arrive."""
 
 import pytest
 
--- a/tests/gate/test_registration.py
+++ b/tests/gate/test_registration.py
@@ -1,4 +1,4 @@
-"""Which incarnation of a target counts, whatever comes late."""
+"""The current incarnation of a target, with delayed announcements."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -9,86 +9,94 @@
 from cyclamenlift.gate.registration import Registration
 
 
-def said(
+def announced(
     name: str, sequence: int = FROM_HEALTH_PAGE, **fields
 ) -> Announcement:
     return Announcement(name, 'prices', 6, sequence=sequence, **fields)
 
 
-def test_the_first_announcement_counts_and_later_ones_renew_it():
+def test_first_announcement_registers_and_later_ones_update():
     registration = Registration()
-    assert registration.announce(said('a', 1), 0.0) is AnnouncementOutcome.NEW
     assert (
-        registration.announce(said('a', 2), 1.0) is AnnouncementOutcome.AGAIN
+        registration.announce(announced('a', 1), 0.0)
+        is AnnouncementOutcome.NEW
+    )
+    assert (
+        registration.announce(announced('a', 2), 1.0)
+        is AnnouncementOutcome.AGAIN
     )
     assert registration.incarnation == 'a'
 
 
-def test_a_late_announcement_of_an_older_incarnation_changes_nothing():
+def test_delayed_announcement_of_an_older_incarnation_is_ignored():
     registration = Registration()
-    registration.announce(said('old', 9), 0.0)
-    registration.announce(said('new', 1), 1.0)
-    late = said('old', 10, draining=True)
+    registration.announce(announced('old', 9), 0.0)
+    registration.announce(announced('new', 1), 1.0)
+    late = announced('old', 10, draining=True)
     assert registration.announce(late, 2.0) is AnnouncementOutcome.STALE
     assert registration.incarnation == 'new'
     assert not registration.draining
 
 
-def test_an_announcement_that_was_overtaken_changes_nothing():
+def test_reordered_announcement_is_ignored():
     registration = Registration()
-    registration.announce(said('a', 5, draining=True), 0.0)
+    registration.announce(announced('a', 5, draining=True), 0.0)
     assert (
-        registration.announce(said('a', 4), 1.0) is AnnouncementOutcome.STALE
+        registration.announce(announced('a', 4), 1.0)
+        is AnnouncementOutcome.STALE
     )
     assert registration.draining
 
 
 def test_a_drain_is_not_taken_back_by_the_same_incarnation():
     registration = Registration()
-    registration.announce(said('a', 5, draining=True), 0.0)
+    registration.announce(announced('a', 5, draining=True), 0.0)
     assert (
-        registration.announce(said('a', 6), 1.0) is AnnouncementOutcome.STALE
+        registration.announce(announced('a', 6), 1.0)
+        is AnnouncementOutcome.STALE
     )
     assert registration.draining
 
 
 def test_a_new_incarnation_begins_without_the_drain_of_the_old_one():
     registration = Registration()
-    registration.announce(said('a', 5, draining=True), 0.0)
-    registration.announce(said('b', 1), 1.0)
+    registration.announce(announced('a', 5, draining=True), 0.0)
+    registration.announce(announced('b', 1), 1.0)
     assert not registration.draining
 
 
-def test_one_that_left_before_it_was_known_never_comes_in():
+def test_incarnation_that_left_while_unknown_is_not_registered():
     registration = Registration()
     assert not registration.leave('a')
     assert (
-        registration.announce(said('a', 7), 1.0) is AnnouncementOutcome.STALE
+        registration.announce(announced('a', 7), 1.0)
+        is AnnouncementOutcome.STALE
     )
     assert registration.current is None
 
 
-def test_what_was_learned_by_asking_is_renewed_by_any_announcement():
+def test_announcement_updates_data_of_the_health_page():
     registration = Registration()
-    registration.announce(said('a'), 0.0)
+    registration.announce(announced('a'), 0.0)
     assert (
-        registration.announce(said('a', 1), 1.0) is AnnouncementOutcome.AGAIN
+        registration.announce(announced('a', 1), 1.0)
+        is AnnouncementOutcome.AGAIN
     )
 
 
-def test_a_doubt_lasts_until_the_target_speaks_again():
+def test_doubt_lasts_until_the_next_announcement():
     registration = Registration()
-    registration.announce(said('a', 1), 0.0)
+    registration.announce(announced('a', 1), 0.0)
     registration.doubt('another')
     assert not registration.doubted
     registration.doubt('a')
     assert registration.doubted
-    registration.announce(said('a', 2), 1.0)
+    registration.announce(announced('a', 2), 1.0)
     assert not registration.doubted
 
 
 def started(name: str, born_ms: int, sequence: int, **fields) -> Announcement:
-    return said(name, sequence, born_ms=born_ms, **fields)
+    return announced(name, sequence, born_ms=born_ms, **fields)
 
 
 def test_a_restart_under_the_same_name_is_a_new_incarnation():
@@ -100,7 +108,7 @@
     assert registration.born_ms == 5000
 
 
-def test_a_restart_after_a_farewell_opens_again():
+def test_restart_after_a_departure_is_registered():
     registration = Registration()
     registration.announce(started('a', 1000, 3), 0.0)
     assert registration.leave('a', 1000)
@@ -111,7 +119,7 @@
     assert not registration.draining
 
 
-def test_a_late_word_of_the_life_before_changes_nothing():
+def test_delayed_announcement_from_before_a_restart_is_ignored():
     registration = Registration()
     registration.announce(started('a', 1000, 3), 0.0)
     registration.announce(started('a', 5000, 1), 1.0)
@@ -122,7 +130,7 @@
     assert registration.born_ms == 5000
 
 
-def test_an_older_target_that_was_never_heard_of_does_not_come_in():
+def test_unknown_older_incarnation_is_not_registered():
     registration = Registration()
     registration.announce(started('new', 5000, 1), 0.0)
     late = started('old', 1000, 9)
@@ -130,7 +138,7 @@
     assert registration.incarnation == 'new'
 
 
-def test_twice_started_within_a_second():
+def test_two_restarts_within_a_second():
     registration = Registration()
     registration.announce(started('a', 1000, 1), 0.0)
     registration.announce(started('a', 1400, 1, draining=True), 0.1)
@@ -144,7 +152,7 @@
     assert not registration.draining
 
 
-def test_one_that_left_before_it_was_known_may_start_again():
+def test_incarnation_that_left_while_unknown_may_restart():
     registration = Registration(unix_ms=lambda: 2000)
     assert not registration.leave('a')
     late = started('a', 1000, 7)
@@ -155,51 +163,56 @@
     )
 
 
-def test_a_target_that_tells_its_start_never_leaves_it_out():
+def test_announcement_without_the_known_start_is_ignored():
     registration = Registration()
     registration.announce(started('a', 1000, 1), 0.0)
-    other = said('a', 2, draining=True)
+    other = announced('a', 2, draining=True)
     assert registration.announce(other, 1.0) is AnnouncementOutcome.STALE
     assert not registration.draining
 
 
-def test_the_page_brings_back_one_that_a_late_word_had_replaced():
+def test_page_restores_a_wrongly_replaced_incarnation():
     registration = Registration()
-    registration.announce(said('alive', 4), 0.0)
-    registration.announce(said('dead', 9), 1.0)
-    assert registration.announce(said('alive'), 2.0) is AnnouncementOutcome.NEW
+    registration.announce(announced('alive', 4), 0.0)
+    registration.announce(announced('dead', 9), 1.0)
+    assert (
+        registration.announce(announced('alive'), 2.0)
+        is AnnouncementOutcome.NEW
+    )
     assert registration.incarnation == 'alive'
     assert (
-        registration.announce(said('alive', 5), 3.0)
+        registration.announce(announced('alive', 5), 3.0)
         is AnnouncementOutcome.AGAIN
     )
 
 
-def test_the_page_does_not_bring_back_one_that_left():
+def test_page_does_not_restore_an_incarnation_that_left():
     registration = Registration()
-    registration.announce(said('a', 4), 0.0)
+    registration.announce(announced('a', 4), 0.0)
     registration.leave('a')
-    registration.announce(said('b', 1), 1.0)
-    assert registration.announce(said('a'), 2.0) is AnnouncementOutcome.STALE
+    registration.announce(announced('b', 1), 1.0)
+    assert (
+        registration.announce(announced('a'), 2.0) is AnnouncementOutcome.STALE
+    )
 
 
-def words_of_lives() -> list[Announcement]:
-    """Return what three lives of one name say, the last one not leaving."""
-    words = []
+def announcements_of_incarnations() -> list[Announcement]:
+    """Return the announcements of three incarnations; the last stays."""
+    announcements = []
     for born_ms in (1000, 2000, 3000):
-        words.extend(started('a', born_ms, n) for n in (1, 2, 3))
+        announcements.extend(started('a', born_ms, n) for n in (1, 2, 3))
         if born_ms < 3000:
-            words.append(started('a', born_ms, 4, draining=True))
-    return words
+            announcements.append(started('a', born_ms, 4, draining=True))
+    return announcements
 
 
-@given(st.permutations(words_of_lives()))
-def test_in_whatever_order_words_come_the_last_life_counts(words):
+@given(st.permutations(announcements_of_incarnations()))
+def test_latest_incarnation_counts_in_any_order_of_arrival(announcements):
     registration = Registration()
     newest = 0
-    for word in words:
-        registration.announce(word, 0.0)
-        newest = max(newest, word.born_ms)
+    for announcement in announcements:
+        registration.announce(announcement, 0.0)
+        newest = max(newest, announcement.born_ms)
         assert registration.born_ms == newest
     assert not registration.draining
     assert registration.current.sequence == 3
--- a/tests/gate/test_slow_spells.py
+++ b/tests/gate/test_slow_spells.py
@@ -1,14 +1,15 @@
-"""Calls longer than the slow spells of their target.
-
-The load: calls of 660 ms, give or take a third, each of use for 2.2 s, come
-at random to a target with eight slots that could serve twelve a second and
-is asked for two. For half a second in each two, on average, all that begins
-there takes seven times as long, to its end: 4.6 s. This is the load of a
-fleet of hundreds whose slots are used to a fifth, and where a quarter of
-all calls that begin blindly are late.
-
-The other kind of target is as fast at each moment as its machine is, so a
-call that a spell meets takes up to half a second longer and holding it would
+"""Calls longer than the slowdowns of their target.
+
+Guards against beginning calls in a slowdown and against holding them in vain.
+Calls of 660 ms, plus or minus a third, each useful for 2.2 s, arrive at random
+at a target with eight slots that could serve twelve a second and gets two. For
+half a second in every two, on average, each call that begins takes seven times
+as long, to its end: 4.6 s. This is the load of a fleet of hundreds whose slots
+are used to a fifth, and in which a quarter of all calls that begin regardless
+of the pace are late.
+
+The other kind of target follows its machine's speed at each moment, so a call
+that meets a slowdown takes up to half a second longer, and holding it would
 gain nothing.
 """
 
@@ -35,14 +36,14 @@
 GAP = 1.5
 SLOW = 700
 USUAL = 100
-# How often the target tells its pace.
+# Interval at which the target reports its pace.
 FIGURES = 0.02
 SECONDS = 120.0
 
 
 @dataclasses.dataclass(slots=True)
 class Running:
-    """A call at the target."""
+    """A call that the target runs."""
 
     key: object
     at: float
@@ -51,15 +52,15 @@
     pace_at_start: PaceAtStart
 
 
-class SpellDay:
-    """One gate and a target with slow spells, on an event heap."""
+class SlowdownSimulation:
+    """Event-driven simulation of a gate and a target with slowdowns."""
 
     def __init__(self, keeps: bool, seed: int, rate: float = 2.0):
         self.keeps = keeps
         self.rng = random.Random(seed)
         self.rate = rate
         self.state = GateState(SLOTS)
-        self.slowdowns = draw_spells(self.rng)
+        self.slowdowns = draw_slowdowns(self.rng)
         self.heap: list = []
         self.number = 0
         self.in_time = 0
@@ -73,7 +74,7 @@
         heapq.heappush(self.heap, (instant, self.number, what, detail))
 
     def run(self) -> float:
-        """Play the day; return the share of the calls in time."""
+        """Run the simulation; return the share of calls in time."""
         while self.heap:
             now, _, what, detail = heapq.heappop(self.heap)
             if now > SECONDS:
@@ -82,7 +83,7 @@
         return self.in_time / (self.in_time + self.late + self.refused)
 
     def pace(self, now: float) -> int:
-        """Return the target's pace at an instant."""
+        """Return the target's pace at a given time."""
         slow = any(at <= now < at + SPELL for at in self.slowdowns)
         return SLOW if slow else USUAL
 
@@ -127,7 +128,7 @@
         self.push(now + call.seconds, self.end, call)
 
     def seconds(self, work: float, now: float) -> float:
-        """Return how long the target takes for a call that begins now."""
+        """Return the duration of a call that begins now."""
         if self.keeps:
             return work * self.pace(now) / USUAL
         at = now
@@ -159,8 +160,8 @@
         self.apply_dequeued(now, result.dropped, result.started)
 
 
-def draw_spells(rng: random.Random) -> list[float]:
-    """Return the instants at which slow spells begin."""
+def draw_slowdowns(rng: random.Random) -> list[float]:
+    """Return random start times of slowdowns."""
     found = []
     now = 0.0
     while now < SECONDS + DEADLINE:
@@ -170,16 +171,16 @@
     return found
 
 
-def begin_at_once(day: SpellDay) -> None:
-    """Let the gate begin each call whatever the pace is."""
+def begin_at_once(day: SlowdownSimulation) -> None:
+    """Make the gate begin each call regardless of the pace."""
     day.state.performance.best_start = lambda work, _now: Start(0.0, work)
 
 
 @pytest.mark.parametrize('seed', range(3))
-def test_calls_held_to_the_end_of_a_spell_are_in_time(seed):
+def test_calls_held_until_a_slowdown_ends_are_in_time(seed):
     # Eight seeds: 0.983 to 1.0 in time; begun at once 0.68 to 0.83.
-    day = SpellDay(True, seed)
-    blind = SpellDay(True, seed)
+    day = SlowdownSimulation(True, seed)
+    blind = SlowdownSimulation(True, seed)
     begin_at_once(blind)
     share = day.run()
     assert share > 0.97
@@ -188,23 +189,23 @@
 
 
 @pytest.mark.parametrize('seed', range(3))
-def test_where_calls_follow_the_pace_nothing_is_lost(seed):
+def test_holding_costs_nothing_where_calls_follow_the_pace(seed):
     # Eight seeds: 0.955 to 1.0 in time, 0.962 to 1.0 begun at once.
-    day = SpellDay(False, seed)
-    blind = SpellDay(False, seed)
+    day = SlowdownSimulation(False, seed)
+    blind = SlowdownSimulation(False, seed)
     begin_at_once(blind)
     assert day.run() > blind.run() - 0.02
     assert not day.state.performance.pace_retention.is_retained
 
 
 def test_short_calls_are_not_held():
-    day = SpellDay(True, 1)
+    day = SlowdownSimulation(True, 1)
     day.state.note_target_load(TargetLoad(0, 0, SLOTS, SLOW), 0.0)
     short = AdmissionRequest('short', 1.0, 0.5, route='check', objective=0.04)
     assert day.state.admit_routed(short, 0.0).verdict is Verdict.START
 
 
-def test_a_call_that_can_not_wait_for_the_end_is_sent_back():
+def test_call_that_can_not_outwait_a_slowdown_is_refused():
     state = GateState(SLOTS)
     state.note_target_load(TargetLoad(0, 0, SLOTS, SLOW), 0.0)
     urgent = AdmissionRequest(
@@ -215,7 +216,7 @@
     assert admission.retry_after == pytest.approx(0.5)
 
 
-def test_slots_that_slow_calls_hold_count_as_taken_to_their_end():
+def test_slots_of_slow_calls_count_as_taken_until_their_end():
     """Six of eight slots are held for 4.6 s: others wait for the rest."""
     state = GateState(SLOTS)
     for number in range(SLOTS):
--- a/tests/gate/test_slowdowns.py
+++ b/tests/gate/test_slowdowns.py
@@ -1,4 +1,4 @@
-"""What a gate learns of slow spells from the figures of its target."""
+"""Learning slowdowns from the pace that the target reports."""
 
 import random
 
@@ -14,10 +14,10 @@
 USUAL = 100
 
 
-def note_spells(
+def note_slowdowns(
     slowdowns: SlowdownHistory, length: float, gap: float, count: int
 ):
-    """Let spells come at even distances; return the instant of the end."""
+    """Record slowdowns at regular intervals; return the time of the end."""
     now = 0.0
     for _ in range(count):
         slowdowns.note(USUAL, now)
@@ -28,7 +28,7 @@
     return now
 
 
-def test_before_any_spell_was_seen_one_lasts_as_long_as_elsewhere():
+def test_first_slowdown_has_the_default_duration():
     slowdowns = SlowdownHistory()
     assert slowdowns.remaining(1.0) == 0.0
     slowdowns.note(SLOW, 1.0)
@@ -36,28 +36,28 @@
     assert slowdowns.remaining(1.3) == pytest.approx(INITIAL_LENGTHS[0] - 0.3)
 
 
-def test_the_length_of_spells_is_learned():
+def test_duration_of_slowdowns_is_learned():
     slowdowns = SlowdownHistory()
-    now = note_spells(slowdowns, 0.2, 1.0, 40)
+    now = note_slowdowns(slowdowns, 0.2, 1.0, 40)
     slowdowns.note(SLOW, now)
     assert slowdowns.remaining(now) == pytest.approx(0.2)
     assert slowdowns.remaining(now + 0.15) == pytest.approx(0.05)
 
 
-def test_a_spell_longer_than_all_others_is_taken_to_go_on():
+def test_longest_slowdown_is_expected_to_last_as_long_again():
     slowdowns = SlowdownHistory()
     slowdowns.note(SLOW, 0.0)
     assert slowdowns.remaining(10.0) == pytest.approx(10.0)
 
 
-def test_a_cold_target_is_in_no_spell():
+def test_cold_target_is_in_no_slowdown():
     slowdowns = SlowdownHistory()
     slowdowns.note(200, 0.0)
     assert slowdowns.since is None
     assert slowdowns.remaining(1.0) == 0.0
 
 
-def test_a_spell_whose_end_was_not_seen_teaches_no_length():
+def test_slowdown_with_unobserved_end_is_not_recorded():
     slowdowns = SlowdownHistory()
     slowdowns.note(SLOW, 0.0)
     slowdowns.reset_current()
@@ -65,17 +65,17 @@
     assert list(slowdowns.lengths) == list(INITIAL_LENGTHS)
 
 
-def test_the_older_a_figure_the_more_a_call_risks():
+def test_risk_grows_with_the_age_of_the_figure():
     slowdowns = SlowdownHistory()
-    note_spells(slowdowns, 0.5, 1.5, 10)
+    note_slowdowns(slowdowns, 0.5, 1.5, 10)
     risks = [slowdowns.risk(0.66, age, 20.0) for age in (0.0, 0.02, 0.08)]
     assert risks[0] == 0.0
     assert risks == sorted(risks)
-    # About one in twenty is seven times as slow.
+    # About one call in twenty is seven times as slow.
     assert risks[2] == pytest.approx(0.08 / 1.5 * 0.66 * 6.0, rel=0.1)
 
 
-def test_a_target_without_spells_is_soon_trusted():
+def test_risk_falls_for_a_target_without_slowdowns():
     slowdowns = SlowdownHistory()
     slowdowns.note(USUAL, 0.0)
     assert slowdowns.risk(0.66, 0.08, 1.0) > 0.05
@@ -94,10 +94,11 @@
 
 
 def changed_calls(seed: int, keeps: bool):
-    """Yield either account of calls that began before a spell.
+    """Yield the relative work of calls under both hypotheses.
 
-    Their times vary by a third, as those of real calls do. Work of 0.5 s
-    begins 0.1 to 0.4 s before a spell of 0.5 s with a seventh of the speed.
+    The calls begin before a slowdown, and their times vary by a third, like
+    those of real calls. Work of 0.5 s begins 0.1 to 0.4 s before a slowdown of
+    0.5 s with a seventh of the speed.
     """
     rng = random.Random(seed)
     for _ in range(60):
--- a/tests/gate/test_suspects.py
+++ b/tests/gate/test_suspects.py
@@ -1,4 +1,4 @@
-"""A gate and requests that may end its target."""
+"""A gate and requests that may terminate its target."""
 
 import pytest
 
@@ -18,62 +18,62 @@
 
 @pytest.fixture
 def bench():
-    return GateBench(can_ask=False)
+    return GateBench(can_query=False)
 
 
 def accuse(bench: GateBench, *times: float) -> None:
-    """Let targets elsewhere end at these times while they ran ``BAD``."""
+    """Report that targets ended at ``times`` while running ``BAD``."""
     for at in times:
         report = Report(f'r{at}', 'prices', (BAD,), at, (at - 0.1,))
         bench.gate.quarantine.take(report, 0)
 
 
 def codes(bench: GateBench) -> list[int]:
-    return [message.code for message in bench.told]
+    return [message.code for message in bench.outcomes]
 
 
 def test_a_quarantined_request_is_refused_with_the_time_that_is_left(bench):
     accuse(bench, -2.0, -1.0)
-    bench.call(1, fingerprint=BAD)
-    bench.call(2, fingerprint=OTHER)
+    bench.send_call(1, fingerprint=BAD)
+    bench.send_call(2, fingerprint=OTHER)
     assert codes(bench) == [ResultCode.REQUEST_QUARANTINED]
-    assert bench.told[0].retry_after_ms == 29_000
+    assert bench.outcomes[0].retry_after_ms == 29_000
     assert len(bench.target.requests) == 1
 
 
 def test_a_suspect_runs_once_at_a_time(bench):
     accuse(bench, -1.0)
-    bench.call(1, fingerprint=BAD)
-    bench.call(2, fingerprint=BAD)
+    bench.send_call(1, fingerprint=BAD)
+    bench.send_call(2, fingerprint=BAD)
     assert len(bench.target.requests) == 1
     assert codes(bench) == [ResultCode.REQUEST_QUARANTINED]
 
 
 def test_after_a_quarantine_one_trial_is_let_through(bench):
     accuse(bench, -60.0, -59.0)
-    bench.call(1, fingerprint=BAD)
+    bench.send_call(1, fingerprint=BAD)
     assert len(bench.target.requests) == 1
     first = next(iter(bench.gate.calls.values()))
     bench.gate.release(first, None, False)
-    bench.call(2, fingerprint=BAD)
+    bench.send_call(2, fingerprint=BAD)
     assert len(bench.target.requests) == 1
     assert codes(bench) == [ResultCode.REQUEST_QUARANTINED]
 
 
 def test_a_trial_with_a_body_is_let_through_once_it_is_gathered(bench):
     accuse(bench, -60.0, -59.0)
-    bench.call(1, fingerprint=BAD, length=3)
+    bench.send_call(1, fingerprint=BAD, length=3)
     bench.gate.on_body_chunk(bench.gate_end, BodyChunk(1, b'abc', True))
     assert len(bench.target.requests) == 1
     assert codes(bench) == []
 
 
-def test_one_that_waits_is_looked_at_again_before_it_begins(bench):
+def test_queued_call_is_checked_again_before_it_begins(bench):
     bench.gate.state.queue_limit = 1
     while len(bench.gate.state.running) < bench.gate.state.concurrency_limit:
-        bench.call(len(bench.gate.state.running), fingerprint=OTHER)
+        bench.send_call(len(bench.gate.state.running), fingerprint=OTHER)
     begun = len(bench.target.requests)
-    bench.call(99, fingerprint=BAD)
+    bench.send_call(99, fingerprint=BAD)
     assert len(bench.gate.state.queue) == 1
     accuse(bench, -2.0, -1.0)
     first = next(iter(bench.gate.calls.values()))
@@ -83,60 +83,60 @@
     assert len(bench.gate.state.running) == begun - 1
 
 
-def test_a_gate_that_starts_lets_nothing_in_while_others_know_more(bench):
+def test_starting_gate_admits_nothing_before_it_has_synchronized(bench):
     quarantine = bench.gate.quarantine
     quarantine.sync_deadline = 1.0
     quarantine.others_know_more = True
-    bench.call(1, fingerprint=OTHER)
+    bench.send_call(1, fingerprint=OTHER)
     assert codes(bench) == [ResultCode.NO_TARGET]
     quarantine.synced = True
-    bench.call(2, fingerprint=OTHER)
+    bench.send_call(2, fingerprint=OTHER)
     assert len(bench.target.requests) == 1
 
 
-def test_a_gate_that_starts_where_nobody_knows_anything_takes_calls(bench):
+def test_starting_gate_admits_calls_if_no_peer_knows_more(bench):
     """Regression: a single target was out of use for up to a second."""
     bench.gate.quarantine.sync_deadline = 1.0
-    bench.call(1, fingerprint=OTHER)
+    bench.send_call(1, fingerprint=OTHER)
     assert len(bench.target.requests) == 1
     assert codes(bench) == []
 
 
-def test_entries_hear_with_a_broken_call_what_ran_at_the_end(bench):
-    bench.call(1, fingerprint=BAD)
-    bench.call(2, fingerprint=OTHER)
+def test_broken_call_reports_what_ran_at_the_termination(bench):
+    bench.send_call(1, fingerprint=BAD)
+    bench.send_call(2, fingerprint=OTHER)
     for listener in list(bench.target.listeners):
         listener.on_failure(CLOSED)
-    assert bench.told == []
+    assert bench.outcomes == []
     assert not bench.gate.is_idle()
     bench.gate.ends.note_connection_refused()
     assert codes(bench) == [ResultCode.TARGET_ENDED] * 2
-    assert bench.told[0].end.fingerprints == [BAD, OTHER]
-    assert bench.told[1].end is None
+    assert bench.outcomes[0].end.fingerprints == [BAD, OTHER]
+    assert bench.outcomes[1].end is None
     assert bench.gate.is_idle()
 
 
-def test_entries_do_not_wait_long_where_nothing_shows_an_end(bench):
-    bench.call(1, fingerprint=BAD)
+def test_broken_call_is_reported_soon_without_a_termination(bench):
+    bench.send_call(1, fingerprint=BAD)
     bench.target.listeners[0].on_failure(CLOSED)
     bench.gate.ends.note_alive(asked_at=bench.gate.now())
     assert codes(bench) == [ResultCode.TARGET_BROKE_OFF]
-    assert bench.told[0].end is None
+    assert bench.outcomes[0].end is None
 
 
-def test_a_call_that_was_given_up_a_moment_before_the_end_counts(bench):
-    bench.call(1, fingerprint=BAD)
+def test_call_cancelled_just_before_the_termination_counts(bench):
+    bench.send_call(1, fingerprint=BAD)
     bench.gate.on_cancel(bench.gate_end, Cancel(1))
     bench.gate.ends.note_connection_refused()
     judgement = bench.gate.quarantine.judge('prices', BAD)
     assert judgement.standing is Standing.SUSPECT
 
 
-def test_what_broke_off_and_was_never_explained_is_forgotten(bench):
+def test_old_broken_calls_are_forgotten(bench):
     bench.gate.now = lambda: 0.0
-    bench.call(1, fingerprint=BAD)
+    bench.send_call(1, fingerprint=BAD)
     bench.target.listeners[0].on_failure(CLOSED)
     bench.gate.now = lambda: 100.0
-    bench.call(2, fingerprint=OTHER)
+    bench.send_call(2, fingerprint=OTHER)
     bench.target.listeners[1].on_failure(CLOSED)
     assert [b.fingerprint for b in bench.gate.ends.broken] == [OTHER]
--- a/tests/gate/test_termination.py
+++ b/tests/gate/test_termination.py
@@ -1,4 +1,4 @@
-"""An end of the target, and a connection that merely broke."""
+"""Distinguishing a target's termination from a broken connection."""
 
 import pytest
 from structlog.testing import capture_logs
@@ -14,7 +14,7 @@
 
 @pytest.fixture
 def bench():
-    return GateBench(can_ask=False)
+    return GateBench(can_query=False)
 
 
 def ended(logs) -> list[list[str]]:
@@ -23,78 +23,80 @@
 
 def run(bench: GateBench, *names: bytes) -> None:
     for number, name in enumerate(names):
-        bench.call(number, fingerprint=name)
+        bench.send_call(number, fingerprint=name)
 
 
-def break_off(bench: GateBench, kind=CLOSED) -> None:
+def disconnect(bench: GateBench, kind=CLOSED) -> None:
     for listener in bench.target.listeners:
         listener.on_failure(kind)
 
 
-def test_all_that_ran_when_nobody_listens_any_more_is_told(bench):
+def test_refused_connection_reports_all_running_requests(bench):
     run(bench, b'a', b'b')
     with capture_logs() as logs:
-        break_off(bench)
+        disconnect(bench)
         assert bench.target.looks == 1
         bench.gate.ends.note_connection_refused()
         bench.gate.ends.note_connection_refused()
     assert ended(logs) == [[b'a'.hex(), b'b'.hex()]]
 
 
-def test_another_incarnation_shows_the_end_of_the_one_before(bench):
+def test_new_incarnation_reports_the_end_of_the_previous_one(bench):
     run(bench, b'a')
     with capture_logs() as logs:
-        break_off(bench)
+        disconnect(bench)
         bench.gate.announce(Announcement('i-2', 'prices', 8))
     assert ended(logs) == [[b'a'.hex()]]
     assert [e['incarnation'] for e in logs if 'ran' in e] == ['i-1']
 
 
-def test_a_connection_that_broke_while_others_are_answered_says_nothing(
+def test_broken_connection_is_no_termination_while_others_are_answered(
     bench,
 ):
     run(bench, b'a')
     with capture_logs() as logs:
-        break_off(bench)
+        disconnect(bench)
         bench.gate.ends.note_answer(begun_at=1.0)
         bench.gate.ends.note_connection_refused()
     assert ended(logs) == []
 
 
-def test_a_target_that_said_that_it_leaves_says_nothing(bench):
+def test_departure_is_no_unexpected_termination(bench):
     run(bench, b'a')
     bench.gate.target_leaves('i-1')
     with capture_logs() as logs:
-        break_off(bench)
+        disconnect(bench)
         bench.gate.ends.note_connection_refused()
     assert ended(logs) == []
 
 
-def test_a_call_that_was_too_slow_or_spoilt_is_not_one_that_broke(bench):
+def test_timeout_or_corrupt_answer_is_no_termination(bench):
     run(bench, b'a')
     with capture_logs() as logs:
-        break_off(bench, TargetFailure(True, 'spoilt', FailureKind.OTHER))
+        disconnect(bench, TargetFailure(True, 'spoilt', FailureKind.OTHER))
         bench.gate.ends.note_connection_refused()
     assert ended(logs) == []
 
 
-def test_a_target_that_only_takes_connections_is_not_believed_to_run(bench):
-    """Guards against a first end that others know only after a retry."""
+def test_accepted_connection_does_not_prove_that_a_target_runs(bench):
+    """Guards against a termination that is reported only after a retry."""
     run(bench, b'a')
-    break_off(bench)
-    before = bench.asked
+    disconnect(bench)
+    before = bench.queries
     bench.gate.ends.note_connected()
-    assert bench.asked == before + 1
-    assert not bench.told
+    assert bench.queries == before + 1
+    assert not bench.outcomes
     bench.gate.ends.note_connection_refused()
-    assert [told.code for told in bench.told] == [ResultCode.TARGET_ENDED]
+    assert [told.code for told in bench.outcomes] == [ResultCode.TARGET_ENDED]
 
 
-def test_a_page_that_was_asked_before_the_break_shows_nothing(bench):
-    """Guards against an answer from before the end that counts after it."""
+def test_health_request_from_before_the_break_proves_nothing(bench):
+    """Guards against counting an answer to a request sent before the break."""
     run(bench, b'a')
-    break_off(bench)
+    disconnect(bench)
     bench.gate.ends.note_alive(asked_at=-0.1)
-    assert not bench.told
+    assert not bench.outcomes
     bench.gate.ends.note_alive(asked_at=0.1)
-    assert [told.code for told in bench.told] == [ResultCode.TARGET_BROKE_OFF]
+    assert [told.code for told in bench.outcomes] == [
+        ResultCode.TARGET_BROKE_OFF
+    ]
--- a/tests/gate/test_verdicts.py
+++ b/tests/gate/test_verdicts.py
@@ -1,4 +1,4 @@
-"""What an answer of a target proves."""
+"""What a target's response proves."""
 
 import pytest
 
