--- a/cyclamenlift/gate/admission.py
+++ b/cyclamenlift/gate/admission.py
@@ -180,7 +180,7 @@
     return count / rate if count else usual
 
 
-def retry_after_refusal(running: int, room: int) -> float:
+def retry_after_refusal(running: int, limit: int) -> float:
     """Return the retry-after for a call that the target itself refused.
 
     >>> retry_after_refusal(12, 12), retry_after_refusal(4, 12)
@@ -188,6 +188,6 @@
     """
     return (
         TARGET_FULL_RETRY_AFTER
-        if running >= room
+        if running >= limit
         else TARGET_SHEDDING_RETRY_AFTER
     )
--- a/cyclamenlift/gate/admission_control.py
+++ b/cyclamenlift/gate/admission_control.py
@@ -1,6 +1,6 @@
-"""Admits calls to the target, puts them on hold or sends them back.
+"""Admits calls to the target, puts them on hold or refuses them.
 
-A call that is sent back has not run: no part of it has reached the target.
+A call that is refused has not run: no part of it has reached the target.
 """
 
 from collections.abc import Callable
@@ -29,7 +29,7 @@
     def __init__(self, gate: 'Gate'):
         self.gate = gate
 
-    # -- letting calls in -------------------------------------------------
+    # -- admission -------------------------------------------------------
 
     def admit_new(self, call: 'GateCall') -> None:
         """Decide on a new call by the target's current pace."""
@@ -46,18 +46,18 @@
         resume(call, gate.now())
 
     def decide(self, call: 'GateCall', now: float) -> None:
-        """Start a call, queue it or send it back."""
+        """Start a call, queue it or refuse it."""
         if self.gate.presence.absent:
             gone = Admission(Verdict.REFUSED, ResultCode.TARGET_UNREACHABLE)
-            self.send_back(call, gone)
+            self.refuse(call, gone)
             return
         if self.is_too_slow(call.start, now):
             slow = Admission(Verdict.REFUSED, ResultCode.TARGET_SLOW)
-            self.send_back(call, slow)
+            self.refuse(call, slow)
             return
         admission = self.admit(call, now)
         if admission.verdict is Verdict.REFUSED:
-            self.send_back(call, admission)
+            self.refuse(call, admission)
             return
         if admission.verdict is Verdict.START:
             call.begin(now)
@@ -94,9 +94,9 @@
         else:
             call.begin(now)
 
-    # -- sending calls back -----------------------------------------------
+    # -- refusals --------------------------------------------------------
 
-    def send_back(self, call: 'GateCall', admission: Admission) -> None:
+    def refuse(self, call: 'GateCall', admission: Admission) -> None:
         """Refuse a call that was not admitted."""
         self.gate.forget(call)
         call.send_refused(admission.code, '', admission.retry_after)
--- a/cyclamenlift/gate/pace_notifier.py
+++ b/cyclamenlift/gate/pace_notifier.py
@@ -60,11 +60,11 @@
             hook(figures)
 
 
-def is_same_pace(pace: int, told: int) -> bool:
+def is_same_pace(pace: int, sent_pace: int) -> bool:
     """Tell whether two paces differ too little to send an update.
 
     >>> is_same_pace(100, 110), is_same_pace(700, 100)
     (True, False)
     """
-    low, high = sorted((pace, told))
+    low, high = sorted((pace, sent_pace))
     return high <= PACE_STEP * low
--- a/cyclamenlift/gate/performance.py
+++ b/cyclamenlift/gate/performance.py
@@ -126,9 +126,9 @@
         """Update the model with a call that ran beside ``beside`` others.
 
         ``beside`` is the mean number of other calls, ``nested`` the time spent
-        waiting for nested calls, ``begun`` the pace at the start. If ``begun``
-        is None, or calls don't keep the pace at which they started, only calls
-        during which the target's pace was constant are used.
+        waiting for nested calls, ``pace_at_start`` the pace at the start. If
+        that is None, or calls don't keep the pace at which they started, only
+        calls during which the target's pace was constant are used.
         """
         own = max(0.0, seconds - nested)
         changed = not self.pace.was_constant(seconds, now)
--- a/cyclamenlift/gate/registration.py
+++ b/cyclamenlift/gate/registration.py
@@ -24,7 +24,7 @@
     """The effect of an announcement."""
 
     NEW = 'new'
-    AGAIN = 'again'
+    UPDATED = 'again'
     STALE = 'stale'
 
 
@@ -158,7 +158,7 @@
                 announcement, born_ms=current.born_ms
             )
         self.note(announcement, now)
-        return AnnouncementOutcome.AGAIN
+        return AnnouncementOutcome.UPDATED
 
     def replace(
         self, announcement: Announcement, now: float
--- a/cyclamenlift/gate/slowdowns.py
+++ b/cyclamenlift/gate/slowdowns.py
@@ -99,9 +99,9 @@
         has so far. If there are none, the slowdown is of another kind and is
         expected to last as long again as it already has.
 
-        >>> spells = SlowdownHistory()
-        >>> spells.note(700, 1.0)
-        >>> round(spells.remaining(1.2), 1), round(spells.remaining(3.0), 1)
+        >>> history = SlowdownHistory()
+        >>> history.note(700, 1.0)
+        >>> round(history.remaining(1.2), 1), round(history.remaining(3.0), 1)
         (0.3, 2.0)
         """
         if self.since is None:
--- a/cyclamenlift/gate/state.py
+++ b/cyclamenlift/gate/state.py
@@ -46,7 +46,7 @@
     """The decision on an admission request.
 
     ``retry_after``, in seconds, is set only for REFUSED. ``latest_start`` is
-    when a QUEUED call that still waits should be sent back, 0 if it may wait
+    when a QUEUED call that still waits should be refused, 0 if it may wait
     until its deadline. ``hold_seconds`` is how long it is held for the
     target's slowdown to end, 0 if it waits only for a slot.
     """
--- a/cyclamenlift/gate/termination.py
+++ b/cyclamenlift/gate/termination.py
@@ -188,10 +188,10 @@
             self.timer.cancel()
             self.timer = None
         waiting, self.unreported = self.unreported, []
-        told = set()
+        notified = set()
         for unreported in waiting:
             call = unreported.call
-            first = call.link.number not in told
-            told.add(call.link.number)
+            first = call.link.number not in notified
+            notified.add(call.link.number)
             call.send_broken(code, unreported.detail, end if first else None)
         self.gate.check_idle()
--- a/tests/gate/test_slow_spells.py
+++ b/tests/gate/test_calls_in_slowdowns.py
@@ -32,12 +32,12 @@
 SPREAD = 0.33
 OBJECTIVE = 2.2
 DEADLINE = 6.6
-SPELL = 0.5
+SLOWDOWN = 0.5
 GAP = 1.5
 SLOW = 700
 USUAL = 100
 # Interval at which the target reports its pace.
-FIGURES = 0.02
+REPORT_INTERVAL = 0.02
 SECONDS = 120.0
 
 
@@ -67,7 +67,7 @@
         self.late = 0
         self.refused = 0
         self.push(0.0, self.come)
-        self.push(0.0, self.tell)
+        self.push(0.0, self.report_pace)
 
     def push(self, instant: float, what, *detail) -> None:
         self.number += 1
@@ -84,11 +84,11 @@
 
     def pace(self, now: float) -> int:
         """Return the target's pace at a given time."""
-        slow = any(at <= now < at + SPELL for at in self.slowdowns)
+        slow = any(at <= now < at + SLOWDOWN for at in self.slowdowns)
         return SLOW if slow else USUAL
 
-    def tell(self, now: float) -> None:
-        self.push(now + FIGURES, self.tell)
+    def report_pace(self, now: float) -> None:
+        self.push(now + REPORT_INTERVAL, self.report_pace)
         load = TargetLoad(len(self.state.running), 0, SLOTS, self.pace(now))
         self.state.note_target_load(load, now)
         self.apply_dequeued(now, self.state.drop_late_calls(now))
@@ -132,19 +132,19 @@
         if self.keeps:
             return work * self.pace(now) / USUAL
         at = now
-        for spell in self.slowdowns:
-            if spell + SPELL <= at:
+        for slowdown in self.slowdowns:
+            if slowdown + SLOWDOWN <= at:
                 continue
-            before = max(0.0, spell - at)
+            before = max(0.0, slowdown - at)
             if work <= before:
                 break
             work -= before
             at += before
-            done = (spell + SPELL - at) * USUAL / SLOW
+            done = (slowdown + SLOWDOWN - at) * USUAL / SLOW
             if work <= done:
                 return at - now + work * SLOW / USUAL
             work -= done
-            at = spell + SPELL
+            at = slowdown + SLOWDOWN
         return at - now + work
 
     def end(self, now: float, call: Running) -> None:
@@ -167,7 +167,7 @@
     while now < SECONDS + DEADLINE:
         now += rng.expovariate(1 / GAP)
         found.append(now)
-        now += SPELL
+        now += SLOWDOWN
     return found
 
 
--- a/tests/gate/test_presence.py
+++ b/tests/gate/test_presence.py
@@ -31,7 +31,7 @@
 
 
 def codes(bench: GateBench) -> list[int]:
-    return [told.code for told in bench.outcomes]
+    return [message.code for message in bench.outcomes]
 
 
 def test_calls_are_refused_at_once_while_the_target_is_absent(bench):
--- a/tests/gate/test_registration.py
+++ b/tests/gate/test_registration.py
@@ -23,7 +23,7 @@
     )
     assert (
         registration.announce(announced('a', 2), 1.0)
-        is AnnouncementOutcome.AGAIN
+        is AnnouncementOutcome.UPDATED
     )
     assert registration.incarnation == 'a'
 
@@ -80,7 +80,7 @@
     registration.announce(announced('a'), 0.0)
     assert (
         registration.announce(announced('a', 1), 1.0)
-        is AnnouncementOutcome.AGAIN
+        is AnnouncementOutcome.UPDATED
     )
 
 
@@ -182,7 +182,7 @@
     assert registration.incarnation == 'alive'
     assert (
         registration.announce(announced('alive', 5), 3.0)
-        is AnnouncementOutcome.AGAIN
+        is AnnouncementOutcome.UPDATED
     )
 
 
--- a/tests/gate/test_termination.py
+++ b/tests/gate/test_termination.py
@@ -87,7 +87,9 @@
     assert bench.queries == before + 1
     assert not bench.outcomes
     bench.gate.ends.note_connection_refused()
-    assert [told.code for told in bench.outcomes] == [ResultCode.TARGET_ENDED]
+    assert [message.code for message in bench.outcomes] == [
+        ResultCode.TARGET_ENDED
+    ]
 
 
 def test_health_request_from_before_the_break_proves_nothing(bench):
@@ -97,6 +99,6 @@
     bench.gate.ends.note_alive(asked_at=-0.1)
     assert not bench.outcomes
     bench.gate.ends.note_alive(asked_at=0.1)
-    assert [told.code for told in bench.outcomes] == [
+    assert [message.code for message in bench.outcomes] == [
         ResultCode.TARGET_BROKE_OFF
     ]
