--- a/cyclamenlift/gate/admission.py
+++ b/cyclamenlift/gate/admission.py
@@ -29,7 +29,7 @@
 # capacity for both. On two days of heavy load at a site whose targets are
 # seven times slower a third of the time, single runs scored 0.264 and 0.206
 # without such a share, 0.318 and 0.287 with 0.7, 0.361 and 0.286 with 0.5,
-# 0.368 and 0.275 with 0.3. Of the two best, 0.5 refuses fewer calls.
+# 0.368 and 0.275 with 0.3. Of the middle values the lower refuses fewer calls.
 CROWDED_SHARE = 0.5
 # Safety margins, in multiples of the spread of the route's service time: a
 # call counts as late if it would be late when it takes the mean plus this many
--- a/cyclamenlift/gate/gate_call.py
+++ b/cyclamenlift/gate/gate_call.py
@@ -283,12 +283,12 @@
         """Update the performance model with this answered call."""
         state = self.gate.state
         now = self.gate.now()
-        beside = state.occupancy.mean_since(self.mark, now) - 1.0
+        concurrent = state.occupancy.mean_since(self.mark, now) - 1.0
         before = state.performance.limiter.chosen
         state.note_work(
             self.start.route_name,
             seconds,
-            beside,
+            concurrent,
             now,
             self.nested_seconds,
             self.pace_at_start,
--- a/cyclamenlift/gate/lag_tracker.py
+++ b/cyclamenlift/gate/lag_tracker.py
@@ -62,7 +62,7 @@
         return delay.lag
 
     def lag(self, link: Hashable, now: float) -> float:
-        """Return the current lag, decreasing since the last call.
+        """Return the current lag, if the backlog has been draining since.
 
         >>> delays = LagTracker()
         >>> _ = delays.note(1, 100.0, 7.0), delays.note(1, 101.0, 8.5)
--- a/cyclamenlift/gate/performance.py
+++ b/cyclamenlift/gate/performance.py
@@ -118,17 +118,18 @@
         self,
         route: str,
         seconds: float,
-        beside: float,
+        concurrent: float,
         now: float,
         nested: float = 0.0,
         pace_at_start: PaceAtStart | None = None,
     ) -> None:
-        """Update the model with a call that ran beside ``beside`` others.
+        """Update the model with a call that was answered.
 
-        ``beside`` is the mean number of other calls, ``nested`` the time spent
-        waiting for nested calls, ``pace_at_start`` the pace at the start. If
-        that is None, or calls don't keep the pace at which they started, only
-        calls during which the target's pace was constant are used.
+        ``concurrent`` is the mean number of other calls that ran meanwhile,
+        ``nested`` the time spent waiting for nested calls, ``pace_at_start``
+        the pace at the start. If that is None, or calls don't keep the pace at
+        which they started, only calls during which the target's pace was
+        constant are used.
         """
         own = max(0.0, seconds - nested)
         changed = not self.pace.was_constant(seconds, now)
@@ -145,7 +146,7 @@
         pace = pace_at_start.pace_percent
         usual_seconds = at_usual_pace(own, pace)
         self.slot_time.note(usual_seconds + nested)
-        in_use = beside + 1.0
+        in_use = concurrent + 1.0
         if self.work.knows(route, MIN_BASELINE_SAMPLES):
             ratio = usual_seconds / self.work.seconds(route)
             self.limiter.note(ratio, in_use, now)
--- a/cyclamenlift/gate/state.py
+++ b/cyclamenlift/gate/state.py
@@ -87,7 +87,7 @@
         self.queue: collections.OrderedDict[Hashable, AdmissionRequest] = (
             collections.OrderedDict()
         )
-        self.urgency = RecentUrgencies()
+        self.recent_urgencies = RecentUrgencies()
         self.performance = PerformanceModel(slots)
         self.limit = self.performance.limit(0.0)
         self.rules = DEFAULT_RULES
@@ -122,19 +122,23 @@
             return self.refuse(ResultCode.DRAINING)
         if now >= request.deadline:
             return self.refuse(ResultCode.DEADLINE_NOT_RUN)
-        self.urgency.note(request, now)
+        self.recent_urgencies.note(request, now)
         self.update_limit(now)
         ahead = self.count_ahead(request, now)
         limit = usable_slots(
-            request, self.concurrency_limit, self.urgency, now, self.rules
+            request,
+            self.concurrency_limit,
+            self.recent_urgencies,
+            now,
+            self.rules,
         )
         best = self.estimate(request, now)
         guess = best.seconds - best.held
         spread = self.performance.spread(request, best, now)
         if self.would_waste_slot(request, best, now):
-            few = self.crowded_slots()
-            uncrowded = self.wait_for_slot(0, few, guess)
-            return self.refuse_until(ResultCode.QUEUE_DEADLINE, uncrowded)
+            threshold = self.crowded_slots()
+            retry_after = self.wait_for_slot(0, threshold, guess)
+            return self.refuse_until(ResultCode.QUEUE_DEADLINE, retry_after)
         if not best.held and not ahead and len(self.running) < limit:
             self.start(request.key, now, guess)
             return Admission(Verdict.START)
@@ -285,14 +289,14 @@
         self,
         route: str,
         seconds: float,
-        beside: float,
+        concurrent: float,
         now: float,
         nested: float = 0.0,
         pace_at_start: PaceAtStart | None = None,
     ) -> None:
         """Record an answered call; see ``PerformanceModel.note``."""
         self.performance.note(
-            route, seconds, beside, now, nested, pace_at_start
+            route, seconds, concurrent, now, nested, pace_at_start
         )
         self.update_limit(now)
 
