--- a/cyclamenlift/gate/admission.py
+++ b/cyclamenlift/gate/admission.py
@@ -103,23 +103,23 @@
     """Tracks when calls of each urgency last arrived."""
 
     def __init__(self) -> None:
-        self.seen: dict[tuple[bool, int], float] = {}
+        self.last_seen: dict[tuple[bool, int], float] = {}
 
     def note(self, request: AdmissionRequest, now: float) -> None:
-        self.seen[request.urgency] = now
+        self.last_seen[request.urgency] = now
 
     def has_more_urgent(self, request: AdmissionRequest, now: float) -> bool:
         """Tell whether more urgent calls arrived recently."""
         return any(
             urgency < request.urgency and now - at < URGENT_WINDOW_SECONDS
-            for urgency, at in self.seen.items()
+            for urgency, at in self.last_seen.items()
         )
 
 
 def usable_slots(
     request: AdmissionRequest,
     slots: int,
-    seen: RecentUrgencies,
+    recent: RecentUrgencies,
     now: float,
     rules: AdmissionRules = DEFAULT_RULES,
 ) -> int:
@@ -128,7 +128,7 @@
         return max(1, int(slots * rules.repeat_share))
     if slots < MIN_SLOTS_TO_RESERVE:
         return slots
-    if seen.has_more_urgent(request, now):
+    if recent.has_more_urgent(request, now):
         return slots - rules.reserved_slots
     return slots
 
--- a/cyclamenlift/gate/body_transfers.py
+++ b/cyclamenlift/gate/body_transfers.py
@@ -54,11 +54,11 @@
         if call.key not in self.last_chunk_at:
             return
         if call.body_received:
-            self.end(call)
+            self.finish_transfer(call)
         else:
             self.last_chunk_at[call.key] = self.gate.now()
 
-    def end(self, call: 'GateCall') -> None:
+    def finish_transfer(self, call: 'GateCall') -> None:
         """Free the transfer of a body that is complete or whose call ended."""
         self.waiting.pop(call.key, None)
         if self.last_chunk_at.pop(call.key, None) is not None:
--- a/cyclamenlift/gate/concurrency.py
+++ b/cyclamenlift/gate/concurrency.py
@@ -44,12 +44,12 @@
 
 
 class UtilizationBand:
-    """Relative service times while up to ``most`` slots were in use."""
+    """Relative service times while up to ``upper_bound`` slots were in use."""
 
-    __slots__ = ('count', 'most', 'ratio')
+    __slots__ = ('count', 'upper_bound', 'ratio')
 
-    def __init__(self, most: int):
-        self.most = most
+    def __init__(self, upper_bound: int):
+        self.upper_bound = upper_bound
         self.count = 0
         self.ratio = 1.0
 
@@ -85,13 +85,13 @@
     def band_of(self, in_use: float) -> UtilizationBand:
         """Return the band for a mean number of slots in use."""
         for band in self.bands:
-            if in_use <= band.most + 0.5:
+            if in_use <= band.upper_bound + 0.5:
                 return band
         return self.bands[-1]
 
     def is_uncontended(self, in_use: float) -> bool:
         """Tell whether a call ran at a utilization without contention."""
-        return self.band_of(in_use).most <= self.initial_limit
+        return self.band_of(in_use).upper_bound <= self.initial_limit
 
     def contention_factor(self, in_use: float) -> float:
         """Return the factor by which work takes longer at a utilization."""
@@ -111,13 +111,15 @@
             return self.chosen
         if self.trial_band is None and self.may_start_trial(now):
             self.start_trial()
-        return self.trial_band.most if self.trial_band else self.chosen
+        return self.trial_band.upper_bound if self.trial_band else self.chosen
 
     def may_start_trial(self, now: float) -> bool:
         """Tell whether it is time to try more slots."""
         if self.chosen >= self.slots or now < self.next_trial_at:
             return False
-        roomy = sum(b.count for b in self.bands if b.most <= self.chosen)
+        roomy = sum(
+            b.count for b in self.bands if b.upper_bound <= self.chosen
+        )
         return roomy >= MIN_BASELINE_SAMPLES
 
     # -- commands ---------------------------------------------------------
@@ -130,13 +132,15 @@
         self.chosen = self.find_best()
         if band is self.trial_band and band.known:
             self.trial_band = None
-            before = band.most
+            before = band.upper_bound
         if self.chosen < before:
             self.next_trial_at = now + TRIAL_INTERVAL_SECONDS
 
     def start_trial(self) -> None:
         """Start measuring the next band from scratch."""
-        self.trial_band = next(b for b in self.bands if b.most > self.chosen)
+        self.trial_band = next(
+            b for b in self.bands if b.upper_bound > self.chosen
+        )
         self.trial_band.count = 0
 
     def find_best(self) -> int:
@@ -151,11 +155,11 @@
         for band in self.bands:
             if band.known:
                 ratio = band.ratio
-            elif band.most > self.initial_limit:
+            elif band.upper_bound > self.initial_limit:
                 break
-            done = band.most / ratio
+            done = band.upper_bound / ratio
             if done >= TIE_SHARE * best_done:
-                best = band.most
+                best = band.upper_bound
                 best_done = max(best_done, done)
         return best
 
@@ -182,10 +186,10 @@
 def make_bands(slots: int) -> list[UtilizationBand]:
     """Return the utilization bands for ``slots``, each one slot or wider.
 
-    >>> [band.most for band in make_bands(15)]
+    >>> [band.upper_bound for band in make_bands(15)]
     [7, 9, 10, 12, 13, 15]
-    >>> [band.most for band in make_bands(6)]
+    >>> [band.upper_bound for band in make_bands(6)]
     [3, 4, 5, 6]
     """
     ends = {max(1, int(slots * share)) for share in BAND_SHARES}
-    return [UtilizationBand(most) for most in sorted(ends)]
+    return [UtilizationBand(upper_bound) for upper_bound in sorted(ends)]
--- a/cyclamenlift/gate/decision_log.py
+++ b/cyclamenlift/gate/decision_log.py
@@ -65,7 +65,7 @@
         chosen=crowding.chosen,
         slots=crowding.slots,
         ratios={
-            band.most: round(band.ratio, 2)
+            band.upper_bound: round(band.ratio, 2)
             for band in crowding.bands
             if band.known
         },
--- a/cyclamenlift/gate/health.py
+++ b/cyclamenlift/gate/health.py
@@ -44,7 +44,7 @@
         self.settings = settings
         self.failures = 0
         self.asked = 0
-        self.asked_at = 0.0
+        self.request_sent_at = 0.0
         self.call = None
         self.timer = None
         self.status = 0
@@ -72,7 +72,7 @@
         now = gate.now()
         if not gate.dialect.load or gate.is_target_unknown():
             return False
-        if now - self.asked_at >= MAX_POLL_INTERVAL_SECONDS:
+        if now - self.request_sent_at >= MAX_POLL_INTERVAL_SECONDS:
             return False
         age = now - gate.state.performance.pace.reported_at
         return age < self.max_load_age()
@@ -109,7 +109,7 @@
         if self.gate.rule and not self.gate.budget.take(self.gate.now()):
             return False
         self.asked += 1
-        self.asked_at = self.gate.now()
+        self.request_sent_at = self.gate.now()
         request = TargetRequest(
             method='GET',
             path=self.path(),
@@ -186,7 +186,7 @@
 
     def on_end(self) -> None:
         self.record_result(self.status in GOOD_STATUS)
-        self.gate.ends.note_alive(self.asked_at)
+        self.gate.ends.note_alive(self.request_sent_at)
 
     def on_drained(self) -> None:
         """Do nothing: the request has no body."""
--- a/cyclamenlift/gate/presence.py
+++ b/cyclamenlift/gate/presence.py
@@ -79,9 +79,9 @@
         if not gate.awaits_target():
             gate.set_target_state(TargetState.READY)
 
-    def note_answer(self, asked_at: float) -> None:
-        """Handle an answer to a request that was sent at ``asked_at``."""
-        if asked_at > self.absent_at:
+    def note_answer(self, request_sent_at: float) -> None:
+        """Handle an answer to a request sent at ``request_sent_at``."""
+        if request_sent_at > self.absent_at:
             self.note_present('answer')
 
     def schedule_recheck(self) -> None:
--- a/cyclamenlift/gate/registration.py
+++ b/cyclamenlift/gate/registration.py
@@ -165,7 +165,7 @@
     ) -> AnnouncementOutcome:
         """Switch to another incarnation."""
         if self.current is not None:
-            self.end(self.incarnation, self.born_ms, self.draining)
+            self.mark_ended(self.incarnation, self.born_ms, self.draining)
         if announcement.from_health_page:
             self.ended.pop(announcement.incarnation, None)
         self.left = False
@@ -177,7 +177,7 @@
         self.current = announcement
         self.warm_deadline = now + announcement.warm_up_seconds
 
-    def end(self, incarnation: str, born_ms: int, left: bool) -> None:
+    def mark_ended(self, incarnation: str, born_ms: int, left: bool) -> None:
         """Remember that an incarnation has ended."""
         born_ms = born_ms or self.unix_ms()
         known = self.ended.pop(incarnation, None)
@@ -195,7 +195,7 @@
         delayed announcements don't register it.
         """
         if self.incarnation != incarnation:
-            self.end(incarnation, born_ms, left=True)
+            self.mark_ended(incarnation, born_ms, left=True)
             return False
         if is_older(born_ms, self.born_ms):
             return False
--- a/cyclamenlift/gate/tasks.py
+++ b/cyclamenlift/gate/tasks.py
@@ -330,7 +330,7 @@
         if call is None:
             return
         not_run = not call.was_sent()
-        self.cut(call)
+        self.cancel_call(call)
         link.send(Cancelled(cancel.call_id, not_run, self.figures(link)))
 
     def on_probe(self, link, probe: Probe) -> None:
@@ -350,13 +350,13 @@
             if key[0] != link.number:
                 continue
             if call.start.idempotent or not call.was_sent():
-                self.cut(call)
+                self.cancel_call(call)
 
     def on_deadline(self, call: GateCall) -> None:
         if call.ended:
             return
         sent = call.was_sent()
-        self.cut(call)
+        self.cancel_call(call)
         if sent:
             call.send_broken(ResultCode.DEADLINE_UNKNOWN)
         else:
@@ -364,7 +364,7 @@
 
     # -- steps ------------------------------------------------------------
 
-    def cut(self, call: GateCall) -> None:
+    def cancel_call(self, call: GateCall) -> None:
         """Cancel a call in whatever stage it is."""
         asked = self.pace_queries.withdraw(call.key)
         undecided = asked and call.key not in self.state.running
@@ -380,7 +380,7 @@
         call.ended = True
         self.calls.pop(call.key, None)
         self.calls_by_trace_id.pop(call.start.trace_id, None)
-        self.body_transfers.end(call)
+        self.body_transfers.finish_transfer(call)
         cancel_timer(call.timer)
         cancel_timer(call.wait_timer)
 
--- a/cyclamenlift/gate/termination.py
+++ b/cyclamenlift/gate/termination.py
@@ -116,15 +116,15 @@
         if self.unreported:
             self.gate.pace_queries.send_query()
 
-    def note_alive(self, asked_at: float) -> None:
-        """Record that the target answered a request sent at ``asked_at``.
+    def note_alive(self, request_sent_at: float) -> None:
+        """Record an answer to a request sent at ``request_sent_at``.
 
         Calls that broke off before that were merely disconnected.
         """
-        self.gate.presence.note_answer(asked_at)
+        self.gate.presence.note_answer(request_sent_at)
         if not self.unreported:
             return
-        if asked_at >= self.unreported[-1].broke_at:
+        if request_sent_at >= self.unreported[-1].broke_at:
             self.report_broken()
         else:
             self.gate.pace_queries.send_query()
--- a/tests/gate/test_health.py
+++ b/tests/gate/test_health.py
@@ -56,7 +56,7 @@
     health.settings = Period()
     gate.note_answer_head([('x-load', '0,0,6,100')])
     gate.state.performance.pace.reported_at -= age
-    health.asked_at = gate.now()
+    health.request_sent_at = gate.now()
     return health
 
 
--- a/tests/gate/test_presence.py
+++ b/tests/gate/test_presence.py
@@ -89,7 +89,7 @@
     [
         lambda gate: gate.ends.note_connected(),
         lambda gate: gate.announce(Announcement('i-2', 'prices', 8)),
-        lambda gate: gate.ends.note_alive(asked_at=1.0),
+        lambda gate: gate.ends.note_alive(request_sent_at=1.0),
     ],
     ids=['takes connections', 'announces itself', 'answers its page'],
 )
--- a/tests/gate/test_suspects.py
+++ b/tests/gate/test_suspects.py
@@ -119,7 +119,7 @@
 def test_broken_call_is_reported_soon_without_a_termination(bench):
     bench.send_call(1, fingerprint=BAD)
     bench.target.listeners[0].on_failure(CLOSED)
-    bench.gate.ends.note_alive(asked_at=bench.gate.now())
+    bench.gate.ends.note_alive(request_sent_at=bench.gate.now())
     assert codes(bench) == [ResultCode.TARGET_BROKE_OFF]
     assert bench.outcomes[0].end is None
 
--- a/tests/gate/test_termination.py
+++ b/tests/gate/test_termination.py
@@ -96,9 +96,9 @@
     """Guards against counting an answer to a request sent before the break."""
     run(bench, b'a')
     disconnect(bench)
-    bench.gate.ends.note_alive(asked_at=-0.1)
+    bench.gate.ends.note_alive(request_sent_at=-0.1)
     assert not bench.outcomes
-    bench.gate.ends.note_alive(asked_at=0.1)
+    bench.gate.ends.note_alive(request_sent_at=0.1)
     assert [message.code for message in bench.outcomes] == [
         ResultCode.TARGET_BROKE_OFF
     ]
