--- a/cyclamenlift/gate/performance.py
+++ b/cyclamenlift/gate/performance.py
@@ -82,7 +82,7 @@
         """Return the pace to store with a call that begins now."""
         return PaceAtStart(self.percent(now), self.progress.until(now))
 
-    def spell_left(self, now: float) -> float:
+    def slowdown_left(self, now: float) -> float:
         """Return the expected rest of the current slowdown in seconds."""
         if self.percent(now) <= MOST_PACE:
             return 0.0
@@ -208,7 +208,7 @@
     def best_start(self, work: float, now: float) -> Start:
         """Return the soonest way to finish ``work`` at the current pace."""
         percent = self.pace.percent(now) or USUAL_PACE
-        left = self.pace.spell_left(now)
+        left = self.pace.slowdown_left(now)
         if not self.pace_retention.is_retained:
             return Start(0.0, work_following_pace(work, percent, left))
         return best_start(work, percent, left)
@@ -228,7 +228,7 @@
 
 
 def work_following_pace(
-    work: float, pace_percent: int, spell_left: float
+    work: float, pace_percent: int, slowdown_left: float
 ) -> float:
     """Return how long work takes if it follows the target's pace.
 
@@ -238,7 +238,7 @@
     0.443
     """
     factor = max(1.0, pace_percent / PERCENT)
-    done_in_spell = spell_left / factor
-    if pace_percent <= MOST_PACE or work <= done_in_spell:
+    done_in_slowdown = slowdown_left / factor
+    if pace_percent <= MOST_PACE or work <= done_in_slowdown:
         return work * factor
-    return spell_left + work - done_in_spell
+    return slowdown_left + work - done_in_slowdown
--- a/cyclamenlift/gate/state.py
+++ b/cyclamenlift/gate/state.py
@@ -404,6 +404,6 @@
             lag_ms=int(lag * MILLISECONDS),
             body_wait_ms=int(body_wait * MILLISECONDS),
             spell_left_ms=int(
-                self.performance.pace.spell_left(now) * MILLISECONDS
+                self.performance.pace.slowdown_left(now) * MILLISECONDS
             ),
         )
