--- a/cyclamenlift/gate/announcements.py
+++ b/cyclamenlift/gate/announcements.py
@@ -1,12 +1,12 @@
-"""What the target says of itself, and what that changes at its gate."""
+"""Handles announcements of the target and their effect on its gate."""
 
 from collections.abc import Callable
 import typing
 
 import structlog
 
-from cyclamenlift.gate.registration import Announced
 from cyclamenlift.gate.registration import Announcement
+from cyclamenlift.gate.registration import AnnouncementOutcome
 from cyclamenlift.gate.registration import Registration
 from cyclamenlift.wire.gen.protocol.ttypes import TargetState
 
@@ -17,9 +17,9 @@
 
 
 class Announcements:
-    """Takes announcements and farewells of the gate's own target.
+    """Processes announcements and departures of the gate's target.
 
-    ``doubt_hooks`` run when another target answered in its name.
+    ``doubt_hooks`` run when a different target answered in its name.
     """
 
     def __init__(self, gate: 'Gate', unix_ms: Callable[[], int]):
@@ -27,18 +27,18 @@
         self.registration = Registration(unix_ms)
         self.doubt_hooks: list[Callable[[], None]] = []
 
-    def announce(self, announcement: Announcement) -> Announced:
-        """Take an announcement; a stale one changes nothing."""
+    def announce(self, announcement: Announcement) -> AnnouncementOutcome:
+        """Process an announcement; a stale one changes nothing."""
         gate = self.gate
         before = self.registration.incarnation
         draining = self.registration.draining
         outcome = self.registration.announce(announcement, gate.now())
-        if outcome is Announced.STALE:
+        if outcome is AnnouncementOutcome.STALE:
             self.log(announcement, outcome)
             return outcome
-        if outcome is Announced.NEW:
+        if outcome is AnnouncementOutcome.NEW:
             if before and not draining:
-                gate.ends.note_next_incarnation(before)
+                gate.ends.note_replaced(before)
             self.begin_incarnation(announcement, before)
         if announcement.slots and announcement.slots != gate.state.slots:
             gate.set_slots(announcement.slots)
@@ -50,10 +50,10 @@
     def begin_incarnation(
         self, announcement: Announcement, before: str
     ) -> None:
-        """Let calls in to a target that has just made itself known."""
+        """Admit calls to a target that has just been identified."""
         gate = self.gate
-        self.log(announcement, Announced.NEW)
-        gate.state.renew(announcement.warm_up_seconds > 0.0)
+        self.log(announcement, AnnouncementOutcome.NEW)
+        gate.state.reset_for_incarnation(announcement.warm_up_seconds > 0.0)
         if before:
             gate.client.drop_idle()
         gate.presence.note_present('announcement')
@@ -61,7 +61,7 @@
             gate.set_target_state(TargetState.READY)
 
     def leave(self, incarnation: str, born_ms: int) -> None:
-        """Take no new call for a target that says that it goes."""
+        """Stop admitting calls to a target that announced its departure."""
         known = self.registration.leave(incarnation, born_ms)
         LOG.info(
             'target_leaves',
@@ -73,15 +73,17 @@
             self.gate.drain()
 
     def doubt(self) -> None:
-        """Note that another target answered at the address."""
+        """Note that a different target answered at the address."""
         incarnation = self.registration.incarnation
         LOG.warning('target_doubted', incarnation=incarnation)
         self.registration.doubt(incarnation)
         for hook in self.doubt_hooks:
             hook()
 
-    def log(self, announcement: Announcement, outcome: Announced) -> None:
-        """Write what an announcement said and what it changed."""
+    def log(
+        self, announcement: Announcement, outcome: AnnouncementOutcome
+    ) -> None:
+        """Log an announcement and its outcome."""
         LOG.info(
             'target_announced',
             outcome=outcome.value,
--- a/cyclamenlift/gate/explaining.py
+++ b/cyclamenlift/gate/decision_log.py
@@ -1,4 +1,4 @@
-"""The lines that tell why a call did not run at a gate, or may have run."""
+"""Log lines that explain why a call did not run, or may have run."""
 
 from typing import TYPE_CHECKING
 
@@ -9,38 +9,38 @@
 from cyclamenlift.wire.gen.protocol.ttypes import TargetState
 
 if TYPE_CHECKING:
-    from cyclamenlift.gate.running import GateCall
+    from cyclamenlift.gate.gate_call import GateCall
     from cyclamenlift.gate.tasks import Gate
 
 LOG = structlog.get_logger('gate')
 
 
-def explain_refusal(
+def log_refusal(
     gate: 'Gate', call: 'GateCall', code: ResultCode, detail: str, wait: float
 ) -> None:
-    """Write what decided that a call did not run here.
+    """Log why a call was refused.
 
-    Calls without a route are left out: their entry tells of them.
+    Calls without a route are omitted: their entry logs them.
     """
     if call.start.route_name:
         wait_ms = int(wait * MILLISECONDS)
-        write_line('gate_refused', gate, call, code, detail, wait_ms=wait_ms)
+        log_decision('gate_refused', gate, call, code, detail, wait_ms=wait_ms)
 
 
-def explain_hold(gate: 'Gate', call: 'GateCall', held: float) -> None:
-    """Write that a call is held until a slow spell of the target is over."""
-    held_ms = int(held * MILLISECONDS)
-    write_line(
+def log_hold(gate: 'Gate', call: 'GateCall', hold_seconds: float) -> None:
+    """Log that a call is held until a slowdown of the target ends."""
+    held_ms = int(hold_seconds * MILLISECONDS)
+    log_decision(
         'gate_held', gate, call, ResultCode.TARGET_SLOW, '', held_ms=held_ms
     )
 
 
-def explain_unknown(
+def log_unknown_outcome(
     gate: 'Gate', call: 'GateCall', code: ResultCode, detail: str
 ) -> None:
-    """Write that nobody knows whether a call ran."""
+    """Log that it is unknown whether a call ran."""
     ran_ms = int((gate.now() - call.started_at) * MILLISECONDS)
-    write_line(
+    log_decision(
         'gate_unknown',
         gate,
         call,
@@ -52,20 +52,20 @@
     )
 
 
-def explain_slots(gate: 'Gate', before: int) -> None:
-    """Write that another number of slots gets most done, and why.
+def log_slots_chosen(gate: 'Gate', before: int) -> None:
+    """Log a change of the learned concurrency limit and its reason.
 
-    ``ratios`` holds for each band that is known its upper end and how much
-    longer calls take there.
+    ``ratios`` maps the upper bound of each measured band to the relative
+    service time there.
     """
-    crowding = gate.state.learning.crowding
+    crowding = gate.state.performance.limiter
     LOG.info(
         'slots_chosen',
         before=before,
         chosen=crowding.chosen,
         slots=crowding.slots,
         ratios={
-            band.most: round(band.ratio, 2)
+            band.upper_bound: round(band.ratio, 2)
             for band in crowding.bands
             if band.known
         },
@@ -73,7 +73,7 @@
     )
 
 
-def write_line(
+def log_decision(
     event: str,
     gate: 'Gate',
     call: 'GateCall',
@@ -81,7 +81,7 @@
     detail: str,
     **fields: int | str,
 ) -> None:
-    """Write one decision with what it rests on and how old that is."""
+    """Log a decision with the data that it is based on and their age."""
     state = gate.state
     now = gate.now()
     LOG.info(
@@ -94,12 +94,14 @@
         nested=call.start.nested,
         running=len(state.running),
         queued=len(state.queue),
-        room=state.room,
+        room=state.concurrency_limit,
         pace_percent=state.pace_percent(now),
-        pace_age_ms=int((now - state.learning.pace.told_at) * MILLISECONDS),
+        pace_age_ms=int(
+            (now - state.performance.pace.reported_at) * MILLISECONDS
+        ),
         state=TargetState(state.target_state).name,
         incarnation=gate.registration.incarnation,
-        lag_ms=int(gate.lag_now(call.link) * MILLISECONDS),
+        lag_ms=int(gate.current_lag(call.link) * MILLISECONDS),
         bodies_due=gate.bytes_due(),
         **fields,
     )
--- a/cyclamenlift/gate/running.py
+++ b/cyclamenlift/gate/gate_call.py
@@ -1,7 +1,7 @@
-"""One call at the gate, from its frame to its answer.
+"""One call at the gate, from its first frame to its answer.
 
-A ``GateCall`` listens to the target and speaks to the entry. It tells the
-entry exactly one end: a whole answer, ``Refused`` (proven not run),
+A ``GateCall`` listens to the target and sends to the entry. The entry gets
+exactly one outcome: a complete answer, ``Refused`` (proven not run),
 ``Broken`` (may have run) or ``Cancelled``.
 """
 
@@ -10,15 +10,15 @@
 from cyclamenlift.core.clock import MICROSECONDS
 from cyclamenlift.core.clock import MILLISECONDS
 from cyclamenlift.core.codes import ResultCode
-from cyclamenlift.gate.admission import Asking
-from cyclamenlift.gate.admission import wait_when_refused
-from cyclamenlift.gate.explaining import explain_refusal
-from cyclamenlift.gate.explaining import explain_slots
-from cyclamenlift.gate.explaining import explain_unknown
-from cyclamenlift.gate.learning import Begun
-from cyclamenlift.gate.occupancy import Mark
+from cyclamenlift.gate.admission import AdmissionRequest
+from cyclamenlift.gate.admission import retry_after_refusal
+from cyclamenlift.gate.decision_log import log_refusal
+from cyclamenlift.gate.decision_log import log_slots_chosen
+from cyclamenlift.gate.decision_log import log_unknown_outcome
+from cyclamenlift.gate.occupancy import OccupancyMark
+from cyclamenlift.gate.performance import PaceAtStart
 from cyclamenlift.gate.verdicts import AnswerVerdict
-from cyclamenlift.gate.verdicts import judge_answer
+from cyclamenlift.gate.verdicts import classify_answer
 from cyclamenlift.http.headers import end_to_end
 from cyclamenlift.http.target import FailureKind
 from cyclamenlift.http.target import TargetFailure
@@ -35,15 +35,16 @@
 if typing.TYPE_CHECKING:
     from cyclamenlift.gate.tasks import Gate
 
-# Answers up to this size travel in one frame with their head.
+# Answers up to this size are sent in one frame with their head.
 INLINE_ANSWER = 64 * 1024
-# Bytes of an answer that may be on their way without a credit.
+# Bytes of an answer that may be in flight without a credit.
 WINDOW = 256 * 1024
-# Bodies up to this size are gathered before the target gets the call, as a
-# target begins the work when it has read the body: one of 60 KB takes a
-# quarter of a second on a link of 2 Mbit/s, and half a spell may have passed.
-# A gate holds as many as its slots and its queue at most.
-GATHERED_BODY = 256 * 1024
+# Bodies up to this size are buffered before the call is sent to the target,
+# since a target starts working when it has read the body: one of 60 KB takes a
+# quarter of a second on a link of 2 Mbit/s, and half a slowdown may have
+# passed by then. A gate buffers at most as many bodies as it has slots and
+# queue places.
+MAX_BUFFERED_BODY = 256 * 1024
 CHUNK = 64 * 1024
 SERVER_ERROR = 500
 
@@ -58,22 +59,23 @@
         self.link = link
         self.start = start
         self.key = (link.number, start.call_id)
-        # What was left when it was sent, less what the way took.
+        # The time left is relative to when the call was sent, so subtract the
+        # transit delay.
         self.sent_at = now - lag
         self.deadline = self.sent_at + start.time_left_us / MICROSECONDS
         self.timer = None
         self.wait_timer = None
         self.target_call = None
         self.started_at = 0.0
-        self.mark: Mark | None = None
-        self.begun: Begun | None = None
+        self.mark: OccupancyMark | None = None
+        self.pace_at_start: PaceAtStart | None = None
         self.nested_open = 0
         self.nested_since = 0.0
         self.nested_seconds = 0.0
         self.ended = False
         self.body: list[bytes] = [start.body] if start.body else []
-        self.body_whole = start.body_complete
-        self.gathering = False
+        self.body_received = start.body_complete
+        self.is_buffering = False
         self.received = len(start.body or b'')
         self.status = 0
         self.headers: list[Header] = []
@@ -88,27 +90,30 @@
     # -- from the gate ----------------------------------------------------
 
     @property
-    def gathers(self) -> bool:
-        """Whether its body is gathered before the target gets the call."""
-        if self.body_whole:
+    def buffers_body(self) -> bool:
+        """Whether the body is buffered before the call is sent."""
+        if self.body_received:
             return False
-        return (self.start.body_length or 0) <= GATHERED_BODY
+        return (self.start.body_length or 0) <= MAX_BUFFERED_BODY
 
     def begin(self, now: float) -> None:
-        """Send the request to the target; its slot is taken.
+        """Send the request to the target; the call has a slot.
 
-        One whose body is on its way waits for it with its slot. What is
-        known against it may have changed while it waited.
+        If the body is incomplete, the call keeps its slot and waits for it.
+        The quarantine is checked again, as it may have changed while the call
+        waited.
         """
-        if self.gathers:
-            self.gathering = True
+        if self.buffers_body:
+            self.is_buffering = True
             return
-        if self.gate.suspects.turn_away(self):
+        if self.gate.suspects.refuse_suspect(self):
             return
-        self.gathering = False
+        self.is_buffering = False
         self.started_at = now
         self.mark = self.gate.state.occupancy.mark(now)
-        self.begun = self.gate.state.learning.pace.begun(now)
+        self.pace_at_start = self.gate.state.performance.pace.pace_at_start(
+            now
+        )
         self.target_call = self.gate.client.request(self.request(), self)
         self.forward_body()
 
@@ -121,53 +126,53 @@
             path=start.path,
             headers=headers,
             body_length=start.body_length,
-            call_id=start.trace_id if self.gate.checks_ids else '',
+            call_id=start.trace_id if self.gate.verifies_call_ids else '',
             repeatable=start.idempotent,
         )
 
     def ask_for_body(self) -> None:
         """Let the entry send a body that did not come with the call."""
-        if not self.body_whole:
-            self.gate.bodies.ask(self)
+        if not self.body_received:
+            self.gate.body_transfers.request_transfer(self)
 
     @property
     def is_local(self) -> bool:
-        """Whether it came from the entry of this instance.
+        """Whether the call came from the entry of this instance.
 
-        Nobody greets on a link inside one process.
+        Links within a process have no handshake.
         """
         return self.link.hello is None
 
     def bytes_due(self) -> int:
-        """Return the bytes of the body that the link has still to bring."""
-        if self.body_whole or self.is_local:
+        """Return the bytes of the body that the link has yet to deliver."""
+        if self.body_received or self.is_local:
             return 0
         return max(0, (self.start.body_length or 0) - self.received)
 
     def take_body(self, data: bytes, last: bool) -> None:
-        """Take a chunk of the request's body from the entry."""
+        """Process a chunk of the request's body."""
         if data:
             self.body.append(data)
             self.received += len(data)
-        self.body_whole = self.body_whole or last
-        self.gate.bodies.note_moved(self)
+        self.body_received = self.body_received or last
+        self.gate.body_transfers.note_chunk(self)
         if self.ended:
             return
         if self.target_call is not None:
             self.forward_body()
-        elif self.body_whole:
-            if self.gathering:
-                self.gate.entrance.on_body_gathered(self)
-        elif data and self.gathers:
+        elif self.body_received:
+            if self.is_buffering:
+                self.gate.admission_control.on_body_complete(self)
+        elif data and self.buffers_body:
             self.link.send(Credit(self.start.call_id, len(data)))
 
     def forward_body(self) -> None:
-        if self.ended or not (self.body or self.body_whole):
+        if self.ended or not (self.body or self.body_received):
             return
         data = b''.join(self.body)
         self.body.clear()
-        self.target_call.send_body(data, self.body_whole)
-        if self.ended or self.body_whole:
+        self.target_call.send_body(data, self.body_received)
+        if self.ended or self.body_received:
             return
         if self.target_call.pending < WINDOW:
             self.link.send(Credit(self.start.call_id, len(data)))
@@ -175,13 +180,13 @@
             self.owed_credit += len(data)
 
     def take_credit(self, allowed: int) -> None:
-        """The entry takes that many further bytes of the answer."""
+        """Allow that many more bytes of the answer to be sent."""
         self.window += allowed
         if self.window > 0 and self.target_call is not None:
             self.target_call.resume()
 
     def stop_target(self) -> None:
-        """Close the connection to the target: it may have run."""
+        """Close the connection to the target; the call may have run."""
         if self.target_call is not None:
             self.target_call.cancel()
 
@@ -191,16 +196,16 @@
     @property
     def begun_pace_percent(self) -> int:
         """The target's pace when it began this call, 0 if unknown."""
-        return self.begun.pace_percent if self.begun else 0
+        return self.pace_at_start.pace_percent if self.pace_at_start else 0
 
-    def asking(self) -> Asking:
-        """Return what decides on this call, which is of a route."""
+    def admission_request(self) -> AdmissionRequest:
+        """Return the admission request for this call, which has a route."""
         start = self.start
         objective = (start.objective_left_us or 0) / MICROSECONDS
         useful = self.sent_at + objective
         if start.nested or useful > self.deadline:
             useful = self.deadline
-        return Asking(
+        return AdmissionRequest(
             key=self.key,
             deadline=self.deadline,
             useful_deadline=useful,
@@ -216,17 +221,17 @@
 
     @property
     def repeated(self) -> bool:
-        """Whether this is a try beyond the call's first."""
+        """Whether this is a retry."""
         return bool(self.start.repeated)
 
     def nested_began(self) -> None:
-        """Note that the target waits for a call of its own."""
+        """Record that the target waits for a nested call."""
         if not self.nested_open:
             self.nested_since = self.gate.now()
         self.nested_open += 1
 
     def nested_ended(self) -> None:
-        """Note that such a call is over; those at once count once."""
+        """Record the end of a nested call; concurrent ones count once."""
         self.nested_open -= 1
         if not self.nested_open:
             self.nested_seconds += self.gate.now() - self.nested_since
@@ -235,7 +240,7 @@
 
     def on_head(self, status, headers, length: int | None) -> None:
         self.gate.note_answer_head(headers)
-        self.verdict = judge_answer(self.gate.dialect, status, headers)
+        self.verdict = classify_answer(self.gate.dialect, status, headers)
         self.status = status
         if self.verdict is not AnswerVerdict.ANSWER:
             return
@@ -275,37 +280,37 @@
         self.link.send(self.head(body, True, seconds))
 
     def note_work(self, seconds: float) -> None:
-        """Let the gate learn from this call, which was answered."""
+        """Update the performance model with this answered call."""
         state = self.gate.state
         now = self.gate.now()
-        beside = state.occupancy.mean_since(self.mark, now) - 1.0
-        before = state.learning.crowding.chosen
+        concurrent = state.occupancy.mean_since(self.mark, now) - 1.0
+        before = state.performance.limiter.chosen
         state.note_work(
             self.start.route_name,
             seconds,
-            beside,
+            concurrent,
             now,
             self.nested_seconds,
-            self.begun,
+            self.pace_at_start,
         )
-        if state.learning.crowding.chosen != before:
-            explain_slots(self.gate, before)
+        if state.performance.limiter.chosen != before:
+            log_slots_chosen(self.gate, before)
 
     def end_without_answer(self) -> None:
-        """Tell the entry of an answer that is none to pass on."""
+        """Report a target's response that can't be passed on."""
         self.gate.release(self, None, True)
         if self.verdict is AnswerVerdict.UNPROVEN:
             detail = f'status {self.status} without proof'
-            self.tell_broken(ResultCode.BAD_TARGET_ANSWER, detail)
+            self.send_broken(ResultCode.BAD_TARGET_ANSWER, detail)
             return
         code = ResultCode.TARGET_REFUSED
         if self.verdict is AnswerVerdict.REPLACED:
             code = ResultCode.TARGET_REPLACED
             self.gate.doubt_target()
-        detail = f'status {self.status}, says it did not run'
+        detail = f'status {self.status}, target reports that it did not run'
         state = self.gate.state
-        wait = wait_when_refused(len(state.running), state.room)
-        self.tell_refused(code, detail, wait)
+        wait = retry_after_refusal(len(state.running), state.concurrency_limit)
+        self.send_refused(code, detail, wait)
 
     def on_drained(self) -> None:
         if self.owed_credit:
@@ -316,11 +321,11 @@
         self.gate.release(self, None, True)
         if not failure.sent:
             code = ResultCode.TARGET_UNREACHABLE
-            self.tell_refused(code, failure.detail)
+            self.send_refused(code, failure.detail)
         elif failure.kind is FailureKind.CLOSED:
             self.gate.ends.note_broken(self, failure.detail)
         else:
-            self.tell_broken(ResultCode.TARGET_BROKE_OFF, failure.detail)
+            self.send_broken(ResultCode.TARGET_BROKE_OFF, failure.detail)
 
     # -- to the entry -----------------------------------------------------
 
@@ -355,12 +360,12 @@
         if self.window <= 0:
             self.target_call.pause()
 
-    def tell_refused(
+    def send_refused(
         self, code: ResultCode, detail: str = '', wait: float = 0.0
     ) -> None:
-        """Say that the call did not run: nothing reached the target."""
+        """Report that the call did not run: nothing reached the target."""
         self.gate.refused += 1
-        explain_refusal(self.gate, self, code, detail, wait)
+        log_refusal(self.gate, self, code, detail, wait)
         message = Refused(
             call_id=self.start.call_id,
             code=int(code),
@@ -370,14 +375,14 @@
         )
         self.link.send(message)
 
-    def tell_broken(
+    def send_broken(
         self,
         code: ResultCode,
         detail: str = '',
         end: EndReport | None = None,
     ) -> None:
-        """Say that the call may have run, and what ended with it."""
-        explain_unknown(self.gate, self, code, detail)
+        """Report that the call may have run, and a target's end if known."""
+        log_unknown_outcome(self.gate, self, code, detail)
         message = Broken(
             call_id=self.start.call_id,
             code=int(code),
--- a/cyclamenlift/gate/presence.py
+++ b/cyclamenlift/gate/presence.py
@@ -1,10 +1,9 @@
-"""Whether anybody listens at the target's address.
+"""Tracks whether the target's address accepts connections.
 
-A gate whose target has gone can run nothing. If it went on taking calls,
-their bodies would cross the network to it and come to nothing, and callers
-would hear late what was known all along. So from the first connection that
-is refused it sends calls back at once, and entries leave it out, until
-somebody is there again.
+A gate whose target is gone can't run calls. If it kept admitting them, their
+bodies would cross the network in vain, and callers would learn late what was
+already known. So from the first refused connection on it refuses calls
+immediately, and entries avoid it, until the address accepts connections again.
 """
 
 import typing
@@ -19,37 +18,39 @@
     from cyclamenlift.gate.tasks import Gate
 
 LOG = structlog.get_logger('gate')
-# How often the address of a target that went is tried, in seconds: what a
-# target that is back loses at most, for a connection that is refused.
-TRY_SECONDS = 0.25
-# How soon the address is tried again where a connection was refused while
-# others were still open, in seconds: those of a process that ended are lost
-# within milliseconds.
-CHECK_SECONDS = 0.01
+# Interval between connection attempts to an absent target, in seconds: the
+# delay until a returning target is noticed, at the cost of one refused
+# connection each.
+CONNECT_INTERVAL_SECONDS = 0.25
+# Delay before the address is tried again if a connection was refused while
+# others were still open, in seconds: the connections of a process that exited
+# are lost within milliseconds.
+RECHECK_SECONDS = 0.01
 
 
 class Presence:
-    """Knows whether the gate's target is there, by its connections."""
+    """Tracks the presence of the target by its connections."""
 
     def __init__(self, gate: 'Gate'):
         self.gate = gate
         self.absent = False
         self.absent_at = 0.0
-        self.checking = False
+        self.rechecking = False
 
-    def note_nobody_listens(self) -> None:
-        """Take it that a connection to the target was refused.
+    def note_connection_refused(self) -> None:
+        """Handle a refused connection to the target.
 
-        A target that is full may refuse one while it runs others.
+        A target at its connection limit may refuse one while it still serves
+        others.
         """
         gate = self.gate
         leaves = gate.state.target_state == TargetState.DRAINING
         if self.absent or leaves:
             return
         if gate.client.has_connections():
-            self.check_again()
+            self.schedule_recheck()
             return
-        self.checking = False
+        self.rechecking = False
         self.absent = True
         self.absent_at = gate.now()
         LOG.warning(
@@ -58,11 +59,13 @@
             waiting=len(gate.calls),
         )
         gate.set_target_state(TargetState.STARTING)
-        gate.entrance.send_waiting_back(ResultCode.TARGET_UNREACHABLE)
-        self.plan_try()
+        gate.admission_control.refuse_waiting_calls(
+            ResultCode.TARGET_UNREACHABLE
+        )
+        self.schedule_connect()
 
     def note_present(self, shown_by: str) -> None:
-        """Take it that somebody is there again."""
+        """Handle evidence that the target is running again."""
         if not self.absent:
             return
         self.absent = False
@@ -76,32 +79,32 @@
         if not gate.awaits_target():
             gate.set_target_state(TargetState.READY)
 
-    def note_answer(self, asked_at: float) -> None:
-        """Take it that the target answered what it was asked then."""
-        if asked_at > self.absent_at:
+    def note_answer(self, request_sent_at: float) -> None:
+        """Handle an answer to a request sent at ``request_sent_at``."""
+        if request_sent_at > self.absent_at:
             self.note_present('answer')
 
-    def check_again(self) -> None:
-        """Try the address once more when lost connections are known."""
-        if self.checking:
+    def schedule_recheck(self) -> None:
+        """Retry the address once the loss of open connections is known."""
+        if self.rechecking:
             return
-        self.checking = True
-        self.gate.scheduler.after(CHECK_SECONDS, self.check)
+        self.rechecking = True
+        self.gate.scheduler.after(RECHECK_SECONDS, self.recheck)
 
-    def check(self) -> None:
-        if self.checking:
+    def recheck(self) -> None:
+        if self.rechecking:
             self.gate.client.look(self.gate.now())
-            self.gate.scheduler.after(CHECK_SECONDS, self.end_check)
+            self.gate.scheduler.after(RECHECK_SECONDS, self.end_recheck)
 
-    def end_check(self) -> None:
-        self.checking = False
+    def end_recheck(self) -> None:
+        self.rechecking = False
 
-    def plan_try(self) -> None:
-        self.gate.scheduler.after(TRY_SECONDS, self.try_address)
+    def schedule_connect(self) -> None:
+        self.gate.scheduler.after(CONNECT_INTERVAL_SECONDS, self.try_connect)
 
-    def try_address(self) -> None:
-        """Look whether somebody listens, until somebody does."""
+    def try_connect(self) -> None:
+        """Try to connect repeatedly until the target is present."""
         if not self.absent:
             return
         self.gate.client.look(self.gate.now())
-        self.plan_try()
+        self.schedule_connect()
--- a/cyclamenlift/gate/registration.py
+++ b/cyclamenlift/gate/registration.py
@@ -1,10 +1,10 @@
-"""Which incarnation of the target runs at the gate's address.
+"""Tracks which incarnation of the target runs at the gate's address.
 
-Targets announce themselves. An incarnation is a name together with the
-instant of its start: a target may start again under the name that it had,
-and knows nothing of before. Each announcement of an incarnation has a
-higher sequence number than the one before. What comes late must not bring
-an old incarnation back. Pure decisions; time is passed in.
+Targets announce themselves. An incarnation is identified by a name and its
+start time: a target may restart under the same name and has then lost its
+state. Sequence numbers increase with each announcement of an incarnation. A
+delayed announcement must not bring back an old incarnation. Pure logic;
+callers pass the time in.
 """
 
 import collections
@@ -12,31 +12,31 @@
 import dataclasses
 import enum
 
-ENDED_KEPT = 64
-# The start of an incarnation that nobody told: pages do not, and some
-# targets never do.
+MAX_ENDED = 64
+# Start time of an incarnation that was not reported: health pages don't
+# contain it, and some targets never send it.
 UNKNOWN_START = 0
-# The sequence number of what a target did not announce but was asked for.
-ASKED = -1
+# Sequence number of an announcement that was derived from the health page.
+FROM_HEALTH_PAGE = -1
 
 
-class Announced(enum.Enum):
-    """What an announcement changed."""
+class AnnouncementOutcome(enum.Enum):
+    """The effect of an announcement."""
 
     NEW = 'new'
-    AGAIN = 'again'
+    UPDATED = 'again'
     STALE = 'stale'
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Announcement:
-    """What a target tells of itself.
+    """The attributes that a target reports of itself.
 
-    ``slots`` is how many calls it runs at once; ``warm_up_seconds`` how
-    much longer it stays slow after its start; ``sequence`` is ``ASKED``
-    where its page told this. ``born_ms`` is the Unix
-    millisecond of its start, ``UNKNOWN_START`` where it is not told;
-    ``address`` is where it listens, empty where that is not told.
+    ``slots`` is how many calls it runs at once; ``warm_up_seconds`` how much
+    longer it is slow after its start; ``sequence`` is ``FROM_HEALTH_PAGE`` if
+    the data come from its health page. ``born_ms`` is its start in Unix
+    milliseconds, ``UNKNOWN_START`` if not reported; ``address`` is where it
+    listens, empty if not reported.
     """
 
     incarnation: str
@@ -44,24 +44,24 @@
     slots: int
     draining: bool = False
     warm_up_seconds: float = 0.0
-    sequence: int = ASKED
+    sequence: int = FROM_HEALTH_PAGE
     version: str = ''
     born_ms: int = UNKNOWN_START
     address: str = ''
 
     @property
-    def was_asked(self) -> bool:
-        """Whether the target's page told this, not an announcement."""
-        return self.sequence == ASKED
+    def from_health_page(self) -> bool:
+        """Whether this comes from the health page, not an announcement."""
+        return self.sequence == FROM_HEALTH_PAGE
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Ended:
-    """An incarnation that is over.
+class EndedIncarnation:
+    """An incarnation that has ended.
 
-    ``born_ms`` is its start or, where that was never told, the instant at
-    which we heard of its end, which lies later. ``left`` if it said itself
-    that it drains or goes; else another one was heard of in its place.
+    ``born_ms`` is its start or, if that was never reported, the later time at
+    which its end was noticed. ``left`` if it announced itself that it drains
+    or departs; otherwise another incarnation took its place.
     """
 
     born_ms: int
@@ -69,10 +69,10 @@
 
 
 class Registration:
-    """The incarnation that counts now, and those that are over.
+    """The current incarnation and those that ended.
 
-    ``unix_ms`` is the wall clock. It is compared with starts only where a
-    target never told its own.
+    ``unix_ms`` is the wall clock. It is compared with start times only if a
+    target never reported its own.
     """
 
     def __init__(
@@ -83,7 +83,7 @@
         self.warm_deadline = 0.0
         self.left = False
         self.doubted = False
-        self.ended: collections.OrderedDict[str, Ended] = (
+        self.ended: collections.OrderedDict[str, EndedIncarnation] = (
             collections.OrderedDict()
         )
 
@@ -91,30 +91,30 @@
 
     @property
     def incarnation(self) -> str:
-        """The name of the incarnation that counts, '' for none."""
+        """The name of the current incarnation, '' if there is none."""
         return self.current.incarnation if self.current else ''
 
     @property
     def born_ms(self) -> int:
-        """The start of the incarnation that counts, if it is known."""
+        """The start of the current incarnation, if known."""
         return self.current.born_ms if self.current else UNKNOWN_START
 
     @property
     def draining(self) -> bool:
-        """Whether the target takes no new call any more."""
+        """Whether the target accepts no new calls."""
         return self.left or bool(self.current and self.current.draining)
 
     def is_over(self, announcement: Announcement) -> bool:
         """Tell whether an announcement is of an incarnation that ended.
 
-        One that was only replaced may have been there all the while, if
-        what replaced it was a late announcement: its page tells. One that
-        left stays out whatever its page says.
+        One that was only replaced may still be running, if the replacement was
+        a delayed announcement: the health page decides. One that left stays
+        out whatever its page says.
         """
         ended = self.ended.get(announcement.incarnation)
         if ended is None:
             return False
-        if announcement.was_asked:
+        if announcement.from_health_page:
             return ended.left
         if not announcement.born_ms or not ended.born_ms:
             return True
@@ -122,76 +122,80 @@
 
     # -- commands ---------------------------------------------------------
 
-    def announce(self, announcement: Announcement, now: float) -> Announced:
-        """Take an announcement; STALE changes nothing."""
+    def announce(
+        self, announcement: Announcement, now: float
+    ) -> AnnouncementOutcome:
+        """Process an announcement; STALE changes nothing."""
         if self.is_over(announcement):
-            return Announced.STALE
+            return AnnouncementOutcome.STALE
         current = self.current
         if current is None:
             return self.replace(announcement, now)
         if is_older(announcement.born_ms, current.born_ms):
-            return Announced.STALE
+            return AnnouncementOutcome.STALE
         if announcement.incarnation != current.incarnation:
             return self.replace(announcement, now)
         if is_older(current.born_ms, announcement.born_ms):
             return self.replace(announcement, now)
-        return self.renew(announcement, current, now)
+        return self.update_current(announcement, current, now)
 
-    def renew(
+    def update_current(
         self, announcement: Announcement, current: Announcement, now: float
-    ) -> Announced:
-        """Take a further announcement of the incarnation that counts."""
-        if not announcement.was_asked:
+    ) -> AnnouncementOutcome:
+        """Process a further announcement of the current incarnation."""
+        if not announcement.from_health_page:
             if announcement.sequence <= current.sequence:
-                return Announced.STALE
+                return AnnouncementOutcome.STALE
             if current.born_ms and not announcement.born_ms:
-                # This target tells its start: another one wrote this.
-                return Announced.STALE
+                # This target reports its start: another one sent this.
+                return AnnouncementOutcome.STALE
         if self.draining and not announcement.draining:
-            # A drain is not taken back: what says so was sent before it.
-            return Announced.STALE
+            # A drain is final: this announcement was sent before it.
+            return AnnouncementOutcome.STALE
         self.doubted = False
         if not announcement.born_ms:
             announcement = dataclasses.replace(
                 announcement, born_ms=current.born_ms
             )
         self.note(announcement, now)
-        return Announced.AGAIN
+        return AnnouncementOutcome.UPDATED
 
-    def replace(self, announcement: Announcement, now: float) -> Announced:
-        """Begin with another incarnation."""
+    def replace(
+        self, announcement: Announcement, now: float
+    ) -> AnnouncementOutcome:
+        """Switch to another incarnation."""
         if self.current is not None:
-            self.end(self.incarnation, self.born_ms, self.draining)
-        if announcement.was_asked:
+            self.mark_ended(self.incarnation, self.born_ms, self.draining)
+        if announcement.from_health_page:
             self.ended.pop(announcement.incarnation, None)
         self.left = False
         self.doubted = False
         self.note(announcement, now)
-        return Announced.NEW
+        return AnnouncementOutcome.NEW
 
     def note(self, announcement: Announcement, now: float) -> None:
         self.current = announcement
         self.warm_deadline = now + announcement.warm_up_seconds
 
-    def end(self, incarnation: str, born_ms: int, left: bool) -> None:
-        """Remember that an incarnation is over."""
+    def mark_ended(self, incarnation: str, born_ms: int, left: bool) -> None:
+        """Remember that an incarnation has ended."""
         born_ms = born_ms or self.unix_ms()
         known = self.ended.pop(incarnation, None)
         if known is not None and is_older(born_ms, known.born_ms):
             born_ms = known.born_ms
             left = known.left
-        self.ended[incarnation] = Ended(born_ms, left)
-        while len(self.ended) > ENDED_KEPT:
+        self.ended[incarnation] = EndedIncarnation(born_ms, left)
+        while len(self.ended) > MAX_ENDED:
             self.ended.popitem(last=False)
 
     def leave(self, incarnation: str, born_ms: int = UNKNOWN_START) -> bool:
-        """Note that an incarnation leaves; False if it is not the current.
+        """Record a departure; False if it is not the current incarnation.
 
-        One that leaves unknown to us is remembered, so that what it sent
-        earlier and comes late does not bring it in.
+        The departure of an unknown incarnation is remembered, so that its
+        delayed announcements don't register it.
         """
         if self.incarnation != incarnation:
-            self.end(incarnation, born_ms, left=True)
+            self.mark_ended(incarnation, born_ms, left=True)
             return False
         if is_older(born_ms, self.born_ms):
             return False
@@ -201,13 +205,13 @@
         return True
 
     def doubt(self, incarnation: str) -> None:
-        """Note that another target answered in the name of this one."""
+        """Note that a different target answered in this one's name."""
         if self.incarnation == incarnation:
             self.doubted = True
 
 
 def is_older(born_ms: int, other_ms: int) -> bool:
-    """Tell whether one start is known to lie before another.
+    """Tell whether one start is known to precede another.
 
     >>> is_older(5, 7), is_older(7, 7), is_older(UNKNOWN_START, 7)
     (True, False, False)
