--- a/cyclamenlift/core/__init__.py
+++ b/cyclamenlift/core/__init__.py
@@ -1,4 +1,4 @@
-"""What every other package builds on: codes, clocks, loop, logs, metrics."""
+"""Shared foundations: result codes, clocks, event loop, logs, metrics."""
 
 from cyclamenlift.core.clock import Clock
 from cyclamenlift.core.clock import deadline_after
--- a/cyclamenlift/core/clock.py
+++ b/cyclamenlift/core/clock.py
@@ -1,8 +1,9 @@
 """Clocks and deadlines.
 
-Inside a process a deadline is an instant of the local monotonic clock, in
-seconds. Between processes travels the time left, which the receiver turns
-into a deadline at once: safety never compares two instances' clocks.
+Within a process a deadline is a time of the local monotonic clock, in
+seconds. Messages between processes carry the remaining time, which the
+receiver immediately converts to a deadline, so that correctness never
+depends on comparing the clocks of two instances.
 """
 
 import time
@@ -13,20 +14,20 @@
 
 
 class Clock(Protocol):
-    """What a task asks for the time; tests pass a clock of their own."""
+    """Source of time; tests pass their own implementation."""
 
     def now(self) -> float:
-        """Return the monotonic instant in seconds."""
+        """Return the monotonic time in seconds."""
 
     def unix_ms(self) -> int:
-        """Return the wall clock in milliseconds since the epoch."""
+        """Return the wall-clock time in milliseconds since the epoch."""
 
 
 class SystemClock:
-    """The clocks of this machine."""
+    """The system clocks."""
 
     # The function itself: a call reads the clock some twenty times, and a
-    # method around it would cost as much again.
+    # wrapping method would double the cost.
     now = staticmethod(time.monotonic)
 
     def unix_ms(self) -> int:
@@ -34,12 +35,12 @@
 
 
 def machine_seconds() -> float:
-    """Return the seconds since the machine started, suspended ones too."""
+    """Return the seconds since the machine booted, including suspension."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 def deadline_after(now: float, duration: float) -> float:
-    """Return the instant that lies ``duration`` seconds after ``now``.
+    """Return the time ``duration`` seconds after ``now``.
 
     >>> deadline_after(10.0, 0.5)
     10.5
@@ -48,7 +49,7 @@
 
 
 def time_left(deadline: float, now: float) -> float:
-    """Return the seconds until ``deadline``, never below zero.
+    """Return the seconds until ``deadline``, at least zero.
 
     >>> time_left(10.5, 10.0)
     0.5
--- a/cyclamenlift/core/codes.py
+++ b/cyclamenlift/core/codes.py
@@ -1,10 +1,10 @@
-"""Numbered result codes: one enum for the whole product.
+"""Numbered result codes of the whole product.
 
-The thousands tell a caller what may be done next: 1xxx answered, 2xxx not
-run and safe to try again, 3xxx outcome unknown, 4xxx the request is wrong,
-5xxx an operator's change was not taken, 6xxx settings and documents,
-7xxx storage, 8xxx frames between processes. The table in
-docs/result-codes.md is made from this module (a test compares them).
+The thousands digit tells a caller how to proceed: 1xxx answered, 2xxx not
+run and safe to retry, 3xxx outcome unknown, 4xxx invalid request, 5xxx
+changes by operators, 6xxx settings and documents, 7xxx storage, 8xxx frames
+between processes. The table in docs/result-codes.md is generated from this
+module (a test compares them).
 """
 
 import dataclasses
@@ -12,7 +12,7 @@
 
 
 class ResultCode(enum.IntEnum):
-    """Every numbered outcome that a caller or an operator may see."""
+    """Outcomes that are reported to callers and operators."""
 
     ANSWERED = 1000
     ANSWERED_FROM_RECORD = 1001
@@ -89,15 +89,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CodeInfo:
-    """What a code means: HTTP status (0 for none), title and next step."""
+    """HTTP status (0 for none), title and suggested action of a code."""
 
     status: int
     title: str
     hint: str
 
 
-_RETRY = 'Safe to try again after the time in Retry-After.'
-_ASK = 'Ask for the outcome with the same Idempotency-Key.'
+_RETRY = 'Safe to retry after the time in Retry-After.'
+_ASK = 'Query the outcome with the same Idempotency-Key.'
 _MEND = 'Correct the request.'
 
 _INFO = {
@@ -109,7 +109,7 @@
     ),
     ResultCode.NO_TARGET: (503, 'no target may take the call', _RETRY),
     ResultCode.OVERLOADED: (503, 'every target is overloaded', _RETRY),
-    ResultCode.DRAINING: (503, 'the target is leaving', _RETRY),
+    ResultCode.DRAINING: (503, 'the target is draining', _RETRY),
     ResultCode.QUEUE_DEADLINE: (
         503,
         'the call would wait past its deadline',
@@ -121,17 +121,17 @@
         'no majority of control instances to claim the key',
         _RETRY,
     ),
-    ResultCode.TARGET_UNREACHABLE: (503, 'target not reached', _RETRY),
+    ResultCode.TARGET_UNREACHABLE: (503, 'the target is unreachable', _RETRY),
     ResultCode.BODY_BUDGET_FULL: (
         503,
-        'no room to keep the upload safe',
+        'no memory left to buffer the upload',
         _RETRY,
     ),
-    ResultCode.LEDGER_FULL: (429, 'too many keys are held', _RETRY),
+    ResultCode.LEDGER_FULL: (429, 'too many keys are stored', _RETRY),
     ResultCode.SHUTTING_DOWN: (503, 'this instance is stopping', _RETRY),
     ResultCode.NO_CONFIGURATION: (
         503,
-        'no event document is in force here yet',
+        'no event document is active on this instance yet',
         _RETRY,
     ),
     ResultCode.DEADLINE_NOT_RUN: (
@@ -141,30 +141,34 @@
     ),
     ResultCode.TARGET_REFUSED: (
         503,
-        'the target refused the call itself',
+        'the target itself refused the call',
         _RETRY,
     ),
     ResultCode.TARGET_REPLACED: (
         503,
-        'another target has the address by now',
+        'the address now belongs to another target',
         _RETRY,
     ),
     ResultCode.TARGET_SLOW: (
         503,
-        'the target is slower now than the entry knew',
+        'the target is slower than the entry assumed',
         _RETRY,
     ),
     ResultCode.RULES_BEHIND: (
         503,
-        'not named by the document in force, and a newer one is coming',
+        'not in the active document, but a newer one is pending',
         _RETRY,
     ),
     ResultCode.REQUEST_QUARANTINED: (
         503,
-        'kept away, since targets ended while they ran this request',
+        'quarantined, since targets ended while they ran this request',
         _RETRY,
     ),
-    ResultCode.TARGET_BROKE_OFF: (502, 'the target broke off', _ASK),
+    ResultCode.TARGET_BROKE_OFF: (
+        502,
+        'the target closed the connection early',
+        _ASK,
+    ),
     ResultCode.PEER_LOST: (502, 'the connection to the gate was lost', _ASK),
     ResultCode.DEADLINE_UNKNOWN: (
         504,
@@ -179,25 +183,25 @@
     ResultCode.CLAIM_UNKNOWN: (
         504,
         'an attempt with this key has an unknown outcome',
-        'Find out by other means; a new key may run it twice.',
+        'Determine it by other means; a new key may run it twice.',
     ),
     ResultCode.BAD_TARGET_ANSWER: (
         502,
-        'the answer of the target was not whole',
+        'the response of the target was invalid or incomplete',
         _ASK,
     ),
     ResultCode.RECORD_TOO_LARGE: (
         504,
-        'it ran; its answer was too large to keep',
-        'The operation ran once: look up its effect.',
+        'it ran, but its response was too large to record',
+        'The operation ran once: check its effect.',
     ),
     ResultCode.TARGET_ENDED: (502, 'the target ended while it ran', _ASK),
     ResultCode.PAGE_FAILED: (
         500,
         'the page failed',
-        'Look at the logs and at the current state before trying again.',
+        'Check the logs and the current state before a retry.',
     ),
-    ResultCode.BAD_REQUEST: (400, 'the request is wrong', _MEND),
+    ResultCode.BAD_REQUEST: (400, 'the request is invalid', _MEND),
     ResultCode.UNKNOWN_SERVICE: (
         404,
         'no service of this name in the event',
@@ -206,11 +210,11 @@
     ResultCode.KEY_REQUIRED: (
         400,
         'the operation needs an Idempotency-Key',
-        'Send one key for each operation and keep it when trying again.',
+        'Send one key for each operation and reuse it for retries.',
     ),
     ResultCode.KEY_EXPIRED: (
         409,
-        'key past its deadline or the event; this attempt was not run',
+        'the key or the event has expired; this attempt did not run',
         'Send Cyclamenlift-Key-Expires within the event.',
     ),
     ResultCode.KEY_REUSED: (
@@ -218,12 +222,12 @@
         'the key was used for another request',
         'Use a fresh key for a new operation.',
     ),
-    ResultCode.BODY_TOO_LARGE: (413, 'the body is over the limit', _MEND),
-    ResultCode.HEADERS_TOO_LARGE: (431, 'headers over the limit', _MEND),
-    ResultCode.BAD_FRAMING: (400, 'the framing of the request', _MEND),
+    ResultCode.BODY_TOO_LARGE: (413, 'the body exceeds the limit', _MEND),
+    ResultCode.HEADERS_TOO_LARGE: (431, 'the headers exceed the limit', _MEND),
+    ResultCode.BAD_FRAMING: (400, 'invalid request framing', _MEND),
     ResultCode.REQUEST_TIMEOUT: (
         408,
-        'the request did not arrive in time',
+        'the request was not received in time',
         'Send it again on a new connection.',
     ),
     ResultCode.NOT_FOUND: (404, 'no such page', 'Check the path.'),
@@ -241,14 +245,14 @@
     ),
     ResultCode.NO_ROUTE: (
         404,
-        'no route fits the host and path',
+        'no route matches the host and path',
         'Compare host and path with the routes of the document.',
     ),
     ResultCode.CHANGE_ACCEPTED: (200, 'change accepted', 'Nothing to do.'),
     ResultCode.VERSION_CONFLICT: (
         409,
-        'another change came first',
-        'Read the current version, then publish on that base.',
+        'another change was made first',
+        'Read the current version, then publish based on it.',
     ),
     ResultCode.CHANGE_ID_REUSED: (
         409,
@@ -258,12 +262,12 @@
     ResultCode.DOCUMENT_INVALID: (
         422,
         'the document has errors; nothing was changed',
-        'Correct the fields that are named.',
+        'Correct the listed fields.',
     ),
     ResultCode.NOT_LEADER: (
         421,
-        'this control instance does not lead',
-        'Ask the instance that is named as leader.',
+        'this control instance is not the leader',
+        'Send the request to the leader that is named.',
     ),
     ResultCode.CHANGE_UNKNOWN: (
         504,
@@ -273,15 +277,15 @@
     ResultCode.STORAGE_REPLACED: (200, 'storage replaced', 'Nothing to do.'),
     ResultCode.STORAGE_REFUSED: (
         409,
-        'the storage can not be replaced now',
-        'Look at the status of the control instances.',
+        'the storage cannot be replaced now',
+        'Check the status of the control instances.',
     ),
-    ResultCode.SETTING_INVALID: (0, 'a setting is wrong', 'Correct it.'),
+    ResultCode.SETTING_INVALID: (0, 'a setting is invalid', 'Correct it.'),
     ResultCode.SETTING_MISSING: (0, 'a setting is missing', 'Give it.'),
     ResultCode.DOCUMENT_UNREADABLE: (
         0,
         'the document could not be read',
-        'Give a YAML or JSON file.',
+        'Pass a YAML or JSON file.',
     ),
     ResultCode.INSTANCE_UNREACHABLE: (
         0,
@@ -295,7 +299,7 @@
     ),
     ResultCode.STORAGE_TORN_TAIL: (
         0,
-        'an unfinished record at the end was cut',
+        'an incomplete record at the end was truncated',
         'Nothing to do: it was never acknowledged.',
     ),
     ResultCode.STORAGE_IN_USE: (
@@ -306,18 +310,18 @@
     ResultCode.STORAGE_FOREIGN: (
         0,
         'the data folder belongs to another instance',
-        'Give the data folder of this instance.',
+        'Use the data folder of this instance.',
     ),
     ResultCode.STORAGE_FAILED: (
         0,
         'the disk refused a write or a sync',
         'Check the disk; the instance has stopped.',
     ),
-    ResultCode.FRAME_TOO_LARGE: (0, 'a frame is over the limit', 'Look for '
-                                 'a stranger on the peer port.'),
-    ResultCode.FRAME_MALFORMED: (0, 'a frame could not be read', 'Compare '
+    ResultCode.FRAME_TOO_LARGE: (0, 'a frame exceeds the limit', 'Check '
+                                 'which process uses the peer port.'),
+    ResultCode.FRAME_MALFORMED: (0, 'a frame could not be parsed', 'Compare '
                                  'the versions of both instances.'),
-    ResultCode.FRAME_UNEXPECTED: (0, 'a frame out of place', 'Compare the '
+    ResultCode.FRAME_UNEXPECTED: (0, 'an unexpected frame', 'Compare the '
                                   'versions of both instances.'),
     ResultCode.STRANGER: (0, 'a process of another cluster', 'Compare the '
                           'cluster names in the settings.'),
@@ -325,7 +329,7 @@
 
 
 def describe(code: ResultCode) -> CodeInfo:
-    """Return status, title and hint of a code.
+    """Return the status, title and hint of a code.
 
     >>> describe(ResultCode.DRAINING).status
     503
@@ -334,7 +338,7 @@
 
 
 def is_not_run(code: int) -> bool:
-    """Tell whether a code proves that nothing was run.
+    """Return whether a code proves that nothing ran.
 
     >>> is_not_run(ResultCode.DRAINING), is_not_run(ResultCode.PEER_LOST)
     (True, False)
--- a/cyclamenlift/core/exporting.py
+++ b/cyclamenlift/core/exporting.py
@@ -1,7 +1,8 @@
-"""Metrics by OpenTelemetry, in the text form of Prometheus.
+"""Exports metrics with OpenTelemetry in the Prometheus text format.
 
-The libraries are loaded when metrics are first asked for: they take some
-megabytes and a tenth of a second, and the call path never needs them.
+This module is imported on the first scrape: its libraries take some
+megabytes and a tenth of a second to load, and the call path doesn't need
+them.
 """
 
 from collections.abc import Callable
@@ -25,13 +26,13 @@
 Durations = Callable[[], Mapping[str, LatencyHistogram]]
 
 HISTOGRAM_NAME = 'cyclamenlift_call_latency_seconds'
-# Upper bounds of the buckets, in seconds: about two for each doubling where
-# objectives of calls lie (0.1 to 1 s), fewer elsewhere.
+# Upper bounds of the buckets, in seconds: about two for each doubling in the
+# range of latency objectives (0.1 to 1 s), fewer elsewhere.
 BUCKETS = (0.01, 0.025, 0.05, 0.1, 0.15, 0.25, 0.4, 0.6, 1.0, 1.5, 2.5, 10.0)
 
 
 class Exporter:
-    """A meter provider with a registry of its own."""
+    """A meter provider with its own registry."""
 
     def __init__(self, instance: str, data_centre: str, durations: Durations):
         self.registry = prometheus_client.CollectorRegistry()
@@ -54,7 +55,7 @@
         self.meter = self.provider.get_meter('cyclamenlift')
 
     def observe(self, info: MetricInfo, read: Read) -> None:
-        """Make the instrument that ``info`` describes."""
+        """Create the instrument that ``info`` describes."""
         create = {
             Kind.COUNTER: self.meter.create_observable_counter,
             Kind.GAUGE: self.meter.create_observable_gauge,
@@ -67,7 +68,7 @@
         )
 
     def render(self) -> bytes:
-        """Return all metrics in the text form of Prometheus."""
+        """Return all metrics in the Prometheus text format."""
         return prometheus_client.generate_latest(self.registry)
 
     def close(self) -> None:
@@ -75,16 +76,17 @@
 
 
 class LatencyCollector:
-    """Latencies as histograms, which other than quantiles add up.
+    """Exports latencies as histograms, which can be aggregated.
 
-    OpenTelemetry has no histogram that is read when it is asked for.
+    Quantiles can't. OpenTelemetry has no observable (asynchronous)
+    histogram, so this is a native Prometheus collector.
     """
 
     def __init__(self, durations: Durations):
         self.durations = durations
 
     def collect(self) -> Iterable[HistogramMetricFamily]:
-        """Return one histogram for each service."""
+        """Yield one histogram for each service."""
         family = HistogramMetricFamily(
             HISTOGRAM_NAME, 'time of finished calls', labels=['service']
         )
--- a/cyclamenlift/core/latency.py
+++ b/cyclamenlift/core/latency.py
@@ -1,4 +1,4 @@
-"""A histogram of latencies that is cheap to add to."""
+"""A latency histogram with cheap recording."""
 
 from typing import TYPE_CHECKING
 
@@ -8,18 +8,18 @@
     from hdrh.histogram import HdrHistogram
 
 SIGNIFICANT_DIGITS = 2
-# An HDR histogram of two digits keeps the first eight bits of a value.
+# An HDR histogram of two digits keeps the eight most significant bits.
 KEPT_BITS = 8
 
 
 class LatencyHistogram:
-    """Counts latencies, in microseconds, for one HDR histogram.
+    """Records latencies, in microseconds, in an HDR histogram.
 
-    An HDR histogram takes several microseconds for each value. So a value
-    is first counted in a dictionary, under the lowest value that shares its
-    place in the histogram, and all are handed over when somebody reads. The
-    result is the same, and the dictionary has at most as many keys as the
-    histogram has places.
+    Recording into an HDR histogram takes several microseconds. So a value is
+    first counted in a dictionary, keyed by the lowest value of its histogram
+    bucket, and the counts are merged when the histogram is read. The result
+    is the same, and the dictionary has at most as many keys as the histogram
+    has buckets.
 
     >>> latency = LatencyHistogram(60.0)
     >>> latency.note(0.010)
@@ -35,7 +35,7 @@
         self.fresh: dict[int, int] = {}
 
     def note(self, seconds: float) -> None:
-        """Count one latency; below zero counts as none."""
+        """Record one latency; negative values count as zero."""
         value = int(seconds * MICROSECONDS) + 1 if seconds > 0.0 else 1
         surplus = value.bit_length() - KEPT_BITS
         if surplus > 0:
@@ -43,7 +43,7 @@
         self.fresh[value] = self.fresh.get(value, 0) + 1
 
     def read(self) -> 'HdrHistogram':
-        """Return the histogram of all that was noted."""
+        """Return the histogram of all recorded values."""
         if self.histogram is None:
             self.histogram = self.make()
         for value, count in self.fresh.items():
@@ -52,7 +52,7 @@
         return self.histogram
 
     def counts_up_to(self, bounds: tuple[float, ...]) -> list[int]:
-        """Return how many latencies lie at or below each bound, seconds.
+        """Return the cumulative counts up to each bound in seconds.
 
         >>> latency = LatencyHistogram(60.0)
         >>> latency.note(0.010)
@@ -69,7 +69,7 @@
         return counts
 
     def make(self) -> 'HdrHistogram':
-        """Load the library with the first reader: few processes have one."""
+        """Import the library on first use: few processes need it."""
         from hdrh.histogram import HdrHistogram
 
         return HdrHistogram(1, self.longest, SIGNIFICANT_DIGITS)
--- a/cyclamenlift/core/log_budget.py
+++ b/cyclamenlift/core/log_budget.py
@@ -1,21 +1,21 @@
-"""A budget of log lines for each event: a crowd must not fill the disk.
+"""Rate limit of log lines by event, so that a burst can't fill the disk.
 
-Each event may be written some times a second; what is beyond is counted,
-and the next line of that event says how many were left out before it.
+Excess lines of an event are dropped and counted; the next line of that
+event reports how many were dropped before it.
 """
 
 import time
 
 import structlog
 
-# Lines of one event a second, and how many may come at once. A process
-# under full load stays below a few hundred lines a second with them.
+# Sustained rate and burst size of one event. They keep a process under full
+# load below a few hundred lines a second.
 LINES_PER_SECOND = 40.0
 LINES_AT_ONCE = 120.0
 
 
 class EventBudget:
-    """A token bucket of one event."""
+    """Token bucket of one event."""
 
     __slots__ = ('filled_at', 'left_out', 'tokens')
 
@@ -36,7 +36,7 @@
 
 
 class LineBudget:
-    """A structlog processor that leaves out what is beyond the budget."""
+    """Structlog processor that drops lines over the rate limit."""
 
     def __init__(self, clock=time.monotonic):
         self.clock = clock
--- a/cyclamenlift/core/log_sink.py
+++ b/cyclamenlift/core/log_sink.py
@@ -1,9 +1,10 @@
-"""Writes log lines to a descriptor without ever waiting for its reader.
+"""Non-blocking output of log lines.
 
-A reader of logs may stall, and a process that waits for it stops serving.
-A pipe that polls as writable takes at least ``PIPE_BUF`` bytes, so pieces of
-that size never block. What does not go out is kept up to a limit; beyond it
-lines are left out and counted, and the count is written when there is room.
+If the log reader stalls, a blocking write would stop the process from
+serving. A pipe that polls as writable accepts at least ``PIPE_BUF`` bytes,
+so writes of that size never block. Unwritten lines are buffered up to a
+limit; further lines are dropped and counted, and the count is logged when
+the buffer has drained.
 """
 
 from collections import deque
@@ -11,17 +12,17 @@
 import os
 import select
 
-# What a pipe that is ready for writing takes at once, in bytes (POSIX says
-# 512 at least, this system has 4096).
+# Bytes that a writable pipe accepts at once (POSIX requires 512 or
+# more, Linux has 4096).
 PIECE_BYTES = select.PIPE_BUF
-# Lines that are kept for a reader that stalls, in bytes: some seconds of a
-# busy process, little against its memory.
+# Size of the buffer for a stalled reader, in bytes: some seconds of output
+# of a busy process, small compared to its memory.
 KEPT_BYTES = 128 * 1024
 STANDARD_OUTPUT = 1
 
 
 class LogSink:
-    """The one way out of log lines; ``msg`` is what structlog calls."""
+    """Output of all log lines; structlog calls ``msg``."""
 
     def __init__(self, descriptor: int = STANDARD_OUTPUT):
         self.descriptor = descriptor
@@ -32,7 +33,7 @@
         self.left_out = 0
 
     def msg(self, line: str) -> None:
-        """Write a line now, keep it, or leave it out."""
+        """Write, buffer or drop a line."""
         data = line.encode() + b'\n'
         if self.size + len(data) > KEPT_BYTES:
             self.left_out += 1
@@ -45,13 +46,13 @@
     exception = fatal = msg
 
     def flush(self) -> None:
-        """Write what the reader takes now."""
+        """Write buffered data as far as possible without blocking."""
         while self.waiting and self.is_writable():
             piece = self.next_piece()
             try:
                 written = os.write(self.descriptor, piece)
             except OSError:
-                # Nobody reads any more; there is no place to say so.
+                # The reader is gone, so the error can't be logged either.
                 self.forget()
                 return
             self.size -= written
@@ -65,7 +66,7 @@
         return bool(ready) and bool(ready[0][1] & select.POLLOUT)
 
     def next_piece(self) -> bytes:
-        """Take lines that fit into one write, or a part of a long one."""
+        """Remove and return lines that fit one write, or part of a line."""
         piece = self.waiting.popleft()
         while self.waiting and len(piece) + len(self.waiting[0]) <= (
             PIECE_BYTES
@@ -92,5 +93,5 @@
 
 
 def make_sink(*_arguments) -> LogSink:
-    """Return the sink of this process, as structlog's factory."""
+    """Logger factory for structlog; returns the sink of the process."""
     return SINK
--- a/cyclamenlift/core/logs.py
+++ b/cyclamenlift/core/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: JSON for machines or a console form for people."""
+"""Structured logging in JSON or console format."""
 
 import logging
 
@@ -22,10 +22,9 @@
 
 
 def configure_logs(log_format: str, level: str, instance: str) -> None:
-    """Send logs to standard output, each line with its ``instance``.
+    """Log to standard output, with ``instance`` in each line.
 
-    Lines of one event are bounded by a budget a second, and writing never
-    waits for the reader.
+    The rate of lines is limited for each event, and writing never blocks.
     """
     structlog.reset_defaults()
     structlog.configure(
--- a/cyclamenlift/core/memory.py
+++ b/cyclamenlift/core/memory.py
@@ -1,18 +1,18 @@
-"""How Python's cyclic garbage collector is set for a long-lived process."""
+"""Tuning of the cyclic garbage collector for long-running processes."""
 
 import gc
 
-# New container objects between two young collections. The objects of a call
-# refer to each other in a ring, so the collector has to find them; it costs
-# less when it looks at many calls at a time.
+# Allocations between two collections of the youngest generation. The objects
+# of a call form reference cycles, so the collector has to free them; that
+# costs less for many calls at a time.
 YOUNG_OBJECTS = 10_000
 
 
 def keep_start_up_objects() -> None:
-    """Let the collector pass over all that start-up has made.
+    """Exclude all objects created at start-up from garbage collection.
 
     Modules, classes and settings live as long as the process. A full
-    collection that walks them all stops every call that is under way for
+    collection that traverses them pauses all calls in progress for
     milliseconds.
     """
     gc.collect()
--- a/cyclamenlift/core/metrics.py
+++ b/cyclamenlift/core/metrics.py
@@ -1,9 +1,9 @@
-"""Metrics of one daemon, by OpenTelemetry, cheap on the call path.
+"""OpenTelemetry metrics of one daemon, with cheap recording.
 
 Adding to an OpenTelemetry counter costs several microseconds, too much for
-each of a call's steps. The call path therefore only adds to plain numbers
-and HDR histograms; observable instruments read them when ``/metrics`` is
-asked for. ``METRICS`` is the one list of names, units and meanings.
+each step of a call. So the call path only updates plain numbers and HDR
+histograms; observable instruments read them when ``/metrics`` is scraped.
+``METRICS`` is the complete list of names, units and descriptions.
 """
 
 from collections.abc import Callable
@@ -20,7 +20,7 @@
 
 
 class Kind(enum.Enum):
-    """Whether a value only grows or goes up and down."""
+    """Whether a value only increases or may also decrease."""
 
     COUNTER = 'counter'
     GAUGE = 'gauge'
@@ -28,7 +28,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reading:
-    """One value of a metric, with the attributes that tell it apart."""
+    """One value of a metric and its attributes."""
 
     value: float
     attributes: dict[str, str] | None = None
@@ -39,7 +39,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MetricInfo:
-    """Name, unit and meaning of one metric."""
+    """Name, unit and description of one metric."""
 
     name: str
     kind: Kind
@@ -53,108 +53,108 @@
         'cyclamenlift.calls',
         Kind.COUNTER,
         '{call}',
-        'calls that ended at this entry',
+        'finished calls that entered at this instance',
         ('service', 'result'),
     ),
     MetricInfo(
         'cyclamenlift.calls.refused',
         Kind.COUNTER,
         '{call}',
-        'calls that this entry proved not run, by result code',
+        'calls that provably did not run, by result code',
         ('service', 'code'),
     ),
     MetricInfo(
         'cyclamenlift.call.duration',
         Kind.GAUGE,
         's',
-        'time from the request head to the end of a call, since the start',
+        'time from the request head to the end of a call, since start-up',
         ('service', 'quantile'),
     ),
     MetricInfo(
         'cyclamenlift.call.added',
         Kind.GAUGE,
         's',
-        "time of answered calls without the target's own, since the start",
+        "time of answered calls without the target's time, since start-up",
         ('service', 'quantile'),
     ),
     MetricInfo(
         'cyclamenlift.calls.open',
         Kind.GAUGE,
         '{call}',
-        'calls that entered here and are not yet answered',
+        'unfinished calls that entered at this instance',
     ),
     MetricInfo(
         'cyclamenlift.gate.refused',
         Kind.COUNTER,
         '{call}',
-        'calls that this gate refused',
+        'calls refused by this gate',
     ),
     MetricInfo(
         'cyclamenlift.gate.probes',
         Kind.COUNTER,
         '{probe}',
-        'load probes that this gate answered',
+        'load probes answered by this gate',
     ),
     MetricInfo(
         'cyclamenlift.gate.in_flight',
         Kind.GAUGE,
         '{call}',
-        'calls that the local target runs now',
+        'calls currently running at the local target',
     ),
     MetricInfo(
         'cyclamenlift.gate.queued',
         Kind.GAUGE,
         '{call}',
-        'calls that wait at this gate',
+        'calls queued at this gate',
     ),
     MetricInfo(
         'cyclamenlift.gossip.sent',
         Kind.COUNTER,
         'By',
-        'payload of membership packets sent',
+        'payload of sent membership packets',
     ),
     MetricInfo(
         'cyclamenlift.gossip.received',
         Kind.COUNTER,
         'By',
-        'payload of membership packets received',
+        'payload of received membership packets',
     ),
     MetricInfo(
         'cyclamenlift.gossip.refused',
         Kind.COUNTER,
         '{packet}',
-        'membership packets of strangers or malformed ones',
+        'membership packets that are malformed or of another cluster',
     ),
     MetricInfo(
         'cyclamenlift.members',
         Kind.GAUGE,
         '{instance}',
-        'members that are alive or suspected',
+        'members that are alive or suspect',
     ),
     MetricInfo(
         'cyclamenlift.targets.ended',
         Kind.COUNTER,
         '{end}',
-        'times that the local target ended while it ran calls',
+        'terminations of the local target while it ran calls',
     ),
     MetricInfo(
         'cyclamenlift.requests.quarantined',
         Kind.GAUGE,
         '{request}',
-        'requests that are kept from targets now',
+        'requests currently in quarantine',
     ),
     MetricInfo(
         'cyclamenlift.config.version',
         Kind.GAUGE,
         '{version}',
-        'version of the event document in force here, 0 for none',
+        'version of the active event document, 0 for none',
     ),
 )
 INFO = {info.name: info for info in METRICS}
 
 
 class ResultClass(enum.Enum):
-    """What a result code means for the caller: its thousands."""
+    """Classes of result codes, by their thousands digit."""
 
     ANSWERED = 1
     NOT_RUN = 2
@@ -182,7 +182,7 @@
 
 @dataclasses.dataclass(slots=True)
 class CallFigures:
-    """What is counted of one service's calls."""
+    """Counters and latencies of the calls of one service."""
 
     codes: dict[int, int] = dataclasses.field(default_factory=dict)
     duration: LatencyHistogram = dataclasses.field(
@@ -192,7 +192,7 @@
 
 
 class Metrics:
-    """The metrics of one process, with a registry of their own."""
+    """The metrics of one process, with their own registry."""
 
     def __init__(self, instance: str, data_centre: str) -> None:
         self.instance = instance
@@ -211,7 +211,7 @@
         seconds: float,
         added_seconds: float | None = None,
     ) -> None:
-        """Count one call; ``added_seconds`` if an answer told the rest."""
+        """Record a call; ``added_seconds`` if the target's time is known."""
         figures = self.calls.get(service)
         if figures is None:
             figures = self.calls[service] = CallFigures()
@@ -223,11 +223,11 @@
     # -- collection -------------------------------------------------------
 
     def watch(self, name: str, read: Callable[[], float]) -> None:
-        """Report ``read()`` as the metric ``name`` at each collection."""
+        """Report ``read()`` as the metric ``name`` on each scrape."""
         self.observe(INFO[name], lambda: [Reading(read())])
 
     def observe(self, info: MetricInfo, read: Read) -> None:
-        """Report what ``read`` returns as the metric of ``info``."""
+        """Report the readings that ``read`` returns as the metric ``info``."""
         self.observed.append((info, read))
         if self.exporter is not None:
             self.exporter.observe(info, read)
@@ -278,17 +278,17 @@
         return result
 
     def durations(self) -> dict[str, LatencyHistogram]:
-        """Return the latencies of finished calls by service."""
+        """Return the latency histograms of finished calls by service."""
         return {name: f.duration for name, f in self.calls.items()}
 
     def render_prometheus(self) -> bytes:
-        """Return all metrics in the text form of Prometheus."""
+        """Return all metrics in the Prometheus text format."""
         if self.exporter is None:
             self.exporter = self.make_exporter()
         return self.exporter.render()
 
     def make_exporter(self):
-        """Load the libraries that export, with the first collection."""
+        """Import the exporter libraries on the first scrape."""
         from cyclamenlift.core.exporting import Exporter
 
         exporter = Exporter(self.instance, self.data_centre, self.durations)
@@ -297,6 +297,6 @@
         return exporter
 
     def close(self) -> None:
-        """Stop the collection; the process is about to end."""
+        """Shut down the exporter at the end of the process."""
         if self.exporter is not None:
             self.exporter.close()
--- a/cyclamenlift/core/packing.py
+++ b/cyclamenlift/core/packing.py
@@ -1,18 +1,18 @@
-"""Documents in few bytes, for what is sent, logged and kept.
+"""Compression of documents for transfer, logs and storage.
 
-A document with hundreds of routes says the same words in each; packed it is
-about a tenth. Every instance is sent every version, and the ways between
-data centres and to small instances are dear.
+Documents with hundreds of routes are repetitive and compress to about a
+tenth. Every version is sent to every instance, and links between data
+centres and to small instances are expensive.
 """
 
 import zlib
 
-# The usual trade of time for size: 1 ms for a document of 180 kB.
+# The default trade-off of zlib: 1 ms for a document of 180 kB.
 LEVEL = 6
 
 
 def pack(data: bytes) -> bytes:
-    """Return ``data`` in fewer bytes.
+    """Return ``data`` compressed.
 
     >>> unpack(pack(b'route ' * 100), 600) == b'route ' * 100
     True
@@ -21,7 +21,7 @@
 
 
 def unpack(data: bytes, limit: int) -> bytes:
-    """Return what was packed; ValueError if it is foreign or over ``limit``.
+    """Return decompressed data; ValueError if invalid or over ``limit``.
 
     >>> unpack(pack(b'abc'), 2)
     Traceback (most recent call last):
--- a/cyclamenlift/core/poller.py
+++ b/cyclamenlift/core/poller.py
@@ -1,10 +1,11 @@
-"""An epoll poller that serves its sockets without events.
-
-A stock poller fires one event for each ready socket and returns to the
-manager, which costs two events and a round of the manager for each piece of
-input. This poller calls the owner of a ready socket at once, runs the timers
-that are due, and polls again; it returns to circuits only when an event
-waits there. What is not a ``DirectOwner`` still gets the stock events.
+"""An epoll poller that calls the owners of sockets without events.
+
+The pollers of circuits fire one event for each ready socket and return to
+the manager, which costs two events and an iteration of the manager for each
+piece of input. This poller calls the owner of a ready socket directly, runs
+the timers that are due, and polls again; it returns to circuits only when an
+event is queued there. Owners that don't implement ``DirectOwner`` still get
+the events of circuits.
 """
 
 import contextlib
@@ -27,20 +28,20 @@
 
 @runtime_checkable
 class DirectOwner(Protocol):
-    """A component that takes the readiness of its sockets by call."""
+    """A component that is notified of socket readiness by method calls."""
 
     def on_poll_read(self, sock) -> None:
-        """Take input that waits at ``sock``."""
+        """Called when ``sock`` is readable."""
 
     def on_poll_write(self, sock) -> None:
-        """Go on sending on ``sock``."""
+        """Called when ``sock`` is writable."""
 
     def on_poll_lost(self, sock) -> None:
-        """Take note that the other side of ``sock`` is gone."""
+        """Called when the peer of ``sock`` is gone."""
 
 
 class Watched:
-    """A socket, its owner and what it waits for."""
+    """A registered socket, its owner and its event mask."""
 
     __slots__ = ('direct', 'mask', 'owner', 'sock')
 
@@ -52,7 +53,7 @@
 
 
 class DirectPoller(BasePoller):
-    """Owns the epoll descriptor of the process."""
+    """Poller that owns the epoll descriptor of the process."""
 
     channel = 'poller'
 
@@ -66,7 +67,7 @@
         os.set_blocking(self._ctrl_send, False)
         self.epoll.register(self._ctrl_recv, select.EPOLLIN)
 
-    # -- what owners ask for ----------------------------------------------
+    # -- interface for owners ----------------------------------------------
 
     def addReader(self, source, fd) -> None:  # noqa: N802
         self.change(source, fd, add=select.EPOLLIN)
@@ -89,7 +90,7 @@
         return watched is not None and bool(watched.mask & select.EPOLLOUT)
 
     def discard(self, fd) -> None:
-        """Forget a socket; call it before the socket is closed."""
+        """Unregister a socket. Must be called before it is closed."""
         watched = self.by_sock.pop(fd, None)
         if watched is None:
             return
@@ -100,7 +101,7 @@
                 self.epoll.unregister(number)
 
     def change(self, source, fd, add: int = 0, remove: int = 0) -> None:
-        """Change what ``fd`` waits for; waiting for nothing forgets it."""
+        """Update the event mask of ``fd``; an empty mask unregisters it."""
         watched = self.by_sock.get(fd)
         if watched is None:
             if not add:
@@ -118,7 +119,7 @@
             self.discard(fd)
 
     def resume(self) -> None:
-        """Wake the poller: another thread has fired an event."""
+        """Wake the poller after another thread has fired an event."""
         with contextlib.suppress(BlockingIOError):
             os.write(self._ctrl_send, b'\0')
 
@@ -135,11 +136,11 @@
             if not root.running or len(root._queue) or root._tasks:
                 return
             if event.time_left >= 0:
-                # Somebody asked for a bounded round: it has passed.
+                # The manager asked for a bounded wait, which is over.
                 return
 
     def poll(self, event) -> list[tuple[int, int]]:
-        """Wait for sockets, at most until the next timer is due."""
+        """Wait for ready sockets, at most until the next timer is due."""
         timeout = event.time_left
         due = self.scheduler.run_due()
         if len(self.root._queue):
@@ -149,7 +150,7 @@
         return self.epoll.poll(timeout)
 
     def serve(self, number: int, mask: int) -> None:
-        """Hand one ready socket to its owner."""
+        """Notify the owner of one ready socket."""
         watched = self.by_number.get(number)
         if watched is None:
             if number == self._ctrl_recv:
@@ -161,12 +162,12 @@
         try:
             self.call_owner(watched, mask)
         except Exception:
-            # An error while serving one socket must cost that socket only.
+            # An error of one socket must not affect the other sockets.
             LOG.exception('socket_failed', owner=str(watched.owner.channel))
             watched.owner.on_poll_lost(watched.sock)
 
     def clear_wake_up(self) -> None:
-        """Take out the bytes that ``resume`` has written."""
+        """Read the bytes that ``resume`` has written."""
         with contextlib.suppress(BlockingIOError):
             os.read(self._ctrl_recv, CONTROL_BYTES)
 
@@ -184,7 +185,7 @@
             owner.on_poll_write(watched.sock)
 
     def fire_stock(self, watched: Watched, mask: int) -> None:
-        """Fire what a stock poller would fire."""
+        """Fire the events that a poller of circuits would fire."""
         channel = watched.owner.channel
         if mask & LOST and not mask & select.EPOLLIN:
             self.discard(watched.sock)
--- a/cyclamenlift/core/problems.py
+++ b/cyclamenlift/core/problems.py
@@ -1,4 +1,4 @@
-"""The one error value of the project, carried by ``returns`` results."""
+"""The error value of the project, carried by ``returns`` results."""
 
 import dataclasses
 
@@ -8,10 +8,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Problem:
-    """A numbered error: what went wrong, where, and what to do.
+    """A numbered error with its location and a hint.
 
-    ``where`` names a field path, a setting or a file; ``hint`` falls back
-    to the hint of the code.
+    ``where`` is a field path, a setting or a file; without a ``hint`` the
+    hint of the code applies.
     """
 
     code: ResultCode
@@ -21,11 +21,11 @@
     retry_after_ms: int = 0
 
     def advice(self) -> str:
-        """Return what to do about it."""
+        """Return the hint, by default that of the code."""
         return self.hint or describe(self.code).hint
 
     def line(self) -> str:
-        """Return the problem as one line for a person.
+        """Return the problem as one human-readable line.
 
         >>> Problem(ResultCode.SETTING_MISSING, 'no name', 'name').line()
         '6001 name: no name (Give it.)'
@@ -36,7 +36,7 @@
 
 
 def brief(error: object, most: int) -> str:
-    """Return a text on one line, of at most ``most`` characters.
+    """Return the text as one line of at most ``most`` characters.
 
     >>> brief(ValueError('much   too\\nlong'), 8)
     'much too'
--- a/cyclamenlift/core/registry.py
+++ b/cyclamenlift/core/registry.py
@@ -1,4 +1,4 @@
-"""Registries that decorators fill: behaviour that varies by name."""
+"""Registries of implementations by name, filled by decorators."""
 
 from collections.abc import Callable
 from collections.abc import Iterator
@@ -9,7 +9,7 @@
 
 
 class Registry(Generic[T]):
-    """Named implementations of one kind.
+    """Maps names to implementations of one kind.
 
     >>> shapes = Registry('shape')
     >>> @shapes.register('dot')
@@ -26,7 +26,7 @@
         self.items: dict[str, T] = {}
 
     def register(self, name: str) -> Callable[[T], T]:
-        """Return a decorator that files its argument under ``name``."""
+        """Return a decorator that registers its argument as ``name``."""
 
         def decorate(item: T) -> T:
             if name in self.items:
@@ -37,7 +37,7 @@
         return decorate
 
     def get(self, name: str) -> T:
-        """Return what ``name`` stands for; raise KeyError with the choice."""
+        """Return the item; raise KeyError with the known names."""
         if name not in self.items:
             known = ', '.join(sorted(self.items))
             raise KeyError(f'unknown {self.kind} {name!r}; one of: {known}')
--- a/cyclamenlift/core/streams.py
+++ b/cyclamenlift/core/streams.py
@@ -1,11 +1,11 @@
-"""Stream sockets that send at once.
-
-A stock circuits write is an event, then a round of the poller, then a
-second event: too much for a call path of 1.1 ms. A ``StreamOwner`` owns its
-sockets, is called by the poller when they are ready, writes at once and
-asks the poller for writes only when the kernel's buffer is full. One
-component owns one kind of connection; it subclasses ``StreamOwner`` and
-overrides the ``on_*`` hooks.
+"""TCP connections with immediate writes.
+
+A write in circuits is an event, an iteration of the poller and a second
+event: too much for a call path of 1.1 ms. A ``StreamOwner`` owns its
+sockets, is called by the poller when they are ready, writes immediately and
+waits for writability only when the kernel's buffer is full. Each component
+that owns a kind of connection subclasses ``StreamOwner`` and overrides the
+``on_*`` hooks.
 """
 
 import collections
@@ -18,22 +18,22 @@
 from cyclamenlift.core.clock import MILLISECONDS
 
 READ_SIZE = 65536
-# Bytes that are offered to the kernel in one call: about what it takes at
-# once; what it leaves is offered again.
+# Bytes passed to the kernel in one call: about what it accepts at once. The
+# rest is passed again later.
 SEND_SIZE = 65536
 LISTEN_BACKLOG = 1024
 IN_PROGRESS = (errno.EINPROGRESS, errno.EWOULDBLOCK)
 
 
 class Address(NamedTuple):
-    """An IP number and a port."""
+    """An IP address and a port."""
 
     host: str
     port: int
 
     @classmethod
     def parse(cls, text: str) -> 'Address':
-        """Read ``host:port``; raise ValueError when it is neither.
+        """Parse ``host:port``; raise ValueError if it is invalid.
 
         >>> Address.parse('127.0.0.1:80')
         Address(host='127.0.0.1', port=80)
@@ -50,9 +50,9 @@
 
 
 class Stream:
-    """One connected (or connecting) socket of a ``StreamOwner``.
+    """A connected or connecting socket of a ``StreamOwner``.
 
-    ``context`` is the owner's own state for this connection.
+    ``context`` holds the owner's state of this connection.
     """
 
     __slots__ = (
@@ -83,7 +83,7 @@
         self.closing = False
 
     def write(self, data: bytes) -> None:
-        """Send now what the kernel takes, keep the rest in order."""
+        """Send what the kernel accepts and queue the rest in order."""
         if not self.open or self.closing:
             return
         if self.connected and not self.pending:
@@ -94,7 +94,7 @@
             self.want_write()
 
     def send_now(self, data: bytes) -> bytes:
-        """Return the part that the kernel did not take."""
+        """Send data; return the part that the kernel didn't accept."""
         try:
             sent = self.sock.send(data)
         except (BlockingIOError, InterruptedError):
@@ -105,7 +105,7 @@
         return data[sent:] if sent < len(data) else b''
 
     def flush(self) -> None:
-        """Send what is pending, as far as the kernel takes it."""
+        """Send pending data as far as the kernel accepts it."""
         while self.outbound and self.open:
             data = self.next_bytes()
             rest = self.send_now(data)
@@ -116,7 +116,7 @@
                 return
 
     def next_bytes(self) -> bytes:
-        """Return the next pending pieces as one, about ``SEND_SIZE``."""
+        """Return the next pending pieces joined to about ``SEND_SIZE``."""
         pieces = []
         size = 0
         for piece in self.outbound:
@@ -127,7 +127,7 @@
         return b''.join(pieces)
 
     def note_sent(self, size: int) -> None:
-        """Take ``size`` bytes off the front; whole pieces stay as given."""
+        """Remove ``size`` sent bytes; unsent pieces keep their identity."""
         self.pending -= size
         while size:
             piece = self.outbound.popleft()
@@ -137,11 +137,11 @@
             size -= len(piece)
 
     def holds(self, data: bytes) -> bool:
-        """Tell whether no byte of this very object has been sent."""
+        """Return whether this very object is queued and entirely unsent."""
         return any(piece is data for piece in self.outbound)
 
     def withdraw(self, data: bytes) -> bool:
-        """Take back an object given to ``write``; True if none of it left.
+        """Unqueue an object passed to ``write``; True if it was unsent.
 
         It must be the same object: equal bytes may be another message.
         """
@@ -163,7 +163,7 @@
             self.owner.poller.removeWriter(self.sock)
 
     def pause_reading(self) -> None:
-        """Leave further input in the kernel: back-pressure."""
+        """Stop reading input (back-pressure)."""
         if self.reading:
             self.reading = False
             self.owner.poller.removeReader(self.sock)
@@ -174,11 +174,11 @@
             self.owner.poller.addReader(self.owner, self.sock)
 
     def close(self) -> None:
-        """Close at once; ``on_lost`` is not called."""
+        """Close immediately without calling ``on_lost``."""
         self.owner.forget(self)
 
     def close_after_write(self) -> None:
-        """Close as soon as everything pending has gone out."""
+        """Close as soon as all pending data has been sent."""
         if not self.pending:
             self.close()
             return
@@ -186,15 +186,15 @@
 
 
 class StreamOwner(BaseComponent):
-    """Owns listening and connected sockets of one kind.
+    """Component that owns listening and connected sockets of one kind.
 
     Subclasses override ``on_accepted``, ``on_connected``, ``on_data``,
-    ``on_drained`` and ``on_lost``; each runs inside one event.
+    ``on_drained`` and ``on_lost``; each is called synchronously.
     """
 
     channel = 'streams'
-    # After how many whole seconds without a sign of life of the other
-    # side's kernel a connection counts as lost; 0: when the kernel says so.
+    # Whole seconds without an acknowledgement by the peer's kernel after
+    # which a connection counts as lost; 0: the kernel's default.
     silence_seconds = 0
 
     def __init__(self, poller, channel: str):
@@ -203,29 +203,29 @@
         self.listeners: set[socket.socket] = set()
         self.streams: dict[socket.socket, Stream] = {}
 
-    # -- override points --------------------------------------------------
+    # -- hooks for subclasses ----------------------------------------------
 
     def on_accepted(self, stream: Stream) -> None:
-        """Run when a peer connected to one of our listeners."""
+        """Called when a listener has accepted a connection."""
 
     def on_connected(self, stream: Stream) -> None:
-        """Run when a connection that we opened is established."""
+        """Called when an outgoing connection is established."""
 
     def on_data(self, stream: Stream, data: bytes) -> None:
-        """Run for each piece of input."""
+        """Called for each piece of input."""
 
     def on_drained(self, stream: Stream) -> None:
-        """Run when all pending output has gone to the kernel."""
+        """Called when all pending output was written to the kernel."""
 
     def on_lost(self, stream: Stream, error: OSError | None) -> None:
-        """Run when the other side closed (``error`` None) or it failed."""
+        """Called when the peer closed (``error`` None) or on failure."""
 
     # -- commands ---------------------------------------------------------
 
     def listen(self, address: Address) -> Address:
-        """Listen on ``address`` (port 0 lets the system choose).
+        """Listen on ``address`` (port 0: chosen by the system).
 
-        Return the address that is bound; raise OSError if it is taken.
+        Returns the bound address; raises OSError if it is in use.
         """
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -249,7 +249,7 @@
     def connect_to(self, address: Address, source: str = '') -> Stream:
         """Open a connection; ``on_connected`` or ``on_lost`` follows.
 
-        ``source`` is the local IP number to connect from, if it matters.
+        ``source`` is the local IP address to connect from, if not empty.
         """
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setblocking(False)
@@ -270,7 +270,7 @@
         return stream
 
     def set_options(self, sock: socket.socket) -> None:
-        """Send small pieces at once; notice a silent end if asked to."""
+        """Disable Nagle's algorithm; enable keepalive if configured."""
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         if not self.silence_seconds:
             return
@@ -284,11 +284,11 @@
             sock.setsockopt(socket.IPPROTO_TCP, option, value)
 
     def fire_later(self, stream: Stream, error: OSError) -> None:
-        """Report a failure at the next round, never inside the caller."""
+        """Report a failure in the next iteration, never synchronously."""
         self.root.scheduler.after(0.0, lambda: self.lose(stream, error))
 
     def lose(self, stream: Stream, error: OSError | None) -> None:
-        """Close a failed stream and tell the subclass, once."""
+        """Close a failed stream and call ``on_lost`` once."""
         if stream.open:
             self.forget(stream)
             self.on_lost(stream, error)
@@ -311,7 +311,7 @@
         for stream in list(self.streams.values()):
             stream.close()
 
-    # -- from the poller ----------------------------------------------------
+    # -- notifications of the poller -----------------------------------------
 
     def on_poll_read(self, sock) -> None:
         stream = self.streams.get(sock)
--- a/cyclamenlift/core/tasks.py
+++ b/cyclamenlift/core/tasks.py
@@ -1,8 +1,8 @@
-"""The event loop's root and its timers.
+"""Timers and the root component of the event loop.
 
-circuits owns the loop. Timers are kept in one heap by one component, since
-a circuits ``Timer`` adds a handler to every round of the loop and a call
-needs several.
+circuits runs the loop. One component keeps all timers in one heap, since a
+circuits ``Timer`` adds a handler to every iteration of the loop and a call
+needs several timers.
 """
 
 from collections.abc import Callable
@@ -17,7 +17,7 @@
 
 
 class Timer:
-    """One pending callback; ``cancel`` makes it never run."""
+    """A scheduled callback that can be cancelled."""
 
     __slots__ = ('callback', 'deadline')
 
@@ -30,11 +30,11 @@
 
 
 class Scheduler(BaseComponent):
-    """Runs callbacks at their deadlines, on the loop's own thread.
+    """Runs callbacks at their deadlines, on the thread of the loop.
 
-    Cancelled timers stay in the heap until their deadline: removal would
-    cost a search for each call. Deadlines of calls are seconds at most, so
-    the heap stays small.
+    Cancelled timers stay in the heap until their deadline, since removing
+    them would need a search for each call. Deadlines of calls are seconds
+    at most, so the heap stays small.
     """
 
     channel = 'scheduler'
@@ -56,7 +56,7 @@
         return self.at(self.clock.now() + seconds, callback)
 
     def every(self, seconds: float, callback: Callable[[], None]) -> None:
-        """Run ``callback`` each ``seconds``, first after one period."""
+        """Run ``callback`` every ``seconds``, first after one period."""
 
         def run() -> None:
             self.after(seconds, run)
@@ -65,7 +65,7 @@
         self.after(seconds, run)
 
     def run_due(self) -> float | None:
-        """Run what is due; return the seconds to the next, None if none."""
+        """Run due callbacks; return the seconds to the next, None if none."""
         now = self.clock.now()
         while self.heap and self.heap[0][0] <= now:
             timer = heapq.heappop(self.heap)[2]
@@ -81,7 +81,7 @@
 
 
 class Root(BaseComponent):
-    """The root component of a process: it holds poller and scheduler."""
+    """Root component of a process with its poller and scheduler."""
 
     channel = 'root'
 
@@ -92,5 +92,5 @@
 
 
 def build_root(clock: Clock | None = None) -> Root:
-    """Return a root with its poller and its scheduler."""
+    """Return a root component with a poller and a scheduler."""
     return Root(clock)
--- a/cyclamenlift/http/__init__.py
+++ b/cyclamenlift/http/__init__.py
@@ -1,4 +1,4 @@
-"""The strict HTTP border: towards callers, the target and operators."""
+"""Strict HTTP server and client for callers, targets and operators."""
 
 from cyclamenlift.http.client import TargetClient
 from cyclamenlift.http.exchange import Exchange
--- a/cyclamenlift/http/answer_parser.py
+++ b/cyclamenlift/http/answer_parser.py
@@ -1,4 +1,4 @@
-"""Answers of the target from bytes: strict framing by llhttp."""
+"""Parses responses of the target with llhttp and strict framing rules."""
 
 from httptools import HttpParserError
 from httptools import HttpParserUpgrade
@@ -15,16 +15,17 @@
 
 
 class AnswerRefused(Exception):
-    """The answer breaks a rule."""
+    """The response violates a framing rule or a limit."""
 
 
 class AnswerParser:
-    """Reads the answers of one connection, one after the other.
+    """Parses the responses of one connection, one after the other.
 
-    After ``feed``: ``head_ready`` once the final head is in, ``chunks``
-    with new body bytes, ``complete`` once the answer is whole, ``problem``
-    when its bytes are wrong, ``stray`` when bytes followed a whole answer.
-    ``expect_answer`` must precede each answer.
+    After ``feed``, ``head_ready`` tells whether the final head has been
+    parsed, ``chunks`` holds new body bytes, ``complete`` tells whether the
+    whole response has been parsed, ``problem`` describes invalid input, and
+    ``stray`` tells whether bytes followed a complete response. Call
+    ``expect_answer`` before each response.
     """
 
     __slots__ = (
@@ -76,24 +77,24 @@
         self.problem = ''
 
     def expect_answer(self, method: str, call_id: str = '') -> None:
-        """Prepare for the answer to a request with this method.
+        """Prepare for the response to a request with this method.
 
-        ``call_id`` is the name that the answer must repeat, if any.
+        ``call_id`` is the ID that the response must echo, if any.
         """
         self.call_id = call_id
         if self.method == 'HEAD':
-            # The library waits for the body that a HEAD answer announces.
+            # llhttp would wait for the body that a HEAD response announces.
             self.parser = HttpResponseParser(self)
         self.method = method
         self.reset_answer()
 
     def feed(self, data: bytes) -> None:
-        """Parse input; never raises, see the attributes."""
+        """Parse input. Never raises; the attributes hold the result."""
         self.progress = False
         try:
             self.parser.feed_data(data)
         except HttpParserUpgrade:
-            self.fail('it switched to another protocol')
+            self.fail('the protocol was switched')
         except HttpParserError as error:
             cause = error.__context__
             refused = isinstance(cause, AnswerRefused)
@@ -101,27 +102,27 @@
         self.count_quiet(len(data))
 
     def fail(self, detail: str) -> None:
-        """Note wrong bytes; after a whole answer they are stray ones."""
+        """Record invalid input; after a complete response it is trailing."""
         if self.complete:
             self.stray = True
         else:
             self.problem = detail
 
     def count_quiet(self, size: int) -> None:
-        """Bound bytes that are neither a whole head nor body bytes."""
+        """Limit input that completes no head and carries no body bytes."""
         self.quiet_bytes = 0 if self.progress else self.quiet_bytes + size
         if self.quiet_bytes > self.limits.max_header_bytes:
-            self.fail('its header fields are over the limit')
+            self.fail('header fields exceed the limit')
 
     def end_of_input(self) -> bool:
-        """Tell whether the end of the connection makes the answer whole."""
+        """Return whether end of file completes the response."""
         return self.head_ready and self.until_close and not self.problem
 
-    # -- callbacks of the parser library ----------------------------------
+    # -- callbacks of httptools -------------------------------------------
 
     def on_message_begin(self) -> None:
         if self.complete:
-            raise AnswerRefused('bytes after the answer')
+            raise AnswerRefused('data after the end of the response')
         self.headers = []
         self.head_bytes = 0
 
@@ -129,9 +130,9 @@
         limits = self.limits
         self.head_bytes += len(name) + len(value) + FIELD_OVERHEAD
         if self.head_bytes > limits.max_header_bytes:
-            raise AnswerRefused('its header fields are over the limit')
+            raise AnswerRefused('header fields exceed the limit')
         if self.head_ready:
-            # A trailer field: counted, then dropped.
+            # Trailer fields count towards the limit and are dropped.
             return
         field = (
             name.decode('latin-1').lower(),
@@ -139,17 +140,17 @@
         )
         self.headers.append(field)
         if len(self.headers) > limits.max_headers:
-            raise AnswerRefused('it has too many header fields')
+            raise AnswerRefused('too many header fields')
 
     def on_headers_complete(self) -> None:
         self.progress = True
         if self.parser.get_http_version() not in VERSIONS:
-            raise AnswerRefused('its HTTP version is not spoken here')
+            raise AnswerRefused('the HTTP version is not supported')
         self.status = self.parser.get_status_code()
         self.interim = self.status < 200
         if self.interim:
             if self.status == SWITCHING_PROTOCOLS:
-                raise AnswerRefused('it switched to another protocol')
+                raise AnswerRefused('the protocol was switched')
             return
         self.measure()
         if self.is_foreign():
@@ -161,7 +162,7 @@
 
     def on_body(self, data: bytes) -> None:
         if self.complete:
-            raise AnswerRefused('bytes after the answer')
+            raise AnswerRefused('data after the end of the response')
         self.progress = True
         if not self.foreign:
             self.chunks.append(data)
@@ -173,13 +174,13 @@
         elif not self.interim:
             self.complete = True
 
-    # -- rules of a head --------------------------------------------------
+    # -- validation of the head -------------------------------------------
 
     def is_foreign(self) -> bool:
-        """Tell whether the answer repeats the name of another call.
+        """Return whether the response echoes the ID of another call.
 
-        An answer without any name is taken: the target may have failed
-        before it read one.
+        A response without an ID is accepted: the target may have failed
+        before it parsed the ID.
         """
         field = self.limits.call_id_field
         if not field or not self.call_id:
@@ -188,13 +189,13 @@
         return repeated is not None and repeated != self.call_id
 
     def drop_foreign(self) -> None:
-        """Read over an answer to another call; ours may follow it."""
+        """Skip a response to another call; the expected one may follow."""
         if self.until_close:
-            raise AnswerRefused('it answers another call')
+            raise AnswerRefused('it is a response to another call')
         self.foreign = True
 
     def measure(self) -> None:
-        """Find how long the body is and how the answer ends."""
+        """Determine the body length and how the end is marked."""
         length = None
         chunked = False
         for name, value in self.headers:
@@ -202,7 +203,9 @@
                 length = int(value)
             elif name == 'transfer-encoding':
                 if value.lower() != 'chunked':
-                    raise AnswerRefused(f'its transfer coding is {value!r}')
+                    raise AnswerRefused(
+                        f'unsupported transfer coding {value!r}'
+                    )
                 chunked = True
         self.bodiless = self.method == 'HEAD' or (
             self.status in BODILESS_STATUS
@@ -212,5 +215,5 @@
         self.length = length
         self.until_close = length is None and not chunked
         if self.until_close and not self.limits.unsized_answers:
-            raise AnswerRefused('it states no length')
+            raise AnswerRefused('it declares no length')
         self.keep_alive = self.parser.should_keep_alive()
--- a/cyclamenlift/http/client.py
+++ b/cyclamenlift/http/client.py
@@ -1,4 +1,4 @@
-"""The client component towards the target: a pool of connections."""
+"""HTTP client for one target, with a connection pool."""
 
 import collections
 from collections.abc import Callable
@@ -19,14 +19,15 @@
 from cyclamenlift.http.target import TargetRequest
 from cyclamenlift.http.target_call import TargetCall
 
-# How soon a connection that was lost while one looks is followed by another,
-# in seconds: a process that ends closes its listener last.
+# Delay before a lost probe connection is retried, in seconds. A terminating
+# process closes its listener last, so a loss alone doesn't show that nothing
+# listens.
 LOOK_AGAIN_SECONDS = 0.005
 LOG = structlog.get_logger('http')
 
 
 class TargetConnection:
-    """State of one connection in the pool."""
+    """Parser, timer and current call of one pooled connection."""
 
     __slots__ = ('call', 'idle_deadline', 'idle_since', 'parser', 'timer')
 
@@ -39,10 +40,10 @@
 
 
 class TargetClient(StreamOwner):
-    """Sends requests to one target, each on a connection of its own.
+    """Sends requests to one target, one at a time on each connection.
 
-    Connections are kept alive and used again only after an answer that
-    was whole, ended by its own framing and was followed by nothing.
+    A connection is reused only after a complete response whose framing
+    marks its own end and which no further bytes follow.
     """
 
     def __init__(
@@ -55,11 +56,11 @@
         self.waiting: collections.deque[TargetCall] = collections.deque()
         self.keep_warm = False
         self.warm_timer: Timer | None = None
-        # Run when nobody listens at the target's address, and when a look
-        # at it found that connections are taken.
+        # Called when the target's address refuses connections, and when a
+        # probe connection was accepted.
         self.refused_hooks: list[Callable[[], None]] = []
         self.found_hooks: list[Callable[[], None]] = []
-        # Connections that are to show it; until when others may follow.
+        # Probe connections and the deadlines for repeating them.
         self.looks: dict[Stream, float] = {}
 
     # -- commands ---------------------------------------------------------
@@ -67,9 +68,9 @@
     def request(
         self, request: TargetRequest, listener: TargetListener
     ) -> TargetCall:
-        """Start a request; the listener hears nothing before this returns.
+        """Start a request; no callback runs before this returns.
 
-        The head goes out together with the first piece of the body. Raises
+        The head is sent together with the first piece of the body. Raises
         HeaderError when the head is malformed.
         """
         call = TargetCall(self, request, listener)
@@ -77,46 +78,47 @@
         return call
 
     def warm(self) -> None:
-        """Open the kept connections now, and again when they are lost."""
+        """Open the warm connections and replace them when they are lost."""
         self.keep_warm = True
         self.top_up()
 
     def look(self, deadline: float) -> None:
-        """Open a connection for the pool, to see whether anybody listens.
+        """Open a pooled connection to find out whether the target listens.
 
-        One that is lost before ``deadline`` shows nothing: another follows.
+        A connection lost before ``deadline`` is inconclusive and is retried.
         """
         if len(self.streams) < self.limits.max_connections:
             self.looks[self.open(None)] = deadline
 
     def drop_idle(self) -> None:
-        """Close what is kept open to a target that is gone."""
+        """Close the idle connections to a target that has ended."""
         for stream in self.idle:
             stream.close()
         self.idle.clear()
 
     def close_all(self) -> None:
-        """Close every connection; calls under way hear nothing more."""
+        """Close every connection without callbacks to calls in progress."""
         self.keep_warm = False
         self.idle.clear()
         self.waiting.clear()
         super().close_all()
 
     def has_connections(self) -> bool:
-        """Tell whether any connection to the target is up."""
+        """Return whether any connection to the target is established."""
         return any(stream.connected for stream in self.streams.values())
 
     # -- pool -------------------------------------------------------------
 
     def assign(self, call: TargetCall) -> None:
-        """Give the call a connection, or let it wait for one."""
+        """Assign a connection to the call, or queue the call."""
         while self.idle:
             stream = self.idle.pop()
             if self.is_usable(stream) and is_quiet(stream):
                 if self.is_fresh_enough(stream, call):
                     self.start(call, stream)
                     return
-                # The last one was used latest: the others are older still.
+                # The list ends with the most recently used connection, so the
+                # others have been idle for longer.
                 self.idle.append(stream)
                 break
             stream.close()
@@ -126,7 +128,7 @@
             self.waiting.append(call)
 
     def is_usable(self, stream: Stream) -> bool:
-        """Tell whether the target should still keep an idle connection."""
+        """Return whether the target should still hold the connection open."""
         return self.now() < stream.context.idle_deadline
 
     def is_fresh_enough(self, stream: Stream, call: TargetCall) -> bool:
@@ -139,7 +141,7 @@
         return self.root.scheduler.clock.now()
 
     def note_idle(self, stream: Stream) -> None:
-        """Note since when and until when a connection may stay idle."""
+        """Record when a connection became idle and when to stop reusing it."""
         connection = stream.context
         connection.idle_since = self.now()
         stated = keep_alive_seconds(connection.parser.headers)
@@ -149,7 +151,7 @@
         connection.idle_deadline = connection.idle_since + kept
 
     def open(self, call: TargetCall | None) -> Stream:
-        """Open a connection, for a call or for the pool."""
+        """Open a connection for a call, or for the pool without one."""
         stream = self.connect_to(self.address)
         connection = TargetConnection(self.limits, call)
         stream.context = connection
@@ -162,7 +164,7 @@
         return stream
 
     def start(self, call: TargetCall, stream: Stream) -> None:
-        """Begin a call on an established connection."""
+        """Start a call on an established connection."""
         call.stream = stream
         stream.context.call = call
         request = call.request
@@ -172,7 +174,7 @@
         self.push(call)
 
     def push(self, call: TargetCall) -> None:
-        """Write what there is of the request."""
+        """Write the buffered part of the request."""
         stream = call.stream
         if stream is None or not stream.connected:
             return
@@ -186,12 +188,12 @@
         if not data:
             return
         stream.write(data)
-        # A first write that fails at once has moved no byte.
+        # A first write that fails immediately has sent no byte.
         if stream.open:
             call.sent = True
 
     def release(self, stream: Stream) -> None:
-        """Put a clean connection back, or to the next call's use."""
+        """Return a reusable connection to the pool or to a queued call."""
         stream.context.call = None
         stream.resume_reading()
         self.note_idle(stream)
@@ -203,7 +205,7 @@
             self.discard(stream)
 
     def drop(self, call: TargetCall) -> None:
-        """Take a cancelled call off its connection, which is closed."""
+        """Remove a cancelled call and close its connection."""
         if call.stream is None:
             if call in self.waiting:
                 self.waiting.remove(call)
@@ -211,14 +213,14 @@
         self.discard(call.stream)
 
     def discard(self, stream: Stream) -> None:
-        """Close a connection that can't be used again."""
+        """Close a connection that can't be reused."""
         stop_timer(stream.context)
         stream.context.call = None
         stream.close()
         self.replace_lost()
 
     def replace_lost(self) -> None:
-        """Serve waiting calls and the warm pool after a loss."""
+        """Open connections for queued calls and the warm pool after a loss."""
         while self.waiting and len(self.streams) < self.limits.max_connections:
             self.open(self.waiting.popleft())
         if self.keep_warm and self.warm_timer is None:
@@ -227,7 +229,7 @@
             )
 
     def top_up(self) -> None:
-        """Open connections up to the number that is kept."""
+        """Open connections up to the configured number of warm ones."""
         self.warm_timer = None
         limits = self.limits
         kept = min(limits.warm_connections, limits.max_connections)
@@ -248,31 +250,31 @@
         else:
             self.start(call, stream)
             if stream.open and not stream.pending and not call.done:
-                # What waited for the connection has gone out in one write,
-                # after which the kernel reports nothing.
+                # The buffered data was sent in one write, so the poller
+                # reports no later writability for it.
                 call.listener.on_drained()
 
     def on_data(self, stream: Stream, data: bytes) -> None:
         call = stream.context.call
         if call is None or not call.head_given:
-            # Nothing was asked: the next answer could not be trusted.
+            # Unsolicited data: the next response would be unreliable.
             self.leave(stream, call)
             return
         parser = stream.context.parser
         parser.feed(data)
         if parser.problem:
-            self.fail(call, f'the answer is malformed: {parser.problem}')
+            self.fail(call, f'malformed response: {parser.problem}')
             self.discard(stream)
             return
         try:
             self.deliver(stream, call, parser)
         except Exception:
             LOG.exception('listener_failed', target=str(self.address))
-            self.fail(call, 'the answer could not be taken')
+            self.fail(call, 'processing the response failed')
             self.discard(stream)
 
     def leave(self, stream: Stream, call: TargetCall | None) -> None:
-        """Close a connection before anything was sent on it for a call."""
+        """Close a connection and reassign its call, which is unsent."""
         self.forget_idle(stream)
         self.discard(stream)
         if call is not None:
@@ -282,7 +284,7 @@
     def deliver(
         self, stream: Stream, call: TargetCall, parser: AnswerParser
     ) -> None:
-        """Hand over what the parser has found, then end or go on."""
+        """Pass parsed data to the listener; complete the call at the end."""
         listener = call.listener
         if parser.head_ready and not call.answering:
             call.answering = True
@@ -295,7 +297,7 @@
             self.complete(stream, call)
 
     def complete(self, stream: Stream, call: TargetCall) -> None:
-        """End a call whose answer is whole."""
+        """Finish a call whose response is complete."""
         listener = call.end()
         parser = stream.context.parser
         clean = parser.keep_alive and not parser.stray and call.request_whole
@@ -335,8 +337,8 @@
         if error is None and connection.parser.end_of_input():
             call.end().on_end()
             return
-        reason = error or 'it closed the connection'
-        self.fail(call, f'no whole answer of the target: {reason}', kind)
+        reason = error or 'the connection was closed'
+        self.fail(call, f'incomplete response of the target: {reason}', kind)
 
     def fail(
         self,
@@ -344,7 +346,7 @@
         detail: str,
         kind: FailureKind = FailureKind.OTHER,
     ) -> None:
-        """Report a failure at the next round, never inside a command."""
+        """Report a failure in the next loop iteration, never synchronously."""
 
         def report() -> None:
             if not call.done:
@@ -359,7 +361,7 @@
 
 
 def kind_of_loss(error: Exception | None, connected: bool) -> FailureKind:
-    """Return what the loss of a connection says of the target."""
+    """Classify the loss of a connection."""
     if isinstance(error, ConnectionRefusedError):
         return FailureKind.REFUSED
     if isinstance(error, TimeoutError) or not connected:
@@ -368,7 +370,7 @@
 
 
 def is_quiet(stream: Stream) -> bool:
-    """Tell whether a kept connection is open and has nothing to read."""
+    """Return whether an idle connection is open without unread input."""
     if not stream.open:
         return False
     try:
@@ -381,7 +383,7 @@
 
 
 def keep_alive_seconds(headers: Headers) -> int | None:
-    """Return the idle time that a target states, None if it states none.
+    """Return the idle timeout in ``Keep-Alive``, None without one.
 
     >>> keep_alive_seconds([('keep-alive', 'timeout=5, max=100')])
     5
--- a/cyclamenlift/http/connection.py
+++ b/cyclamenlift/http/connection.py
@@ -1,4 +1,4 @@
-"""One connection of a caller: requests in order, deadlines, its end."""
+"""Server side of a caller's connection: request order and deadlines."""
 
 from __future__ import annotations
 
@@ -28,11 +28,11 @@
 
 
 class CallerConnection(EndingConnection):
-    """Takes the requests of one connection one after the other.
+    """Processes the requests of one connection in order.
 
-    Requests that come early stay in the parser's queue and the socket is
-    read no further until the one before has its answer. Safe ones without
-    a body may be taken ahead of their turn; their answers wait for it.
+    Pipelined requests stay in the parser's queue, and reading is paused
+    until the previous request has been answered. Safe requests without a
+    body may be processed in parallel; their responses are sent in order.
     """
 
     __slots__ = (
@@ -56,7 +56,7 @@
 
     @property
     def busy(self) -> bool:
-        """Whether a request is being read, answered or sent out."""
+        """Whether a request is being read or a response is being sent."""
         if self.lingering:
             return bool(self.stream.pending)
         return bool(
@@ -69,14 +69,14 @@
     # -- input ------------------------------------------------------------
 
     def feed(self, data: bytes) -> None:
-        """Take input of the caller."""
+        """Process input from the caller."""
         if self.lingering:
             return
         self.parser.feed(data)
         self.advance()
 
     def advance(self) -> None:
-        """Hand over bodies and requests as far as order allows."""
+        """Process bodies and requests as far as the order allows."""
         if self.advancing:
             return
         self.advancing = True
@@ -89,7 +89,7 @@
             self.settle()
 
     def step(self) -> bool:
-        """Do the next thing; return whether there may be another."""
+        """Perform one step; return whether another may be possible."""
         exchange = self.active
         if exchange is None:
             return self.step_to_next()
@@ -102,7 +102,7 @@
         return self.active is not exchange
 
     def step_to_next(self) -> bool:
-        """Take the next request, unless too much output is waiting."""
+        """Start the next request unless too much output is pending."""
         if self.ahead:
             self.active = self.ahead.popleft()
             self.active.take_turn()
@@ -117,7 +117,7 @@
         return False
 
     def step_over(self, exchange: Exchange) -> bool:
-        """Skip the rest of a body whose request is answered already."""
+        """Skip the rest of the body of an answered request."""
         exchange.request.chunks.clear()
         if exchange.request.complete:
             self.next_request()
@@ -127,7 +127,7 @@
         return False
 
     def take_next(self) -> None:
-        """Give the next request to the application."""
+        """Pass the next request to the application."""
         request = self.parser.queue.popleft()
         self.deadline.clear()
         self.head_deadline_set = False
@@ -136,7 +136,7 @@
         self.server.take(self.active)
 
     def take_ahead(self) -> None:
-        """Take requests that need not wait for the answers before them."""
+        """Start requests that needn't wait for earlier responses."""
         most = self.server.limits.max_pipelined - 1
         last = self.ahead[-1] if self.ahead else self.active
         while (
@@ -154,7 +154,7 @@
                 return
 
     def drop_ahead(self) -> None:
-        """Let go of requests whose answers will never be sent."""
+        """Abandon pipelined requests whose responses can't be sent."""
         while self.ahead:
             exchange = self.ahead.popleft()
             exchange.state = AnswerState.DONE
@@ -162,7 +162,7 @@
                 exchange.on_gone()
 
     def settle(self) -> None:
-        """After all steps: choose whether to read on, and until when."""
+        """Update reading and the deadline after all possible steps."""
         if self.active is not None and not self.active.done:
             self.take_ahead()
         if not self.stream.open or self.lingering:
@@ -188,10 +188,10 @@
         else:
             self.stream.pause_reading()
 
-    # -- bodies -----------------------------------------------------------
+    # -- request bodies ---------------------------------------------------
 
     def await_body(self, exchange: Exchange) -> None:
-        """Let the caller send its body, within the deadline for it."""
+        """Start receiving the body and its deadline."""
         if exchange.request.expects_continue:
             exchange.request.expects_continue = False
             if not exchange.request.body_bytes:
@@ -200,7 +200,7 @@
         self.read_on(not exchange.paused)
 
     def pause_body(self, exchange: Exchange) -> None:
-        """Stop reading; the caller's time for the body stands still."""
+        """Stop reading and suspend the deadline of the body."""
         if self.active is not exchange or exchange.request.complete:
             return
         self.body_seconds_left = self.deadline.left()
@@ -208,7 +208,7 @@
         self.stream.pause_reading()
 
     def resume_body(self, exchange: Exchange) -> None:
-        """Read on after ``pause_body``."""
+        """Resume reading and the deadline of the body."""
         if self.active is not exchange or self.lingering:
             return
         if self.body_seconds_left and not exchange.request.complete:
@@ -217,10 +217,10 @@
         self.advance()
 
     def break_body(self, exchange: Exchange, problem: Problem) -> None:
-        """End a request whose body is bad or late.
+        """End a request whose body is invalid or late.
 
-        Once a part was handed over, only the owner knows whether something
-        ran, so the problem is not answered here in its name.
+        After a part of the body was delivered, only the application knows
+        whether the request ran, so no error response is sent here.
         """
         self.parser.stopped = True
         self.deadline.clear()
@@ -243,10 +243,10 @@
         if exchange.on_gone is not None:
             exchange.on_gone()
 
-    # -- answers ----------------------------------------------------------
+    # -- responses --------------------------------------------------------
 
     def closing_fields(self, exchange: Exchange) -> Headers:
-        """Return the ``Connection`` field that the answer needs."""
+        """Return the ``Connection`` field of the response, if needed."""
         request = exchange.request
         if not request.complete and not self.ends_soon(exchange):
             request.keep_alive = False
@@ -258,14 +258,14 @@
         return NO_FIELDS
 
     def ends_soon(self, exchange: Exchange) -> bool:
-        """Tell whether the rest of the body is small enough to skip."""
+        """Return whether the rest of the body is small enough to skip."""
         request = exchange.request
         if request.expects_continue or request.body_length is None:
             return False
         return request.body_length - request.body_bytes <= MAX_UNREAD_BODY
 
     def answered(self, exchange: Exchange) -> None:
-        """Go on after the answer to ``exchange`` was written."""
+        """Proceed after the response to ``exchange`` was written."""
         if not self.stream.open:
             return
         exchange.on_body = None
@@ -282,7 +282,7 @@
         self.next_request()
 
     def next_request(self) -> None:
-        """Make room for the next request of this connection."""
+        """Prepare for the next request of this connection."""
         self.active = None
         limits = self.server.limits
         if self.stream.pending:
@@ -291,16 +291,16 @@
             self.deadline.set_after(limits.idle_seconds)
         self.advance()
 
-    # -- deadlines and the end --------------------------------------------
+    # -- deadlines and closing --------------------------------------------
 
     def expire(self) -> None:
-        """End the connection, since its time is up."""
+        """Handle the expired deadline of the connection."""
         if self.stream.pending or self.lingering:
             self.expire_output()
         elif self.active is not None and not self.active.request.complete:
             self.expire_body(self.active)
         elif self.parser.in_head:
-            detail = 'the head of the request is late'
+            detail = 'the request head was not received in time'
             self.refuse(Problem(ResultCode.REQUEST_TIMEOUT, detail))
         else:
             self.linger()
@@ -309,25 +309,25 @@
         if exchange.done:
             self.linger()
             return
-        detail = 'the body of the request is late'
+        detail = 'the request body was not received in time'
         problem = Problem(ResultCode.REQUEST_TIMEOUT, detail)
         self.break_body(exchange, problem)
 
     def reset(self) -> None:
-        """Close with a reset: the answer must not look whole."""
+        """Reset the connection, so that the response isn't taken as whole."""
         self.active = None
         self.drop_ahead()
         super().reset()
 
     def fail(self) -> None:
-        """Reset after an error of the application."""
+        """Reset the connection after an exception in the application."""
         self.lost()
         self.reset()
 
-    # -- reports of the stream --------------------------------------------
+    # -- events of the stream ---------------------------------------------
 
     def drained(self) -> None:
-        """Run when the kernel has taken all output."""
+        """Called when all output has been written to the kernel."""
         self.pending_seen = 0
         if self.lingering:
             self.end_output()
@@ -341,7 +341,7 @@
             exchange.on_drained()
 
     def lost(self) -> None:
-        """Run when the caller has closed or the connection failed."""
+        """Called when the caller closed the connection or it failed."""
         exchange = self.active
         self.active = None
         self.parser.stopped = True
@@ -357,5 +357,5 @@
 
 
 def is_plain(request: IncomingRequest) -> bool:
-    """Tell whether a request may be worked on ahead of its turn."""
+    """Return whether a request may be processed before its turn."""
     return request.complete and request.method in SAFE_METHODS
--- a/cyclamenlift/http/deadline.py
+++ b/cyclamenlift/http/deadline.py
@@ -1,4 +1,4 @@
-"""A deadline that moves with each request, on one timer."""
+"""A movable deadline that reuses one timer."""
 
 from collections.abc import Callable
 
@@ -7,10 +7,10 @@
 
 
 class MovingDeadline:
-    """Runs ``expired`` once the deadline passes; None means no deadline.
+    """Calls ``expired`` once the deadline passes; None means no deadline.
 
     A timer for each request would fill the scheduler's heap. So a later
-    deadline is only noted, and the timer looks at it when it runs.
+    deadline is only stored, and the pending timer re-arms itself for it.
     """
 
     __slots__ = ('deadline', 'expired', 'scheduler', 'timer')
@@ -22,11 +22,11 @@
         self.timer: Timer | None = None
 
     def set_after(self, seconds: float) -> None:
-        """Move the deadline to ``seconds`` from now."""
+        """Set the deadline to ``seconds`` from now."""
         self.set_at(self.scheduler.clock.now() + seconds)
 
     def set_at(self, deadline: float) -> None:
-        """Move the deadline; only an earlier one needs another timer."""
+        """Set the deadline; only an earlier one needs a new timer."""
         self.deadline = deadline
         if self.timer is not None:
             if self.timer.deadline <= deadline:
@@ -35,24 +35,24 @@
         self.timer = self.scheduler.at(deadline, self.look)
 
     def clear(self) -> None:
-        """Have no deadline for now."""
+        """Remove the deadline and keep the timer for reuse."""
         self.deadline = None
 
     def left(self) -> float | None:
-        """Return the seconds that are left, None without a deadline."""
+        """Return the remaining seconds, None without a deadline."""
         if self.deadline is None:
             return None
         return self.deadline - self.scheduler.clock.now()
 
     def cancel(self) -> None:
-        """Drop deadline and timer for good."""
+        """Remove the deadline and cancel the timer."""
         self.deadline = None
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
 
     def look(self) -> None:
-        """Run by the timer: act if the deadline has passed, or wait on."""
+        """Timer callback: expire, or re-arm if the deadline has moved."""
         self.timer = None
         if self.deadline is None:
             return
--- a/cyclamenlift/http/dialects.py
+++ b/cyclamenlift/http/dialects.py
@@ -1,8 +1,8 @@
-"""Dialects of the HTTP border: what callers and targets call things.
+"""Names of the product's non-standard HTTP header fields.
 
-Everything that the product says or reads in header fields beside the
-standard ones goes through a ``Dialect``. Names are in lower case; an empty
-name means that the dialect has no such field.
+Every non-standard header field is read and written through a ``Dialect``.
+Names are in lower case; an empty name means that the dialect has no such
+field.
 """
 
 import dataclasses
@@ -14,17 +14,18 @@
 class Dialect:
     """Names of header fields.
 
-    ``call_id`` names the caller's attempt and goes on to the target, which
-    repeats it if ``call_id_repeated``. ``time_left_ms`` is the caller's
-    time limit and, to the target, what is left of it. ``depth`` counts the
-    calls above this one. ``caller_service`` tells the target which service
-    runs where the call began. ``client_account`` names whom a caller acts
-    for; it only tells requests apart. ``incarnation_asked`` names the
-    incarnation of the target that alone may run the call, ``incarnation``
-    the one that answers. ``proof`` is on every answer that a target made;
-    ``not_run`` says that the target did not run the call; ``load`` holds
-    the target's own load. ``call_id_required`` refuses callers without
-    one. ``fractional_retry`` writes ``Retry-After`` with fractions.
+    ``call_id`` identifies the caller's attempt and is forwarded to the
+    target, which echoes it if ``call_id_repeated``. ``time_left_ms`` is the
+    caller's timeout and, for the target, the remaining time. ``depth`` is
+    the number of nested calls above this one. ``caller_service`` is the
+    service of the instance where the call entered. ``client_account`` is
+    the account that a caller acts for; it only distinguishes requests.
+    ``incarnation_asked`` is the only incarnation of the target that may run
+    the call, ``incarnation`` the one that responds. ``proof`` is present in
+    every response made by a target; ``not_run`` states that the target
+    didn't run the call; ``load`` holds the load that the target reports.
+    ``call_id_required`` rejects requests without a call ID.
+    ``fractional_retry`` writes ``Retry-After`` with fractions.
     """
 
     call_id: str
@@ -43,7 +44,7 @@
 
     @property
     def own_fields(self) -> frozenset[str]:
-        """The fields that entry and gate write; a caller's are dropped."""
+        """Fields set by entry and gate; those of a caller are removed."""
         names = (
             self.call_id,
             self.time_left_ms,
@@ -56,10 +57,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TargetLoad:
-    """What a target tells of its load.
+    """Load that a target reports about itself.
 
-    ``pace_percent`` says how long work takes there now, 100 as usual and 0
-    where it is not told.
+    ``pace_percent`` is the current duration of work relative to the usual
+    one: 100 for the usual duration, 0 if it isn't reported.
     """
 
     running: int
@@ -69,7 +70,7 @@
 
 
 def parse_load(text: str | None) -> TargetLoad | None:
-    """Read running, waiting, slots and, if there, the pace; None if not.
+    """Parse running, waiting, slots and an optional pace; None if invalid.
 
     >>> parse_load('3,0,8,250')
     TargetLoad(running=3, waiting=0, slots=8, pace_percent=250)
--- a/cyclamenlift/http/ending.py
+++ b/cyclamenlift/http/ending.py
@@ -1,4 +1,4 @@
-"""How a connection of a caller ends: after an answer, late, or broken."""
+"""Closing of a caller's connection: lingering close, timeout, reset."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
 
 
 class EndingConnection:
-    """The part of a caller's connection that closes it.
+    """Base of a caller's connection that implements closing.
 
-    ``lingering`` is set once the last answer was written: what still comes
-    in is dropped until the caller closes too or ``linger_seconds`` pass.
+    ``lingering`` is set once the last response was written: further input
+    is discarded until the caller closes too or ``linger_seconds`` pass.
     """
 
     __slots__ = ('deadline', 'lingering', 'pending_seen', 'server', 'stream')
@@ -38,11 +38,11 @@
         self.deadline = MovingDeadline(server.root.scheduler, self.expire)
 
     def expire(self) -> None:
-        """End the connection, since its time is up."""
+        """Handle the expired deadline of the connection."""
         raise NotImplementedError
 
     def refuse(self, problem: Problem) -> None:
-        """Answer a request that has no exchange, then close."""
+        """Send an error response without an exchange, then close."""
         if self.lingering or not self.stream.open:
             return
         body = problem_body(problem)
@@ -56,10 +56,10 @@
         self.linger()
 
     def linger(self) -> None:
-        """Close after everything went out, reading on for a while.
+        """Close after all output was sent, while still reading input.
 
         Closing with unread input would make the kernel send a reset, which
-        can destroy the answer before the caller has read it.
+        can destroy the response before the caller has read it.
         """
         if self.lingering or not self.stream.open:
             return
@@ -72,7 +72,7 @@
             self.end_output()
 
     def end_output(self) -> None:
-        """Tell the caller that nothing more comes."""
+        """Shut down the sending side of the connection."""
         self.deadline.set_after(self.server.limits.linger_seconds)
         try:
             self.stream.sock.shutdown(socket.SHUT_WR)
@@ -80,7 +80,7 @@
             self.stream.close()
 
     def expire_output(self) -> None:
-        """Give a slow reader more time as long as it takes something."""
+        """Extend the deadline of a slow reader while it makes progress."""
         pending = self.stream.pending
         if not pending:
             self.stream.close()
@@ -91,7 +91,7 @@
             self.deadline.set_after(self.server.limits.send_seconds)
 
     def reset(self) -> None:
-        """Close with a reset: the answer must not look whole."""
+        """Reset the connection, so that the response isn't taken as whole."""
         self.deadline.cancel()
         if not self.stream.open:
             return
--- a/cyclamenlift/http/exchange.py
+++ b/cyclamenlift/http/exchange.py
@@ -1,4 +1,4 @@
-"""One request of a caller and the answer to it."""
+"""A request of a caller and its response."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class AnswerState(enum.Enum):
-    """How far the answer to a request is."""
+    """Progress of the response to a request."""
 
     NONE = 'none'
     STREAMING = 'streaming'
@@ -36,20 +36,21 @@
 
 
 class Exchange:
-    """A request of a caller, read and answered through this object.
+    """A request of a caller and the means to respond to it.
 
     ``method``, ``path`` (with the query), ``headers`` (lower-case names, in
     order), ``body_length`` (None: chunked, 0: no body), ``remote`` and
     ``received_at`` (monotonic seconds) describe the request.
 
-    Hooks that the owner of the exchange may set, each called once at most:
-    ``on_gone()`` when the caller left before the answer was whole, and
-    ``on_broken(problem)`` when the body turned out bad after a part of it
-    was handed over; only the owner knows whether something ran, so it
-    answers. Without that hook such a connection is closed unanswered.
-    ``on_drained()`` runs each time the kernel has taken all bytes.
+    The application may set hooks, each called at most once:
+    ``on_gone()`` when the caller disconnects before the response is
+    complete, and ``on_broken(problem)`` when the body turns out invalid
+    after a part of it was delivered. Only the application knows whether the
+    request ran, so that hook must respond; without it the connection is
+    closed without a response. ``on_drained()`` is called each time all
+    output has been written to the kernel.
 
-    An answer to a caller who has left is dropped without an error.
+    A response to a disconnected caller is dropped without an error.
     """
 
     __slots__ = (
@@ -87,7 +88,7 @@
         self.method: str = request.method
         self.path: str = request.path
         self.headers: Headers = request.headers
-        # Reversed, so that of fields with one name the first one stays.
+        # Reversed, so that the first of several equal names wins.
         self.first_fields = dict(reversed(request.headers))
         self.body_length: int | None = request.body_length
         self.remote: Address = connection.stream.remote
@@ -102,7 +103,7 @@
         self.left: int | None = None
         self.chunked = False
         self.without_body = False
-        # What was answered before its turn came; None once it has come.
+        # Output deferred until earlier responses are sent; None if none is.
         self.held: list[Callable[[], None]] | None = [] if early else None
 
     # -- queries ----------------------------------------------------------
@@ -113,26 +114,26 @@
 
     @property
     def dialect(self) -> Dialect:
-        """The dialect of the border that the request came through."""
+        """The dialect of the server that received the request."""
         return self.connection.server.dialect
 
     @property
     def pending(self) -> int:
-        """Bytes of the answer that the kernel has not taken."""
+        """Bytes of the response not yet written to the kernel."""
         return self.connection.stream.pending
 
     @property
     def done(self) -> bool:
-        """Whether the answer is complete or the caller is gone."""
+        """Whether the response is complete or the caller disconnected."""
         return self.state is AnswerState.DONE
 
-    # -- the body of the request ------------------------------------------
+    # -- request body -----------------------------------------------------
 
     def read_body(self, on_body: OnBody) -> None:
-        """Hand over the body as it comes, as ``on_body(data, last)``.
+        """Deliver the body incrementally to ``on_body(data, last)``.
 
-        The first pieces may be handed over before this returns. Asks the
-        caller to go on if it waits for that.
+        The first pieces may be delivered before this returns. Sends ``100
+        Continue`` if the caller waits for it.
         """
         if self.done:
             return
@@ -142,7 +143,7 @@
         self.deliver_body()
 
     def deliver_body(self) -> None:
-        """Hand over what has arrived, unless paused."""
+        """Deliver the received part of the body unless paused."""
         request = self.request
         if self.on_body is None or self.paused or self.done:
             return
@@ -158,29 +159,29 @@
         on_body(data, last)
 
     def pause(self) -> None:
-        """Leave the rest of the body with the caller: back-pressure."""
+        """Stop reading the body (back-pressure)."""
         if not self.paused:
             self.paused = True
             self.connection.pause_body(self)
 
     def resume(self) -> None:
-        """Go on after ``pause``."""
+        """Resume reading the body after ``pause``."""
         if self.paused:
             self.paused = False
             self.deliver_body()
             self.connection.resume_body(self)
 
-    # -- the answer -------------------------------------------------------
+    # -- response ---------------------------------------------------------
 
     def take_turn(self) -> None:
-        """Send what was answered while earlier answers were due."""
+        """Send the output deferred until earlier responses were sent."""
         held = self.held or []
         self.held = None
         for send in held:
             send()
 
     def hold(self, send: Callable[[], None]) -> bool:
-        """Keep a piece of the answer until its turn; False if it is now."""
+        """Defer output until earlier responses are sent; False if they are."""
         if self.held is None:
             return False
         if not self.done:
@@ -188,11 +189,11 @@
         return True
 
     def respond(self, status: int, headers: Headers, body: bytes) -> None:
-        """Send the whole answer in one write.
+        """Send a complete response in one write.
 
-        Framing fields in ``headers`` are replaced by the right ones; to a
-        HEAD request a given ``Content-Length`` is kept. Raises HeaderError,
-        with nothing sent, when a field holds a line break.
+        Framing fields in ``headers`` are replaced by correct ones; for a
+        HEAD request a given ``Content-Length`` is kept. Raises HeaderError
+        and sends nothing when a field contains a line break.
         """
         if self.state is not AnswerState.NONE:
             return
@@ -212,7 +213,7 @@
     def stated_length(
         self, status: int, headers: Headers, body: bytes
     ) -> Headers:
-        """Return the length field of an answer that carries no body."""
+        """Return the ``Content-Length`` of a response without a body."""
         for name, value in headers:
             if name.lower() == 'content-length':
                 return [('Content-Length', value)] if status != 204 else []
@@ -221,7 +222,7 @@
         return []
 
     def respond_problem(self, problem: Problem) -> None:
-        """Answer with the numbered error and its JSON body."""
+        """Respond with a numbered error and its JSON body."""
         self.respond(
             problem_status(problem),
             problem_headers(problem, self.dialect),
@@ -229,10 +230,10 @@
         )
 
     def start(self, status: int, headers: Headers, length: int | None) -> None:
-        """Begin a streamed answer of ``length`` bytes (None: unknown).
+        """Start a streamed response of ``length`` bytes (None: unknown).
 
-        Without a length it is chunked; to a caller of HTTP/1.0 it ends
-        with the connection. Raises HeaderError as ``respond`` does.
+        Without a length it is chunked; for HTTP/1.0 it ends with the
+        connection. Raises HeaderError as ``respond`` does.
         """
         if self.state is not AnswerState.NONE:
             return
@@ -256,9 +257,9 @@
         self.connection.stream.write(data)
 
     def send(self, data: bytes) -> None:
-        """Send a piece of a streamed answer.
+        """Send a piece of a streamed response.
 
-        More bytes than the declared length abort the answer.
+        Exceeding the declared length aborts the response.
         """
         if self.hold(lambda: self.send(data)):
             return
@@ -276,7 +277,7 @@
         self.connection.stream.write(data)
 
     def finish(self) -> None:
-        """End a streamed answer; one that is too short is aborted."""
+        """Finish a streamed response; abort it if it is too short."""
         if self.hold(self.finish):
             return
         if self.state is not AnswerState.STREAMING:
@@ -290,7 +291,7 @@
         self.connection.answered(self)
 
     def abort(self) -> None:
-        """Reset the connection, so that a part can't pass for the whole."""
+        """Reset the connection, so that a partial response isn't accepted."""
         if self.hold(self.abort):
             return
         if self.state is not AnswerState.DONE:
--- a/cyclamenlift/http/headers.py
+++ b/cyclamenlift/http/headers.py
@@ -1,4 +1,4 @@
-"""Header fields: which ones travel, and how they are written."""
+"""Selection and serialization of header fields."""
 
 from collections.abc import Iterable
 
@@ -22,11 +22,11 @@
 
 
 class HeaderError(ValueError):
-    """A header field that would change the framing of the message."""
+    """A header field that would corrupt the framing of the message."""
 
 
 def find_header(headers: Headers, name: str) -> str | None:
-    """Return the value of the first field called ``name``.
+    """Return the value of the first field named ``name``.
 
     >>> find_header([('host', 'a'), ('accept', 'b')], 'accept')
     'b'
@@ -40,11 +40,11 @@
 def end_to_end(
     headers: Headers, dropped: frozenset[str] = HOP_BY_HOP
 ) -> Headers:
-    """Return the fields that go on to the next hop.
+    """Return the fields to forward to the next hop.
 
-    Dropped are the hop-by-hop fields, those that ``Connection`` names, and
-    ``Expect``, since this hop answers it. Names are in lower case. A caller
-    that drops more passes ``dropped``, which must hold ``HOP_BY_HOP``.
+    Removes the hop-by-hop fields, those listed in ``Connection``, and
+    ``Expect``, which this hop handles. Names are in lower case. To remove
+    further fields, pass ``dropped``, which must include ``HOP_BY_HOP``.
 
     >>> end_to_end([('connection', 'x-a'), ('x-a', '1'), ('x-b', '2')])
     [('x-b', '2')]
@@ -57,10 +57,10 @@
 
 
 def render_head(start_line: str, fields: Iterable[tuple[str, str]]) -> bytes:
-    """Return a message head, up to and with its empty line.
+    """Return a message head including its final empty line.
 
-    Raises HeaderError when a name or value holds a line break, a NUL or a
-    character outside of Latin-1: such a value could forge a second message.
+    Raises HeaderError when a name or value contains a line break, a NUL or
+    a character outside Latin-1, which would allow header injection.
 
     >>> render_head('HTTP/1.1 200 OK', [('a', 'b')])
     b'HTTP/1.1 200 OK\\r\\na: b\\r\\n\\r\\n'
@@ -76,7 +76,7 @@
         head = ('\r\n'.join(lines) + '\r\n\r\n').encode('latin-1')
     except UnicodeEncodeError as error:
         raise HeaderError('a header field is not Latin-1') from error
-    # Each line contributes one CR and one LF; any more came from a value.
+    # Each line contributes one CR and one LF; extra ones are from a value.
     ends = len(lines) + 1
     if head.count(b'\r') != ends or head.count(b'\n') != ends:
         raise HeaderError('a line break in a header field')
--- a/cyclamenlift/http/json_requests.py
+++ b/cyclamenlift/http/json_requests.py
@@ -1,4 +1,4 @@
-"""Small requests: read whole, then answered as JSON."""
+"""Helpers for small requests with JSON responses."""
 
 from collections.abc import Callable
 import json
@@ -13,7 +13,7 @@
 def read_whole(
     exchange: Exchange, most: int, done: Callable[[bytes], None]
 ) -> None:
-    """Gather a body of at most ``most`` bytes, then call ``done`` once."""
+    """Read a body of at most ``most`` bytes, then call ``done`` once."""
     parts: list[bytes] = []
 
     def on_body(data: bytes, last: bool) -> None:
@@ -41,13 +41,13 @@
     value: object = None,
     headers: tuple[tuple[str, str], ...] = (),
 ) -> None:
-    """Answer with a status and a JSON value, ``{}`` by default."""
+    """Respond with a status and a JSON value, ``{}`` by default."""
     body = json.dumps({} if value is None else value).encode()
     exchange.respond(status, [JSON_TYPE, *headers], body)
 
 
 def refuse(exchange: Exchange, status: int, problem: Problem) -> None:
-    """Answer with a status of its own and our numbered error."""
+    """Respond with an explicit status and a numbered error."""
     value = {
         'error': problem.line(),
         'code': int(problem.code),
--- a/cyclamenlift/http/lazy_web.py
+++ b/cyclamenlift/http/lazy_web.py
@@ -1,7 +1,7 @@
-"""An address with pages whose code is loaded with the first request.
+"""Web server that imports ``circuits.web`` on the first request.
 
-Pages are for people and collectors of metrics. Many daemons run for hours
-without a request for one, and ``circuits.web`` takes some megabytes.
+Its pages serve operators and metric collectors. Many daemons run for hours
+without such a request, and ``circuits.web`` takes some megabytes of memory.
 """
 
 from collections.abc import Callable
@@ -18,11 +18,11 @@
 
 
 class pages_ready(Event):  # noqa: N801 (circuits names handlers so)
-    """Fired behind the registration of the pages, so it comes after."""
+    """Queued behind the registration events of the controllers."""
 
 
 class LazyWebServer(BaseComponent):
-    """Listens at once; ``make_controllers`` runs with the first request."""
+    """Listens immediately; creates its controllers on the first request."""
 
     def __init__(
         self,
@@ -43,10 +43,10 @@
         self.address = self.http.listen(address)
 
     def take(self, exchange: Exchange) -> None:
-        """Take one request for a page.
+        """Handle one request.
 
-        Controllers are registered by events, so the first requests wait
-        until these have been handled: before that no page has a path.
+        Controllers are registered by events. The first requests are queued
+        until these events have been handled, since no path is routed before.
         """
         if self.bridge is None:
             self.bridge = self.make_bridge()
@@ -73,7 +73,7 @@
         return bridge
 
     def begin_drain(self) -> None:
-        """Take no new connections; requests in flight are answered."""
+        """Accept no new connections; finish the requests in flight."""
         self.http.begin_drain()
 
     @property
--- a/cyclamenlift/http/limits.py
+++ b/cyclamenlift/http/limits.py
@@ -1,4 +1,4 @@
-"""Limits of the HTTP border, for callers and for the target."""
+"""Limits of the HTTP server and client."""
 
 import dataclasses
 
@@ -7,14 +7,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HttpLimits:
-    """What one caller may take up; sizes in bytes, times in seconds.
+    """Limits for callers; sizes in bytes, times in seconds.
 
-    ``max_header_bytes`` counts the request target and all header fields.
+    ``max_header_bytes`` covers the request target and all header fields.
     ``max_connections`` of 0 means no limit. ``linger_seconds`` is how long
-    the input of a closing connection is still read, so that a reset does
-    not destroy the answer on its way. ``max_pipelined`` is how many safe
-    requests of one connection are worked on at once; their answers still
-    go out in the order of the requests.
+    the input of a closing connection is still read, so that a reset doesn't
+    destroy a response in transit. ``max_pipelined`` is how many safe
+    requests of one connection are processed in parallel; their responses
+    are sent in the order of the requests.
     """
 
     max_header_bytes: int = 16 * KIBIBYTE
@@ -32,16 +32,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClientLimits:
-    """How a target is connected to; sizes in bytes, times in seconds.
-
-    ``unsized_answers`` admits answers that end with the connection: a cut
-    one can't be told from a whole one, so they are refused by default.
-    ``call_id_field`` is the header in which the target repeats the name of
-    a call; an answer to another name is dropped. ``idle_seconds`` is how
-    long a connection is used again when the target states no time, and
-    ``idle_margin_seconds`` what is taken off a time that it states, for a
-    request on its way. ``fresh_seconds`` bounds the idle time before a
-    request that may not run twice.
+    """Limits for target connections; sizes in bytes, times in seconds.
+
+    ``unsized_answers`` accepts responses that end with the connection; by
+    default they are rejected, since truncation can't be detected.
+    ``call_id_field`` is the header in which the target echoes the call ID;
+    a response with another ID is skipped. ``idle_seconds`` is how long an
+    idle connection is reused when the target declares no timeout, and
+    ``idle_margin_seconds`` is subtracted from a declared one to allow for a
+    request in transit. ``fresh_seconds`` limits the idle time of a
+    connection used for a request that must not run twice.
     """
 
     max_connections: int = 260
--- a/cyclamenlift/http/pages.py
+++ b/cyclamenlift/http/pages.py
@@ -1,4 +1,4 @@
-"""What controllers get and give: forms, queries and answers."""
+"""Query and form parsing and responses for ``circuits.web`` controllers."""
 
 from collections.abc import Callable
 import dataclasses
@@ -23,7 +23,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WebAnswer:
-    """What a controller answers."""
+    """Response returned by a controller."""
 
     body: bytes
     status: int = 200
@@ -32,35 +32,35 @@
 
 
 class Deferred:
-    """An answer that a controller gives later, once."""
+    """A response that a controller provides later, once."""
 
     def __init__(self):
         self.answer: WebAnswer | None = None
         self.hook: Callable[[WebAnswer], None] | None = None
 
     def resolve(self, answer: WebAnswer) -> None:
-        """Give the answer; a second one is dropped."""
+        """Set the response; a second one is ignored."""
         if self.answer is None:
             self.answer = answer
             if self.hook is not None:
                 self.hook(answer)
 
     def then(self, hook: Callable[[WebAnswer], None]) -> None:
-        """Run ``hook`` with the answer, at once if it is there."""
+        """Call ``hook`` with the response, immediately if it is set."""
         self.hook = hook
         if self.answer is not None:
             hook(self.answer)
 
 
 def query_of(request: 'Request') -> dict[str, str]:
-    """Return the fields of the query; the last one of a name counts."""
+    """Return the query parameters; the last of equal names wins."""
     return dict(parse_qsl(request.query, max_num_fields=MAX_FORM_FIELDS))
 
 
 def form_of(request: 'Request') -> Headers:
-    """Return the fields of an URL-encoded form, in order.
+    """Return the fields of a URL-encoded form, in order.
 
-    Raises ValueError when the body is no such form.
+    Raises ValueError when the body isn't a valid form.
     """
     return parse_qsl(
         request.content.decode('utf-8'),
@@ -70,13 +70,13 @@
 
 
 def json_answer(value, status: int = 200, headers=()) -> WebAnswer:
-    """Return a JSON answer."""
+    """Return a JSON response."""
     body = json.dumps(value, indent=2).encode() + b'\n'
     return WebAnswer(body, status, JSON, tuple(headers))
 
 
 def problem_answer(problem: Problem) -> WebAnswer:
-    """Return the JSON answer that reports a problem."""
+    """Return the JSON response that reports a problem."""
     fields = dict(problem_headers(problem))
     kind = fields.pop('Content-Type')
     return WebAnswer(
@@ -88,6 +88,6 @@
 
 
 def give(exchange: Exchange, answer: WebAnswer) -> None:
-    """Send a controller's answer."""
+    """Send a controller's response."""
     headers = [('Content-Type', answer.content_type), *answer.headers]
     exchange.respond(answer.status, headers, answer.body)
--- a/cyclamenlift/http/request_parser.py
+++ b/cyclamenlift/http/request_parser.py
@@ -1,8 +1,8 @@
-"""Requests from bytes: strict framing by llhttp, plus our own limits.
+"""Parses requests with llhttp, strict framing rules and size limits.
 
-The parser library refuses bad lengths, bare line feeds, folded lines and
-control characters. What it lets through is checked here: versions, the
-``Host`` field, transfer codings, the request target, ``Expect`` and sizes.
+llhttp rejects invalid lengths, bare line feeds, folded lines and control
+characters. This module also validates the version, the ``Host`` field,
+transfer codings, the request target, ``Expect`` and sizes.
 """
 
 from collections import deque
@@ -24,7 +24,7 @@
 
 
 class RequestRefused(Exception):
-    """The head or body at hand breaks a rule."""
+    """The request violates a framing rule or a limit."""
 
     def __init__(self, code: ResultCode, detail: str):
         super().__init__(detail)
@@ -33,10 +33,10 @@
 
 @dataclasses.dataclass(slots=True)
 class IncomingRequest:
-    """One request whose head is in; its body may still be arriving.
+    """A request whose head is parsed; its body may be incomplete.
 
-    ``body_length`` is None for a chunked body. ``chunks`` holds what came
-    and was not yet handed over.
+    ``body_length`` is None for a chunked body. ``chunks`` holds received
+    body data that has not been delivered yet.
     """
 
     method: str
@@ -52,10 +52,10 @@
 
 
 class RequestParser:
-    """Cuts the byte stream of one connection into requests.
+    """Splits the byte stream of one connection into requests.
 
-    ``queue`` holds the requests that are not yet taken, ``problem`` what
-    ended the parsing: nothing after it on this connection can be trusted.
+    ``queue`` holds the requests not yet processed. ``problem`` is the error
+    that ended parsing; later input of the connection is unreliable.
     """
 
     __slots__ = (
@@ -88,7 +88,7 @@
         self.stopped = False
 
     def feed(self, data: bytes) -> None:
-        """Parse input; never raises, see ``queue`` and ``problem``."""
+        """Parse input. Never raises; sets ``queue`` and ``problem``."""
         if self.stopped:
             return
         self.progress = False
@@ -101,7 +101,7 @@
         self.count_quiet(len(data))
 
     def stop_at(self, error: HttpParserError) -> None:
-        """Note why the parser gave up, unless it had nothing to read."""
+        """Record a parser error unless parsing has already stopped."""
         if self.stopped:
             return
         self.stopped = True
@@ -112,9 +112,9 @@
             self.problem = Problem(ResultCode.BAD_FRAMING, str(error))
 
     def count_quiet(self, size: int) -> None:
-        """Bound the bytes that bring neither a head nor body bytes.
+        """Limit input that completes no head and carries no body bytes.
 
-        The library gathers an unfinished line without a limit.
+        llhttp buffers an unfinished line without a limit.
         """
         if self.progress or self.stopped:
             self.quiet_bytes = 0
@@ -127,7 +127,7 @@
                 f'over {self.limits.max_header_bytes} bytes',
             )
 
-    # -- callbacks of the parser library ----------------------------------
+    # -- callbacks of httptools -------------------------------------------
 
     def on_message_begin(self) -> None:
         self.in_head = True
@@ -147,7 +147,7 @@
                 f'over {limits.max_header_bytes} bytes',
             )
         if not self.in_head:
-            # A trailer field of a chunked body: counted, then dropped.
+            # Trailer fields count towards the limit and are dropped.
             return
         field = (
             name.decode('latin-1').lower(),
@@ -183,17 +183,17 @@
         request.complete = True
         self.head_bytes = 0
         if not request.keep_alive:
-            # Whatever follows is no request of this connection.
+            # Ignore anything after the last request of the connection.
             self.stopped = True
 
-    # -- rules of a head --------------------------------------------------
+    # -- validation of the head -------------------------------------------
 
     def build_request(self) -> IncomingRequest:
-        """Check the head as a whole; raise RequestRefused if it is bad."""
+        """Validate the head; raise RequestRefused if it is invalid."""
         version = self.parser.get_http_version()
         minor = VERSIONS.get(version)
         if minor is None:
-            refuse(f'HTTP version {version} is not spoken here')
+            refuse(f'HTTP version {version} is not supported')
         method = self.parser.get_method().decode('ascii')
         fields = self.single_fields()
         host = fields.get('host')
@@ -201,8 +201,8 @@
         length = self.body_length(fields, minor)
         upgrade = self.parser.should_upgrade()
         if upgrade and (method == 'CONNECT' or length != 0):
-            # The library would take the body for another protocol.
-            refuse('no other protocol is spoken here')
+            # llhttp would treat the body as data of another protocol.
+            refuse('protocol upgrades are not supported')
         return IncomingRequest(
             method,
             request_path(self.target.decode('latin-1'), method, host),
@@ -214,7 +214,7 @@
         )
 
     def single_fields(self) -> dict[str, str]:
-        """Return the fields that rules look at; refuse a doubled host."""
+        """Return the fields by name; reject a duplicate ``Host``."""
         fields = {}
         for name, value in self.headers:
             if name == 'host' and name in fields:
@@ -223,31 +223,31 @@
         return fields
 
     def body_length(self, fields: dict[str, str], minor: int) -> int | None:
-        """Return the length of the body, None for a chunked one."""
+        """Return the body length, None for a chunked body."""
         coding = fields.get('transfer-encoding')
         if coding is not None:
             if coding.lower() != 'chunked' or not minor:
-                refuse(f'transfer coding {coding!r} is not spoken here')
+                refuse(f'transfer coding {coding!r} is not supported')
             return None
         length = int(fields.get('content-length', '0'))
         if length > self.limits.max_body_bytes:
             raise RequestRefused(
                 ResultCode.BODY_TOO_LARGE,
-                f'{length} bytes, over {self.limits.max_body_bytes}',
+                f'{length} bytes exceed {self.limits.max_body_bytes}',
             )
         return length
 
 
 def refuse(detail: str) -> None:
-    """Raise the refusal of a wrongly framed request."""
+    """Raise RequestRefused for invalid framing."""
     raise RequestRefused(ResultCode.BAD_FRAMING, detail)
 
 
 def check_host(host: str | None, minor: int) -> None:
-    """Refuse a missing or malformed ``Host``."""
+    """Reject a missing or malformed ``Host``."""
     if host is None:
         if minor:
-            refuse('no Host field')
+            refuse('the Host field is missing')
         return
     if HOST_PATTERN.fullmatch(host) is None:
         refuse('the Host field is malformed')
@@ -256,7 +256,7 @@
 def request_path(target: str, method: str, host: str | None) -> str:
     """Return the path and query of a request target.
 
-    The absolute form is accepted when it names the same host.
+    The absolute form is accepted if its authority equals ``Host``.
 
     >>> request_path('/a?b=c', 'GET', 'h')
     '/a?b=c'
@@ -264,7 +264,7 @@
     '/a'
     """
     if '#' in target:
-        refuse('a fragment in the request target')
+        refuse('the request target contains a fragment')
     if target.startswith('/') or (target == '*' and method == 'OPTIONS'):
         return target
     scheme, mark, rest = target.partition('://')
@@ -277,7 +277,7 @@
 
 
 def expects_continue(fields: dict[str, str], minor: int) -> bool:
-    """Tell whether the caller waits for 100; refuse other expectations."""
+    """Return whether the caller waits for 100; reject other values."""
     expectation = fields.get('expect')
     if expectation is None:
         return False
--- a/cyclamenlift/http/response.py
+++ b/cyclamenlift/http/response.py
@@ -1,4 +1,4 @@
-"""Answers to callers: status lines, heads and the body of an error."""
+"""Response heads and error responses."""
 
 from http import HTTPStatus
 import json
@@ -28,7 +28,7 @@
 
 
 def status_line(status: int) -> str:
-    """Return the first line of an answer.
+    """Return the status line of a response.
 
     >>> status_line(404), status_line(299)
     ('HTTP/1.1 404 Not Found', 'HTTP/1.1 299 Status')
@@ -40,7 +40,7 @@
 
 
 def has_no_body(method: str, status: int) -> bool:
-    """Tell whether the standard forbids a body in this answer.
+    """Return whether HTTP forbids a body in this response.
 
     >>> has_no_body('HEAD', 200), has_no_body('GET', 200)
     (True, False)
@@ -51,7 +51,7 @@
 def answer_head(status: int, headers: Headers, framing: Headers) -> bytes:
     """Return the head; ``framing`` replaces framing fields in ``headers``.
 
-    Raises HeaderError on a value with a line break.
+    Raises HeaderError when a value contains a line break.
     """
     fields = [field for field in headers if field[0].lower() not in FRAMING]
     fields.extend(framing)
@@ -59,7 +59,7 @@
 
 
 def run_word(code: ResultCode) -> str:
-    """Say whether it was run: ``yes``, ``no`` or ``unknown``.
+    """Return whether the request ran: ``yes``, ``no`` or ``unknown``.
 
     >>> run_word(ResultCode.DRAINING), run_word(ResultCode.PEER_LOST)
     ('no', 'unknown')
@@ -72,14 +72,14 @@
 
 
 def retry_after_ms(problem: Problem) -> int:
-    """Return the time to come back, 0 where coming back does not help."""
+    """Return the delay before a retry, 0 where a retry doesn't help."""
     if problem_status(problem) not in RETRY_STATUS:
         return 0
     return problem.retry_after_ms or DEFAULT_RETRY_MS
 
 
 def problem_body(problem: Problem) -> bytes:
-    """Return the JSON body that explains a problem to a caller.
+    """Return the JSON body that describes a problem to a caller.
 
     >>> json.loads(problem_body(Problem(ResultCode.NOT_FOUND)))['run']
     'no'
@@ -98,10 +98,10 @@
 def problem_headers(
     problem: Problem, dialect: Dialect = DEFAULT_DIALECT
 ) -> Headers:
-    """Return the header fields of an answer that reports a problem.
+    """Return the header fields of an error response.
 
-    ``Retry-After`` is in whole seconds, as HTTP wants, unless the dialect
-    has fractions.
+    ``Retry-After`` is in whole seconds, as HTTP requires, unless the
+    dialect uses fractions.
 
     >>> problem_headers(Problem(ResultCode.DRAINING, retry_after_ms=1500))[2:]
     [('Retry-After', '2'), ('Cyclamenlift-Retry-After-Ms', '1500')]
--- a/cyclamenlift/http/server.py
+++ b/cyclamenlift/http/server.py
@@ -1,4 +1,4 @@
-"""The server component at the border towards callers."""
+"""HTTP server component for callers."""
 
 from collections.abc import Callable
 
@@ -20,8 +20,8 @@
 class HttpServer(StreamOwner):
     """Serves HTTP/1.1 with strict framing.
 
-    ``take(exchange)`` runs within the read event that brought the head of
-    a request. Requests of one connection are taken one after the other.
+    ``take(exchange)`` is called synchronously when the head of a request
+    has been read. Requests of one connection are handled in order.
     """
 
     def __init__(
@@ -40,27 +40,28 @@
         self.closing = False
 
     def now(self) -> float:
-        """Return the monotonic time of the loop's clock."""
+        """Return the monotonic time of the scheduler's clock."""
         return self.root.scheduler.clock.now()
 
     @property
     def busy(self) -> int:
-        """Connections with a request in flight or an answer going out."""
+        """Number of connections with a request or response in progress."""
         streams = self.streams.values()
         return sum(1 for stream in streams if stream.context.busy)
 
     def begin_closing(self) -> None:
-        """Let each connection end with its next answer.
+        """Close each connection after its next response.
 
-        New ones are still taken, since callers learn of a stop late.
+        New connections are still accepted, since callers learn of a
+        shutdown late.
         """
         self.closing = True
 
     def begin_drain(self) -> None:
-        """Take no new connections and end the idle ones.
+        """Accept no new connections and close the idle ones.
 
-        Busy connections end with their answer. Idle ones end after a grace
-        time, so that a request which is already under way is answered.
+        Busy connections close after their response. Idle ones close after a
+        grace period, so that a request already in transit is answered.
         """
         if self.draining:
             return
@@ -73,7 +74,7 @@
         self.root.scheduler.after(grace, self.end_idle)
 
     def end_idle(self) -> None:
-        """Close every connection that has nothing in flight."""
+        """Close every connection without a request in flight."""
         for stream in list(self.streams.values()):
             if not stream.context.busy:
                 stream.context.linger()
@@ -84,7 +85,7 @@
         stream.context = CallerConnection(self, stream)
         most = self.limits.max_connections
         if most and len(self.streams) > most:
-            detail = f'{most} connections are open'
+            detail = f'the limit of {most} connections is reached'
             problem = Problem(ResultCode.OVERLOADED, detail)
             stream.context.refuse(problem)
 
@@ -92,7 +93,7 @@
         try:
             stream.context.feed(data)
         except Exception:
-            # The outcome is not known, so nothing is claimed about it.
+            # The outcome is unknown, so no response is sent.
             LOG.exception('request_failed', remote=str(stream.remote))
             stream.context.fail()
 
--- a/cyclamenlift/http/target.py
+++ b/cyclamenlift/http/target.py
@@ -1,4 +1,4 @@
-"""What a caller of the target client hands over and gets back."""
+"""Request, failure and listener types of the target client."""
 
 import dataclasses
 import enum
@@ -16,10 +16,10 @@
 class TargetRequest:
     """A request to the target; ``body_length`` None means chunked.
 
-    ``call_id`` is the name that the answer must repeat, if not empty.
-    ``repeatable`` False asks for a connection that was used a moment ago
-    or a new one: on an old one the target may just have hung up, and then
-    nobody knows whether it ran.
+    ``call_id`` is the ID that the response must echo, if not empty.
+    ``repeatable`` False requires a new or recently used connection: the
+    target may just be closing one that was idle for longer, which would
+    leave it unknown whether the request ran.
     """
 
     method: str
@@ -30,13 +30,13 @@
     repeatable: bool = True
 
     def head(self) -> bytes:
-        """Return the head; raise HeaderError if it could forge another.
+        """Return the head; raise HeaderError on request injection.
 
         >>> TargetRequest('GET', '/', [('host', 'a')]).head()
         b'GET / HTTP/1.1\\r\\nhost: a\\r\\n\\r\\n'
         """
         if not self.method.isalpha() or ' ' in self.path or not self.path:
-            raise HeaderError('the request line is malformed')
+            raise HeaderError('malformed request line')
         fields = [field for field in self.headers if field[0] not in DROPPED]
         if self.body_length is None:
             fields.append(('transfer-encoding', 'chunked'))
@@ -46,11 +46,11 @@
 
 
 class FailureKind(enum.Enum):
-    """What became of the connection of a request without an answer.
+    """Why a request got no response.
 
-    ``REFUSED``: nobody listens at the address. ``CLOSED``: the connection
-    was there and was closed or reset. ``OTHER``: it was too slow to come, or
-    what came on it was no answer.
+    ``REFUSED``: the address refuses connections. ``CLOSED``: an established
+    connection was closed or reset. ``OTHER``: connecting timed out or the
+    response was invalid.
     """
 
     REFUSED = 'refused'
@@ -60,7 +60,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TargetFailure:
-    """Why there is no whole answer.
+    """Why a request got no complete response.
 
     ``sent`` False proves that no byte of the request reached the target.
     """
@@ -71,25 +71,25 @@
 
 
 class TargetListener(Protocol):
-    """Receives one answer of the target.
+    """Receives one response of the target.
 
-    Either ``on_end`` or ``on_failure`` comes last, exactly once, unless
-    the call is cancelled: then nothing comes any more.
+    Either ``on_end`` or ``on_failure`` is called last, exactly once. No
+    callback follows the cancellation of the call.
     """
 
     def on_head(
         self, status: int, headers: Headers, length: int | None
     ) -> None:
-        """Take status and header fields; ``length`` None: not known."""
+        """Receive status and header fields; ``length`` None: unknown."""
 
     def on_body(self, data: bytes) -> None:
-        """Take a piece of the body."""
+        """Receive a piece of the body."""
 
     def on_end(self) -> None:
-        """Take note that the answer was whole."""
+        """Called when the response is complete."""
 
     def on_drained(self) -> None:
-        """Take note that the kernel has taken all of the request so far."""
+        """Called when the pending request data was written to the kernel."""
 
     def on_failure(self, failure: TargetFailure) -> None:
-        """Take note that no whole answer comes."""
+        """Called when there is no complete response."""
--- a/cyclamenlift/http/target_call.py
+++ b/cyclamenlift/http/target_call.py
@@ -1,4 +1,4 @@
-"""One request to the target, from its head to the end of its answer."""
+"""A request to the target in progress."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class TargetCall:
-    """One request to the target under way.
+    """A request to the target in progress.
 
     ``sent`` is True once any byte of the request may have reached the
-    target. Until then the request is provably not run.
+    target. Until then the request has provably not run.
     """
 
     __slots__ = (
@@ -58,7 +58,7 @@
 
     @property
     def pending(self) -> int:
-        """Bytes of the request that the kernel has not taken."""
+        """Bytes of the request not yet written to the kernel."""
         waiting = sum(len(data) for data in self.unsent)
         return waiting + (self.stream.pending if self.stream else 0)
 
@@ -66,7 +66,7 @@
         """Send a piece of the body.
 
         Raises ValueError when the pieces don't add up to the declared
-        length; the caller then cancels.
+        length; the caller must then cancel.
         """
         if self.done or self.request_whole:
             return
@@ -82,14 +82,14 @@
             return
         left = self.body_left - size
         if left < 0 or (last and left):
-            raise ValueError('the body does not have its declared length')
+            raise ValueError('the body differs from its declared length')
         self.body_left = left
 
     def end(self) -> TargetListener:
-        """Mark the call as over; return the listener for its last word.
+        """Mark the call as done; return the listener for its last callback.
 
-        The listener usually holds this call: letting go of it breaks that
-        ring, so that both are freed without the cyclic collector.
+        The listener usually refers to this call. Dropping it here breaks the
+        reference cycle, so that both are freed without the garbage collector.
         """
         self.done = True
         listener = self.listener
@@ -97,29 +97,29 @@
         return listener
 
     def cancel(self) -> None:
-        """Give up: the connection is closed, no callback follows."""
+        """Cancel: close the connection; no callback follows."""
         if not self.done:
             self.end()
             self.client.drop(self)
 
     def pause(self) -> None:
-        """Leave the rest of the answer with the target: back-pressure.
+        """Stop reading the response (back-pressure).
 
-        Bytes that were read already may still be handed over.
+        Bytes that were already read may still be delivered.
         """
         self.paused = True
         if self.stream is not None:
             self.stream.pause_reading()
 
     def resume(self) -> None:
-        """Go on after ``pause``."""
+        """Resume reading the response after ``pause``."""
         self.paused = False
         if self.stream is not None and self.stream.connected:
             self.stream.resume_reading()
 
 
 def chunk_of(data: bytes, last: bool) -> bytes:
-    """Return a piece of a chunked body.
+    """Return data encoded as a chunk, with the last chunk if ``last``.
 
     >>> chunk_of(b'abc', True)
     b'3\\r\\nabc\\r\\n0\\r\\n\\r\\n'
--- a/cyclamenlift/http/web.py
+++ b/cyclamenlift/http/web.py
@@ -1,10 +1,10 @@
-"""Pages of the daemons: ``circuits.web`` controllers behind our border.
+"""Runs ``circuits.web`` controllers behind the strict HTTP server.
 
-The strict server frames the requests; requests, responses, dispatch and
-controllers are those of ``circuits.web``. Its own parser is left out, and
-so is its reading of forms into keyword arguments: a form field named like
-an argument of a handler would break the handler. Controllers read their
-input with ``query_of`` and ``form_of``.
+``HttpServer`` parses the requests; request objects, responses, dispatch and
+controllers are those of ``circuits.web``. Its parser isn't used, nor is its
+mapping of form fields to keyword arguments: a form field named like an
+argument of a handler would break the handler. Controllers read their input
+with ``query_of`` and ``form_of``.
 """
 
 from collections.abc import Iterable
@@ -45,7 +45,7 @@
 
 
 class BorderAddress(NamedTuple):
-    """What ``circuits.web`` wants to know about its server."""
+    """Server attributes that ``circuits.web`` reads."""
 
     host: str
     port: int
@@ -54,10 +54,10 @@
 
 
 class WebBridge(HTTP):
-    """Turns exchanges into ``circuits.web`` requests and back.
+    """Converts between exchanges and ``circuits.web`` requests.
 
-    It stands where ``circuits.web`` has its HTTP protocol component and
-    keeps that component's handling of what controllers return.
+    Replaces the HTTP protocol component of ``circuits.web`` and inherits
+    its handling of the values that controllers return.
     """
 
     def __init__(self, address: Address, channel: str):
@@ -67,7 +67,7 @@
     # -- requests ---------------------------------------------------------
 
     def take(self, exchange: Exchange) -> None:
-        """Gather the body of a request within the limit, then open it."""
+        """Read the body within the limit, then dispatch the request."""
         parts: list[bytes] = []
 
         def on_body(data: bytes, last: bool) -> None:
@@ -77,7 +77,7 @@
             elif last:
                 self.open_request(exchange, b''.join(parts))
 
-        # Nothing runs before the whole body is in.
+        # Nothing runs before the whole body has been read.
         exchange.on_broken = exchange.respond_problem
         if (exchange.body_length or 0) > MAX_PAGE_BODY:
             refuse_size(exchange)
@@ -85,7 +85,7 @@
             exchange.read_body(on_body)
 
     def open_request(self, exchange: Exchange, body: bytes) -> None:
-        """Fire the request event, if a page is there for the path."""
+        """Fire the request event if a controller serves the path."""
         try:
             request = self.build_request(exchange, body)
         except ValueError as error:
@@ -93,7 +93,7 @@
             exchange.respond_problem(Problem(ResultCode.BAD_REQUEST, detail))
             return
         if not is_same_origin(exchange):
-            detail = 'Origin: a page of another place sent this'
+            detail = 'Origin: cross-origin request'
             exchange.respond_problem(Problem(ResultCode.BAD_REQUEST, detail))
             return
         if not self.has_page(request):
@@ -123,17 +123,17 @@
         return request
 
     def has_page(self, request: Request) -> bool:
-        """Tell whether an exposed method answers the path.
+        """Return whether an exposed method serves the path.
 
-        Controllers have other handlers too, of circuits itself.
+        Controllers also have internal handlers of circuits.
         """
         handlers = find_handlers(request, self.dispatcher.paths)[0]
         return bool(handlers) and all(hasattr(h, 'args') for h in handlers)
 
-    # -- answers ----------------------------------------------------------
+    # -- responses --------------------------------------------------------
 
-    # circuits hands the current event to a parameter called ``event`` and
-    # keeps the handlers of a base class unless they are overridden so.
+    # circuits passes the current event to a parameter named ``event`` and
+    # keeps the handlers of a base class without ``override=True``.
 
     @handler('request_success', override=True)
     def _on_request_success(self, opened, value) -> None:
@@ -173,27 +173,27 @@
                 kind = ResultCode.PAGE_FAILED
         request.exchange.respond_problem(Problem(kind))
 
-    # -- parts of the protocol component that the border replaces ----------
+    # -- disabled handlers of the protocol component ------------------------
 
     @handler('ready', override=True)
     def _on_ready(self, *args) -> None:
-        """Nothing to note: the address was given."""
+        """Ignore: the address was passed to the constructor."""
 
     @handler('read', override=True)
     def _on_read(self, *args) -> None:
-        """Nothing to read: the strict server parses."""
+        """Ignore: ``HttpServer`` parses the input."""
 
     @handler('stream', override=True)
     def _on_stream(self, *args) -> None:
-        """Nothing to stream: answers are whole."""
+        """Ignore: responses are sent as a whole."""
 
     @handler('disconnect', override=True)
     def _on_disconnect(self, *args) -> None:
-        """Nothing to forget: an exchange knows its end."""
+        """Ignore: the exchange handles disconnects."""
 
 
 class WebServer(BaseComponent):
-    """An address with pages: the border, the bridge and controllers."""
+    """Combines an HTTP server, the bridge and the controllers."""
 
     def __init__(
         self,
@@ -217,7 +217,7 @@
         self.bridge.take(exchange)
 
     def begin_drain(self) -> None:
-        """Take no new connections; requests in flight are answered."""
+        """Accept no new connections; finish the requests in flight."""
         self.http.begin_drain()
 
     @property
@@ -227,10 +227,10 @@
 
 
 def is_same_origin(exchange: Exchange) -> bool:
-    """Tell whether a changing request comes from a page of our own.
+    """Return whether an unsafe request isn't cross-origin.
 
-    A browser states where a page came from; tools state nothing. So a page
-    elsewhere can't publish through the browser of an operator.
+    Browsers send ``Origin``, command-line tools don't. The check protects
+    operators against cross-site request forgery.
     """
     origin = exchange.header('origin')
     if origin is None or exchange.method in SAFE_METHODS:
--- a/cyclamenlift/wire/__init__.py
+++ b/cyclamenlift/wire/__init__.py
@@ -1,4 +1,4 @@
-"""Messages, framing and connections between the system's processes."""
+"""Messages, framing and connections between processes of the system."""
 
 from cyclamenlift.wire.codec import accelerator_present
 from cyclamenlift.wire.codec import decode_packet
--- a/cyclamenlift/wire/codec.py
+++ b/cyclamenlift/wire/codec.py
@@ -1,13 +1,12 @@
-"""Frames to bytes and back.
+"""Encoding and decoding of frames and thrift structs.
 
 A frame is four bytes of big-endian length and one thrift ``Frame`` union in
-the compact protocol. A call that asks a gate and is sent back takes 236
-bytes so, 449 in the binary protocol, at the same processor time (4.3 us to
-write, 6.4 us to read): links between data centres are priced by the byte,
-and on slow ones such questions filled the way in a burst. What is kept on
-disks is in the binary protocol. The C accelerator does both directions;
-without it a call would cost several times as much, so its absence is an
-error at start.
+the compact protocol. A call that a gate refuses takes 236 bytes that way,
+against 449 in the binary protocol, at the same processor time (4.3 us to
+encode, 6.4 us to decode). Links between data centres are billed by the byte,
+and bursts of such calls saturated slow ones. Data on disk uses the binary
+protocol. The C accelerator handles both protocols; without it a call would
+cost several times as much, so its absence is an error at start-up.
 """
 
 import struct
@@ -22,7 +21,7 @@
 
 try:
     from thrift.protocol import fastbinary
-except ImportError:  # pragma: no cover - the check reports it
+except ImportError:  # pragma: no cover - reported by the check
     fastbinary = None
 
 LENGTH = struct.Struct('!I')
@@ -30,52 +29,52 @@
 FIELDS = [spec for spec in ttypes.Frame.thrift_spec if spec is not None]
 FIELD_OF = {spec[3][0]: spec[2] for spec in FIELDS}
 STOP = bytes([TType.STOP])
-# The first byte of a union's field whose number takes a byte of its own.
+# First byte of a struct field whose ID doesn't fit the short form.
 LONG_HEAD = 0x0C
 
 
 class FrameError(Exception):
-    """The bytes of a peer are no frame; its connection must be closed."""
+    """Invalid data from a peer; its connection must be closed."""
 
 
 def accelerator_present() -> bool:
-    """Tell whether thrift's C module is there."""
+    """Return whether the C accelerator of thrift is available."""
     return fastbinary is not None
 
 
 def encode_struct(message) -> bytes:
-    """Return a thrift struct in the binary protocol, without a length.
+    """Encode a thrift struct in the binary protocol, without a length.
 
-    This calls the accelerator as the generated ``write`` does, without the
-    protocol object that ``write`` needs around it.
+    Calls the accelerator like the generated ``write``, but without the
+    protocol object that ``write`` requires.
     """
     kind = type(message)
     return fastbinary.encode_binary(message, [kind, kind.thrift_spec])
 
 
 def encode_compact(message) -> bytes:
-    """Return a thrift struct in the compact protocol, without a length."""
+    """Encode a thrift struct in the compact protocol, without a length."""
     kind = type(message)
     return fastbinary.encode_compact(message, [kind, kind.thrift_spec])
 
 
 def decode_struct(kind, data: bytes):
-    """Return a struct of ``kind``; raise FrameError on bad bytes."""
+    """Decode a struct of ``kind``; raise FrameError on invalid data."""
     return read_struct(kind, data, new_protocol())
 
 
 def new_protocol() -> TBinaryProtocolAccelerated:
-    """Return a protocol object for structs that are kept on disks."""
+    """Return a protocol object for structs stored on disk."""
     return TBinaryProtocolAccelerated(TMemoryBuffer(b''))
 
 
 def new_frame_protocol() -> TCompactProtocolAccelerated:
-    """Return a protocol object; a reader of many frames keeps one."""
+    """Return a protocol object, reusable for many frames."""
     return TCompactProtocolAccelerated(TMemoryBuffer(b''))
 
 
 def read_struct(kind, data: bytes, protocol):
-    """Read a struct of ``kind`` with a protocol object that is kept."""
+    """Decode a struct of ``kind`` with a reusable protocol object."""
     message = kind()
     protocol.trans = TMemoryBuffer(data)
     try:
@@ -86,14 +85,14 @@
 
 
 def encode_packet(packet) -> bytes:
-    """Return a UDP packet in the compact protocol."""
+    """Encode a UDP packet in the compact protocol."""
     transport = TMemoryBuffer()
     packet.write(TCompactProtocolAccelerated(transport))
     return transport.getvalue()
 
 
 def decode_packet(kind, data: bytes):
-    """Return a struct from a UDP packet; raise FrameError on bad bytes."""
+    """Decode a UDP packet; raise FrameError on invalid data."""
     packet = kind()
     try:
         packet.read(TCompactProtocolAccelerated(TMemoryBuffer(data)))
@@ -103,10 +102,10 @@
 
 
 def head_of(kind) -> bytes:
-    """Return what stands before a message of ``kind`` in its union.
+    """Return the bytes before a message of ``kind`` in its union.
 
-    A union of one struct field is the field's type and number, the struct,
-    and a stop byte.
+    An encoded union with a struct field consists of the field's type and ID,
+    the struct, and a stop byte.
     """
     message = kind()
     union = encode_compact(ttypes.Frame(**{FIELD_OF[kind]: message}))
@@ -118,25 +117,25 @@
 
 
 def encode_frame(message) -> bytes:
-    """Wrap one message in its frame, with the length in front.
+    """Encode a message as a frame with its length prefix.
 
-    These are the bytes of ``Frame(<field>=message)``. To make, write and
-    read an object with a field for each kind of message costs more than the
-    message itself.
+    The result equals the encoding of ``Frame(<field>=message)``. Creating,
+    writing and reading a ``Frame`` object, which has a field for each kind
+    of message, would cost more than the message itself.
     """
     data = HEAD_OF[type(message)] + encode_compact(message) + STOP
     return LENGTH.pack(len(data)) + data
 
 
 def read_frame(data: bytes, protocol: TCompactProtocolAccelerated):
-    """Return (field name, message) of the one message in a frame.
+    """Decode a frame to (field name, message).
 
-    Raises FrameError when there is none or anything follows it.
+    Raises FrameError unless it contains exactly one known message.
     """
     size = 2 if data[:1] == bytes([LONG_HEAD]) else 1
     kind = KIND_OF.get(data[:size])
     if kind is None:
-        raise FrameError('no known message in a frame')
+        raise FrameError('unknown message type in a frame')
     message = read_struct(kind, data[size:], protocol)
     rest = protocol.trans.cstringio_buf.read()
     if rest != STOP:
@@ -145,7 +144,7 @@
 
 
 class FrameReader:
-    """Cuts a stream of bytes into messages."""
+    """Splits a byte stream into messages."""
 
     __slots__ = ('buffer', 'limit', 'protocol')
 
@@ -155,10 +154,10 @@
         self.protocol = new_frame_protocol()
 
     def feed(self, data: bytes) -> list:
-        """Return the (field name, message) pairs that are now whole.
+        """Return the (field name, message) pairs that are complete.
 
-        Raises FrameError when a length is over the limit or a frame is
-        malformed: nothing after it can be trusted.
+        Raises FrameError when a length exceeds the limit or a frame is
+        malformed; later input of the connection is unreliable.
         """
         buffer = self.buffer + data if self.buffer else data
         offset = 0
@@ -166,7 +165,7 @@
         while len(buffer) - offset >= LENGTH.size:
             (size,) = LENGTH.unpack_from(buffer, offset)
             if size > self.limit:
-                raise FrameError(f'a frame of {size} bytes is over the limit')
+                raise FrameError(f'a frame of {size} bytes exceeds the limit')
             end = offset + LENGTH.size + size
             if len(buffer) < end:
                 break
--- a/cyclamenlift/wire/cyclamenlift.thrift
+++ b/cyclamenlift/wire/cyclamenlift.thrift
@@ -1,9 +1,9 @@
-// Messages between the system's own processes.
+// Messages between the processes of the system.
 //
-// Every TCP message is one Frame with exactly one field set, sent with the
-// binary protocol behind a four byte big-endian length. Every UDP packet is
-// one GossipPacket in the compact protocol. Durations on the wire are the
-// time left: the receiver turns them into a deadline on its own clock.
+// Every TCP message is one Frame with exactly one field set, encoded in the
+// compact protocol after a four-byte big-endian length. Every UDP packet is
+// one GossipPacket in the compact protocol. Durations on the wire are
+// remaining times: the receiver converts them to deadlines on its own clock.
 
 namespace py protocol
 
@@ -26,7 +26,7 @@
   CONTROL = 1
 }
 
-// First frame in both directions on each peer connection.
+// The first frame in each direction of a peer connection.
 struct Hello {
   1: string instance,
   2: string data_centre,
@@ -39,7 +39,7 @@
   2: string value
 }
 
-// Load of one target as its own gate counts it.
+// Load of one target, measured by its gate.
 struct LoadFigures {
   1: i32 in_flight,
   2: i32 queued,
@@ -47,19 +47,19 @@
   4: i32 latency_us,
   5: i32 error_permille,
   6: TargetState state,
-  // How long work takes there now, in percent of the usual; 0: not told.
+  // Current duration of work in percent of the usual; 0: not reported.
   7: i32 pace_percent,
-  // How much longer than the quickest ones the messages of the receiver of
-  // these figures were lately on their way to the gate.
+  // Recent transit time of messages from the receiver of these figures to
+  // the gate, beyond that of the fastest ones.
   8: i32 lag_ms,
-  // How long the link of the gate's instance takes for the bodies that are
-  // still to come; 0: nothing, or the rate of the link is not known.
+  // Time that the link of the gate's instance needs for the outstanding
+  // bodies; 0: none outstanding, or the rate of the link is unknown.
   9: i32 body_wait_ms,
-  // How much longer a slow spell there should last; 0: none, or not known.
+  // Expected remainder of a slow period; 0: none, or unknown.
   10: i32 spell_left_ms
 }
 
-// Entry to gate. A body that fits is carried whole (body_complete).
+// Entry to gate. Includes a body that fits entirely (body_complete).
 struct CallStart {
   1: i64 call_id,
   2: string service_name,
@@ -76,25 +76,25 @@
   13: i64 config_version,
   // 0 is the most urgent.
   14: i32 rank,
-  // Time left until the answer is late by the route's objective.
+  // Remaining time of the route's latency objective.
   15: i64 objective_left_us,
-  // Made by a target while it runs another call.
+  // The call was made by a target while it runs another call.
   16: bool nested,
   17: string route_name,
-  // A try beyond the first of its call.
+  // Not the first attempt of its call.
   18: bool repeated,
-  // The slowest pace at which the gate shall take it; 0: any.
+  // The gate refuses the call at a slower pace than this; 0: any pace.
   19: i32 most_pace_percent,
-  // When it was sent, on the sender's clock since its machine started;
-  // only differences between calls of one connection mean anything.
+  // Time of sending on the sender's clock since its machine booted. Only
+  // differences between calls of one connection are meaningful.
   20: i64 sent_at_us,
-  // Its caller was refused before and has come back.
+  // The caller was refused before and retries.
   21: bool returned,
-  // Stands for the request, the same in each attempt.
+  // Identifies the request; the same in each attempt.
   22: binary fingerprint
 }
 
-// A gate tells entries that used it lately of a change of its load.
+// Sent by a gate to its recent entries when its load changes.
 struct LoadNews {
   1: LoadFigures load
 }
@@ -105,7 +105,7 @@
   3: bool last
 }
 
-// The receiver of body chunks allows that many further bytes.
+// Flow control: the receiver of body chunks allows that many more bytes.
 struct Credit {
   1: i64 call_id,
   2: i32 bytes_allowed
@@ -120,11 +120,11 @@
   6: bool body_complete,
   7: LoadFigures load,
   8: i32 service_time_us,
-  // The pace at which the target began it; 0: not told.
+  // Pace of the target when the call started; 0: not reported.
   9: i32 begun_pace_percent
 }
 
-// The gate proves that the target never saw the call.
+// Proves that the target never received the call.
 struct Refused {
   1: i64 call_id,
   2: i32 code,
@@ -133,13 +133,14 @@
   5: LoadFigures load
 }
 
-// The call may have run: the target or the connection to it broke off.
+// The call may have run: the target or the connection to it failed.
 struct Broken {
   1: i64 call_id,
   2: i32 code,
   3: string detail,
   4: LoadFigures load,
-  // The end of the target, with the first message of each connection on it.
+  // Report on the end of the target, in the first message about it on
+  // each connection.
   5: EndReport end
 }
 
@@ -147,7 +148,7 @@
   1: i64 call_id
 }
 
-// Answer to Cancel. not_run is true only when the target never saw it.
+// Answer to Cancel. not_run: the target never received the call.
 struct Cancelled {
   1: i64 call_id,
   2: bool not_run,
@@ -166,8 +167,8 @@
 
 // --- configuration -------------------------------------------------------
 
-// takes_changes: the sender can be given what changed since known_version.
-// without_document: it only asks which version there is.
+// takes_changes: the sender accepts the changes since known_version.
+// without_document: the sender only asks for the current version.
 struct DocumentRequest {
   1: i64 request_id,
   2: i64 known_version,
@@ -175,28 +176,29 @@
   4: bool without_document
 }
 
-// What makes the lines of one version those of a later one; base_version 0
-// holds all lines. The format is that of events/changes.py.
+// Line-based difference between a version and a later one; with
+// base_version 0 it contains all lines. events/changes.py defines the format.
 struct DocumentChange {
   1: i64 base_version,
   2: i64 version,
   3: binary packed
 }
 
-// version 0 means that the sender has no document. committed says that a
-// majority read confirmed it; confirmed_by counts control instances. The
-// document comes packed, from senders of an earlier release in field 3.
+// version 0: the sender has no document. committed: confirmed by a majority
+// read; confirmed_by counts control instances. The document is compressed;
+// senders of an earlier release send it uncompressed in field 3.
 struct DocumentAnswer {
   1: i64 request_id,
   2: i64 version,
   3: binary document,
   4: bool committed,
   5: binary packed_document,
-  // Where the leader can be asked, as a follower knows it; else empty.
+  // Address of the leader if a follower knows it, else empty.
   6: string leader_address,
-  // One after the other, for a sender that takes changes.
+  // Consecutive changes, for a sender with takes_changes.
   7: list<DocumentChange> changes,
-  // The document is left out, since others are being given it: ask elsewhere.
+  // The document is omitted, since it is being sent to others: ask another
+  // instance.
   8: bool busy
 }
 
@@ -330,21 +332,21 @@
 
 // --- requests that end targets --------------------------------------------
 
-// A target ended while it ran these requests; if lifted, what was known
-// against them until then counts no more. Never sent as a frame of its own:
-// instances of an earlier release would hang up.
+// A target ended while it ran these requests; if lifted, all earlier reports
+// on them are void. Never sent as a separate frame: instances of an earlier
+// release would close the connection.
 struct EndReport {
   1: string report_id,
   2: string service_name,
   3: list<binary> fingerprints,
-  // How long ago it was.
+  // Time since the end of the target.
   4: i64 age_ms,
   5: bool lifted,
-  // How long each of them had run when the target ended.
+  // Running time of each request when the target ended.
   6: list<i32> ran_ms
 }
 
-// Asks for all reports but those whose short digests are named.
+// Asks for all reports except those with the listed short digests.
 struct EndsRequest {
   1: list<i64> known
 }
@@ -355,8 +357,8 @@
 
 // --- orders of operators ----------------------------------------------------
 
-// An order on its way to the leader. What its kind means and how its body is
-// read is the leader's matter. The change id is made of all that follows it.
+// An operator's order for the leader, which interprets kind and body. The
+// change id is a digest of all fields that follow it.
 struct OrderRequest {
   1: i64 request_id,
   2: string kind,
@@ -364,12 +366,12 @@
   4: i64 base_version,
   5: i64 chosen_version,
   6: binary body,
-  // Asks a daemon to carry it for an instance that reaches no leader.
+  // Asks a daemon to forward it for an instance that reaches no leader.
   7: bool relayed
 }
 
-// What became of it. With the code of an instance that does not lead, the
-// address says who does, as far as known.
+// Result of an order. If the instance isn't the leader, leader_address names
+// the leader if known.
 struct OrderAnswer {
   1: i64 request_id,
   2: i32 code,
@@ -379,7 +381,7 @@
   6: string leader_address
 }
 
-// One message of a TCP connection: exactly one field is set.
+// A message of a TCP connection; exactly one field is set.
 union Frame {
   1: Hello hello,
   2: CallStart call_start,
@@ -448,7 +450,7 @@
   9: i64 config_version,
   10: i64 members_digest,
   11: string sender_address,
-  // Reports that are new, and a digest of all that the sender has.
+  // New reports, and a digest of all reports of the sender.
   12: list<EndReport> ends,
   13: i64 ends_digest
 }
@@ -460,9 +462,9 @@
   2: i64 base_version,
   3: binary document,
   4: string operator_name,
-  // The number that the operator chose for the version; 0: the next one.
+  // Version number chosen by the operator; 0: the next one.
   5: i64 chosen_version,
-  // The document packed; what has this has no field 3.
+  // The compressed document; if set, field 3 is unset.
   6: binary packed_document
 }
 
--- a/cyclamenlift/wire/tasks.py
+++ b/cyclamenlift/wire/tasks.py
@@ -1,8 +1,8 @@
-"""Connections between the system's own processes.
+"""Connections between the processes of the system.
 
-One ``PeerNetwork`` in a process owns its listener and one multiplexed
-connection to each peer it talks to. Receivers subscribe to message types;
-a message reaches its receiver within the read event that brought it.
+The ``PeerNetwork`` of a process owns its listener and one multiplexed
+connection to each peer. Receivers subscribe to message types and are called
+synchronously when a message has been read.
 """
 
 from collections.abc import Callable
@@ -22,25 +22,25 @@
 
 WIRE_VERSION = 3
 HELLO_SECONDS = 3.0
-# How long a connection may take to be established, in seconds: the first
-# one to an address many times the path there and back (25 ms between
-# regions), since a machine that has just lost power answers nothing and its
-# peers ask it again when it is back; each further one twice as long, since
-# on a slow link an answer may wait behind bodies for half a second.
+# Connect timeouts in seconds. The first one to an address is many times the
+# round trip (25 ms between regions): a machine that has just lost power
+# answers nothing, and its peers should soon retry once it is back. Each
+# further one is doubled, since on a slow link a reply may queue behind bodies
+# for half a second.
 FIRST_CONNECT_SECONDS = 0.2
 MOST_CONNECT_SECONDS = 1.0
-# Addresses whose waits are remembered: more than there are instances.
+# Addresses with a stored timeout: more than there are instances.
 MOST_REMEMBERED = 2048
 MAX_PENDING = 64 * 1024 * 1024
 LOG = structlog.get_logger('wire')
 
 
 class Link:
-    """One connection to a peer process.
+    """A connection to a peer process.
 
-    ``send`` never blocks. Messages that the kernel has not taken, since the
-    connection is not up yet or its way is full, are kept; ``post`` gives
-    the means to take one of them back.
+    ``send`` never blocks. Messages are queued while the connection isn't
+    established yet or the kernel's buffer is full; ``post`` returns the
+    frame with which a queued message can be withdrawn.
     """
 
     __slots__ = (
@@ -63,16 +63,16 @@
         self.hello: Hello | None = None
         self.was_up = False
         self.closed = False
-        # Bytes that came over it, to tell a slow answer from none.
+        # Received bytes, to distinguish a slow response from none.
         self.received = 0
         self.number = next(network.numbers)
 
     def send(self, message) -> bool:
-        """Send one thrift message; False when the link is gone or full."""
+        """Send a thrift message; False when the link is closed or full."""
         return bool(self.post(message))
 
     def post(self, message) -> bytes:
-        """Send one thrift message; return its frame, b'' like ``send``."""
+        """Send a thrift message; return its frame, b'' if not sent."""
         if self.closed or self.stream.pending > MAX_PENDING:
             return b''
         frame = encode_frame(message)
@@ -80,21 +80,21 @@
         return b'' if self.closed else frame
 
     def holds(self, frame: bytes) -> bool:
-        """Tell whether nothing of a posted frame has left this process."""
+        """Return whether a posted frame is still entirely unsent."""
         return not self.closed and self.stream.holds(frame)
 
     def withdraw(self, frame: bytes) -> bool:
-        """Take a posted frame back; False when some of it may have left."""
+        """Unqueue a posted frame; False if part of it may have been sent."""
         return not self.closed and self.stream.withdraw(frame)
 
     @property
     def pending(self) -> int:
-        """Bytes not yet taken by the kernel, for back-pressure."""
+        """Bytes not yet written to the kernel, for back-pressure."""
         return self.stream.pending
 
     @property
     def outgoing(self) -> bool:
-        """Tell whether this process opened the connection."""
+        """Whether this process opened the connection."""
         return self.address is not None
 
     def close(self) -> None:
@@ -102,12 +102,12 @@
 
 
 class PeerNetwork(StreamOwner):
-    """Owns the peer port of this process and the links to other peers."""
+    """Owns the peer port of this process and the links to its peers."""
 
     channel = 'peers'
-    # A link may go silent without an end, and calls would wait on it until
-    # their deadlines, which are a second or more away: 2 s without a sign
-    # of life is long enough for lost packets to be sent again.
+    # A link may fail without being closed, and calls would wait on it until
+    # their deadlines, which are a second or more away. 2 s without an
+    # acknowledgement leave enough time to retransmit lost packets.
     silence_seconds = 2
 
     def __init__(self, poller, instance: str, data_centre: str, cluster: str):
@@ -117,7 +117,7 @@
         self.cluster = cluster
         self.numbers = itertools.count(1)
         self.outgoing: dict[Address, Link] = {}
-        # Seconds that the next connection may take, where some failed.
+        # Next connect timeout in seconds, by address with failed attempts.
         self.connect_waits: dict[Address, float] = {}
         self.receivers: dict[str, Callable[[Link, object], None]] = {}
         self.lost_hooks: list[Callable[[Link], None]] = []
@@ -128,15 +128,15 @@
     def subscribe(
         self, kind: type, receiver: Callable[[Link, object], None]
     ) -> None:
-        """Send every message of thrift class ``kind`` to ``receiver``."""
+        """Pass every message of thrift class ``kind`` to ``receiver``."""
         self.receivers[FIELD_OF[kind]] = receiver
 
     def subscribe_lost(self, hook: Callable[[Link], None]) -> None:
-        """Run ``hook`` for every link that is lost."""
+        """Call ``hook`` for every lost link."""
         self.lost_hooks.append(hook)
 
     def link_to(self, address: Address) -> Link:
-        """Return the link to ``address``, opened when there is none."""
+        """Return the link to ``address``; open it if there is none."""
         link = self.outgoing.get(address)
         if link is not None and not link.closed:
             return link
@@ -150,36 +150,36 @@
         return link
 
     def is_linked(self, address: Address) -> bool:
-        """Tell whether a link to ``address`` is open."""
+        """Return whether a link to ``address`` is open or connecting."""
         link = self.outgoing.get(address)
         return link is not None and not link.closed
 
     def is_up(self, address: Address) -> bool:
-        """Tell whether a link to ``address`` is open and was answered."""
+        """Return whether a link to ``address`` is established."""
         link = self.outgoing.get(address)
         return link is not None and link.was_up and not link.closed
 
     def received_from(self, address: Address) -> int:
-        """Return the bytes that came over the link to ``address``."""
+        """Return the number of bytes received on the link to ``address``."""
         link = self.outgoing.get(address)
         return link.received if link is not None else 0
 
     def give_up_connecting(self, address: Address) -> None:
-        """Drop a link to ``address`` that has not come up yet.
+        """Close a link to ``address`` that isn't established yet.
 
-        For a peer that is known to be there now: the packets that opened
-        the connection may have come before it was.
+        Used for a peer that is now known to be running: the connection
+        request may have been sent before it was.
         """
         link = self.outgoing.get(address)
         if link is not None and not link.was_up:
             self.drop(link, None)
 
     def send(self, address: Address, message) -> bool:
-        """Send one message to the peer at ``address``."""
+        """Send a message to the peer at ``address``."""
         return self.link_to(address).send(message)
 
     def drop(self, link: Link, error: Exception | None) -> None:
-        """Close a link and tell all who watch, once."""
+        """Close a link and notify the subscribers, once."""
         if link.closed:
             return
         link.closed = True
@@ -236,13 +236,13 @@
         try:
             receiver(link, message)
         except Exception:
-            # A frame that decodes may still carry values that its receiver
-            # can not take; that must cost this connection only.
+            # A valid frame may contain values that its receiver can't
+            # process; only this connection must be affected.
             LOG.exception('receiver_failed', field=field)
             self.refuse(link, ResultCode.FRAME_UNEXPECTED, field)
 
     def greet(self, link: Link, message) -> None:
-        """Take the first frame, which must be a fitting hello."""
+        """Process the first frame, which must be a matching hello."""
         fits = (
             isinstance(message, Hello)
             and message.cluster == self.cluster
@@ -254,7 +254,7 @@
         link.hello = message
 
     def refuse(self, link: Link, code: ResultCode, detail: str) -> None:
-        """Close the connection of a stranger or a broken peer, only it."""
+        """Close the connection of a foreign or faulty peer."""
         self.refused_frames += 1
         LOG.warning(
             'frame_refused',
@@ -266,7 +266,7 @@
         self.drop(link, None)
 
     def check_connected(self, link: Link) -> None:
-        """Give up on a peer that does not even accept: nothing was sent."""
+        """Close a link that wasn't established in time; nothing was sent."""
         if link.was_up or link.closed:
             return
         address = link.address
@@ -275,11 +275,11 @@
         if len(self.connect_waits) >= MOST_REMEMBERED:
             self.connect_waits.clear()
         self.connect_waits[address] = min(MOST_CONNECT_SECONDS, 2 * wait)
-        self.drop(link, TimeoutError('not connected in time'))
+        self.drop(link, TimeoutError('connect timed out'))
 
     def check_hello(self, link: Link) -> None:
         if link.hello is None and not link.closed:
-            self.refuse(link, ResultCode.STRANGER, 'no hello in time')
+            self.refuse(link, ResultCode.STRANGER, 'no hello received in time')
 
     def make_hello(self) -> Hello:
         return Hello(
--- a/tests/core/test_latency.py
+++ b/tests/core/test_latency.py
@@ -1,4 +1,4 @@
-"""The cheap histogram agrees with the one that it fills."""
+"""The latency histogram gives the same counts as an HDR histogram."""
 
 from hdrh.histogram import HdrHistogram
 from hypothesis import given
--- a/tests/core/test_log_sink.py
+++ b/tests/core/test_log_sink.py
@@ -1,4 +1,4 @@
-"""Logs are bounded and never wait for their reader."""
+"""Logging is rate-limited and never blocks on its reader."""
 
 import os
 import time
--- a/tests/core/test_metrics.py
+++ b/tests/core/test_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics: what is counted, how it is shown, and its documentation."""
+"""Recording, rendering and documentation of metrics."""
 
 import pathlib
 
--- a/tests/core/test_tasks.py
+++ b/tests/core/test_tasks.py
@@ -1,10 +1,10 @@
-"""Timers run in order, once, and never after being cancelled."""
+"""Timers run in order, once, and never after cancellation."""
 
 from cyclamenlift.core.tasks import Scheduler
 
 
 class FakeClock:
-    """A clock that a test sets."""
+    """A clock that the test sets."""
 
     def __init__(self):
         self.instant = 0.0
--- a/tests/http/builders.py
+++ b/tests/http/builders.py
@@ -1,4 +1,4 @@
-"""A loop that tests step by hand, callers with raw sockets, and servers."""
+"""A manually stepped loop, raw-socket callers, and servers for tests."""
 
 import dataclasses
 import re
@@ -31,25 +31,27 @@
 
 
 class Loop:
-    """The event loop, run in the test's own thread."""
+    """The event loop, run in the thread of the test."""
 
     def __init__(self, root=None):
         self.root = root or build_root()
-        # circuits asks its poller only while it counts as running.
+        # circuits polls only while the root is marked as running.
         self.root._running = True
 
     def step(self) -> None:
         self.root.tick(timeout=ROUND_SECONDS)
 
     def until(self, condition) -> None:
-        """Run until ``condition()`` holds, or fail after a long time."""
+        """Run until ``condition()`` holds; fail after a generous timeout."""
         end = time.monotonic() + GENEROUS_SECONDS
         while not condition():
-            assert time.monotonic() < end, 'the condition never held'
+            assert time.monotonic() < end, (
+                'timed out waiting for the condition'
+            )
             self.step()
 
     def settle(self, *callers: 'Caller') -> None:
-        """Run until nothing moves any more."""
+        """Run until no event or input is pending."""
         rounds = 0
         while rounds < QUIET_ROUNDS:
             busy = len(self.root) > 1
@@ -59,7 +61,7 @@
 
 
 class Caller:
-    """A raw connection, to a server of ours or from a client of ours."""
+    """A raw socket connected to the server or accepted from the client."""
 
     def __init__(self, loop: Loop, sock: socket.socket):
         self.loop = loop
@@ -74,11 +76,11 @@
         return cls(loop, socket.create_connection(tuple(address)))
 
     def send(self, *pieces: bytes) -> 'Caller':
-        """Send pieces, each in a packet of its own."""
+        """Send each piece in a separate packet."""
         end = time.monotonic() + GENEROUS_SECONDS
         for piece in pieces:
             while piece and not self.closed:
-                assert time.monotonic() < end, 'nobody takes the bytes'
+                assert time.monotonic() < end, 'timed out sending'
                 try:
                     sent = self.sock.send(piece)
                     piece = piece[sent:]
@@ -91,7 +93,7 @@
         return self
 
     def read(self) -> bool:
-        """Take what has arrived; return whether anything did."""
+        """Read available input; return whether there was any."""
         if self.closed:
             return False
         try:
@@ -109,7 +111,7 @@
         self.loop.until(lambda: self.read() and False or condition(self))
 
     def leave(self, reset: bool = False) -> None:
-        """Close, with a reset if asked for."""
+        """Close the connection, optionally with a reset."""
         if reset:
             option = struct.pack('ii', 1, 0)
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, option)
@@ -119,7 +121,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Answer:
-    """One answer as a caller sees it."""
+    """One response as received by a caller."""
 
     status: int
     head: bytes
@@ -127,7 +129,7 @@
 
 
 def answers_in(data: bytes) -> list[Answer]:
-    """Cut received bytes into answers with a stated length."""
+    """Split received bytes into responses by ``Content-Length``."""
     answers = []
     while match := HEAD.match(data):
         length = LENGTH.search(match[2])
@@ -140,7 +142,7 @@
 
 
 def echo(exchange: Exchange) -> None:
-    """Answer GET with the path and anything else with its body."""
+    """Respond to GET with the path, to other methods with the body."""
     if exchange.method == 'GET':
         text = f'path:{exchange.path}'
         exchange.respond(200, [('x-app', '1')], text.encode())
@@ -152,14 +154,14 @@
         if last:
             exchange.respond(200, [], b'body:' + b''.join(parts))
 
-    # Nothing runs before the body is whole.
+    # Nothing runs before the whole body has been read.
     exchange.on_broken = exchange.respond_problem
     exchange.read_body(on_body)
 
 
 @dataclasses.dataclass
 class Border:
-    """A loop with our server in it."""
+    """An ``HttpServer`` on a loop of its own."""
 
     loop: Loop
     server: HttpServer
@@ -170,14 +172,14 @@
         return Caller.connect(self.loop, self.address)
 
     def ask(self, *pieces: bytes) -> Caller:
-        """Send pieces on a new connection and run until all is quiet."""
+        """Send pieces on a new connection and run the loop until idle."""
         caller = self.caller().send(*pieces)
         self.loop.settle(caller)
         return caller
 
 
 def build_border(take=echo, limits: HttpLimits = LIMITS) -> Border:
-    """Return a server of ours; it notes the exchanges that it takes."""
+    """Return an ``HttpServer`` that records its exchanges."""
     loop = Loop()
     exchanges = []
 
@@ -191,7 +193,7 @@
 
 
 class StockPages(Controller):
-    """Answers like ``echo``, on the stock server."""
+    """Responds like ``echo`` on the circuits.web server."""
 
     def index(self, *parts) -> str:
         if self.request.method == 'GET':
@@ -203,7 +205,7 @@
 
 
 def ask_stock(*pieces: bytes) -> Caller:
-    """Send pieces to a stock circuits.web server of its own."""
+    """Send pieces to a new unmodified circuits.web server."""
     server = Server(('127.0.0.1', 0), channel='web')
     EPoll().register(server)
     StockPages().register(server)
@@ -221,7 +223,7 @@
     body: bytes = b'',
     host: str | None = 'a',
 ) -> bytes:
-    """Return the bytes of one request."""
+    """Return an encoded request."""
     lines = [first_line]
     if host is not None:
         lines.append(f'Host: {host}')
@@ -230,7 +232,7 @@
 
 
 class FakeTarget:
-    """A listener whose connections do what the test says."""
+    """A listening socket whose connections the test controls."""
 
     def __init__(self, loop: Loop, backlog: int = 16):
         self.loop = loop
@@ -240,7 +242,7 @@
         self.connections: list[Caller] = []
 
     def accept(self) -> None:
-        """Take new connections and read from all."""
+        """Accept a new connection and read from all connections."""
         try:
             sock, _ = self.sock.accept()
         except BlockingIOError:
@@ -263,7 +265,7 @@
         return [c for c in self.connections if not c.closed]
 
     def asked(self, count: int = 1) -> Caller:
-        """Wait for that many requests; return the newest connection of one."""
+        """Wait for ``count`` requests; return the newest connection used."""
 
         def requests() -> int:
             return sum(c.received.count(b'\r\n\r\n') for c in self.connections)
@@ -273,7 +275,7 @@
 
 
 class Listener:
-    """Notes what the target client reports."""
+    """Records the callbacks of the target client."""
 
     def __init__(self):
         self.heads = []
--- a/tests/http/test_border.py
+++ b/tests/http/test_border.py
@@ -1,4 +1,4 @@
-"""The strict border against inputs that the stock server gets wrong."""
+"""The strict server handles input that circuits.web mishandles."""
 
 import dataclasses
 import enum
@@ -21,19 +21,19 @@
 
 
 class Stock(enum.Enum):
-    """What the stock server does with the same bytes."""
+    """How the unmodified circuits.web server handles the same bytes."""
 
-    MIXED = 'a request is swallowed or answered with bytes of another'
-    ACCEPTED = 'it is answered with 200 and must not be'
-    TRACEBACK = 'it is answered with a traceback page'
-    SILENT = 'it is never answered, the connection stays'
-    UNNUMBERED = 'it is refused, without a code and with a page of HTML'
-    SAME = 'it is answered rightly'
+    MIXED = 'a request is lost or answered with data of another'
+    ACCEPTED = 'wrongly answered with 200'
+    TRACEBACK = 'answered with a traceback page'
+    SILENT = 'never answered, the connection stays open'
+    UNNUMBERED = 'rejected with an HTML page and without a result code'
+    SAME = 'answered correctly'
 
 
 @dataclasses.dataclass(frozen=True)
 class Case:
-    """Bytes in packets, and the answers that must come."""
+    """Packets to send and the expected responses."""
 
     name: str
     stock: Stock
--- a/tests/http/test_client.py
+++ b/tests/http/test_client.py
@@ -1,4 +1,4 @@
-"""The client towards the target, against a target that misbehaves."""
+"""The target client against a misbehaving target."""
 
 import dataclasses
 import socket
@@ -29,7 +29,7 @@
 
 @dataclasses.dataclass
 class Side:
-    """A client, the target that it talks to, and the loop of both."""
+    """A client, its target, and the loop they share."""
 
     loop: Loop
     target: FakeTarget
@@ -54,7 +54,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Whole:
-    """Packets of a whole answer, and what must be made of them."""
+    """Packets of a complete response and the expected result."""
 
     pieces: list[bytes]
     body: bytes = b'abc'
@@ -186,7 +186,7 @@
 
 def test_connect_that_times_out_proves_that_nothing_was_sent():
     side = build_side(backlog=0)
-    # The kernel answers no further handshake once the backlog is full.
+    # The kernel completes no further handshake once the backlog is full.
     fill = [socket.socket() for _ in range(4)]
     for sock in fill:
         sock.setblocking(False)
--- a/tests/http/test_lazy_web.py
+++ b/tests/http/test_lazy_web.py
@@ -1,4 +1,4 @@
-"""Pages whose code comes with the first request."""
+"""Web pages whose code is imported on the first request."""
 
 from circuits.web.controllers import Controller
 from circuits.web.controllers import expose
@@ -12,7 +12,7 @@
 
 
 class Pages(Controller):
-    """One page."""
+    """A controller with one page."""
 
     channel = '/'
 
@@ -23,7 +23,7 @@
 
 @pytest.mark.parametrize('requests', [1, 3])
 def test_the_very_first_requests_find_their_page(requests):
-    """Regression: the first got 404, as no page had a path yet."""
+    """Regression: the first got 404, since no page was routed yet."""
     made = []
 
     def make() -> list:
--- a/tests/http/test_pipelining.py
+++ b/tests/http/test_pipelining.py
@@ -1,7 +1,7 @@
-"""Safe requests of one connection are worked on at once.
+"""Pipelined safe requests of one connection are processed in parallel.
 
-The load: callers that send several look-ups before the first is answered.
-Taken one after the other, each waited for all before it.
+Guards against callers that send several look-ups before the first response:
+processed in sequence, each request would wait for all earlier ones.
 """
 
 import dataclasses
@@ -18,7 +18,7 @@
 
 
 class Bed:
-    """A server whose requests a test answers when it likes."""
+    """A server whose requests the test answers explicitly."""
 
     def __init__(self, most: int = 4):
         self.loop = Loop()
--- a/tests/http/test_server.py
+++ b/tests/http/test_server.py
@@ -1,4 +1,4 @@
-"""What an exchange promises its owner, and a caller its connection."""
+"""Guarantees of an exchange to the application and to the caller."""
 
 import dataclasses
 
@@ -30,7 +30,7 @@
 
 
 def keep(exchange: Exchange) -> None:
-    """Answer later: the test holds the exchange."""
+    """Don't respond; the test does so through ``border.exchanges``."""
 
 
 def build_held(limits=LIMITS) -> Border:
@@ -139,8 +139,8 @@
 
 
 def test_steady_drip_of_head_bytes_does_not_extend_the_deadline():
-    # A quick loop sends 4,000 bytes before the deadline, so the limit of a
-    # head must be out of reach: only the deadline may end it.
+    # A fast loop sends 4,000 bytes before the deadline, so the size limit of
+    # the head must be out of reach: only the deadline may end the request.
     limits = dataclasses.replace(SOON, max_header_bytes=1024**2)
     border = build_border(limits=limits)
     caller = border.caller().send(b'GET / HTTP/1.1\r\nX: ')
@@ -359,7 +359,7 @@
     late = border.caller()
     border.loop.settle(busy, idle, late)
     assert border.server.busy == 1
-    # The loop has not accepted this one yet.
+    # The loop hasn't accepted this connection yet.
     fresh = border.caller()
     border.server.begin_drain()
     with pytest.raises(ConnectionRefusedError):
--- a/tests/http/test_splits.py
+++ b/tests/http/test_splits.py
@@ -1,4 +1,4 @@
-"""However a byte stream is cut into packets, it means the same."""
+"""Parsing doesn't depend on how a byte stream is split into packets."""
 
 from hypothesis import given
 from hypothesis import settings
@@ -86,7 +86,7 @@
         b'path:/a?b=c',
         b'body:abcd',
         b'body:abcGET ',
-        # The answer to HEAD states a length and has no body.
+        # The response to HEAD declares a length but has no body.
         b'HTTP/1.1 ',
     ] or bodies[:3] == [b'path:/a?b=c', b'body:abcd', b'body:abcGET ']
     assert caller.received.endswith(b'path:/last')
--- a/tests/http/test_target_answers.py
+++ b/tests/http/test_target_answers.py
@@ -1,4 +1,4 @@
-"""Answers of a target that belong to another call, and old connections."""
+"""Responses of the target to another call, and keep-alive timeouts."""
 
 import pytest
 
--- a/tests/http/test_web.py
+++ b/tests/http/test_web.py
@@ -1,4 +1,4 @@
-"""Pages by circuits.web controllers behind the strict border."""
+"""circuits.web controllers behind the strict HTTP server."""
 
 import json
 
@@ -25,7 +25,7 @@
 
 
 class Pages(BaseController):
-    """One page of each kind."""
+    """A controller with one page of each kind."""
 
     channel = '/'
 
@@ -69,7 +69,7 @@
 
 
 class Site:
-    """A loop with pages in it."""
+    """A web server with the test pages on a loop."""
 
     def __init__(self):
         self.loop = Loop()
@@ -94,7 +94,7 @@
         ('GET /problem', [], b'', 503, '2005'),
         ('GET /nowhere', [], b'', 404, '4009'),
         ('GET /query/more', [], b'', 404, '4009'),
-        # Handlers of a controller that are no pages.
+        # Handlers of a controller that aren't exposed as pages.
         ('GET /inside', [], b'', 404, '4009'),
         ('GET /prepare_unregister_complete', [], b'', 404, '4009'),
         ('GET /', ['Host: x'], b'', 400, '4007'),
--- a/tests/wire/test_codec.py
+++ b/tests/wire/test_codec.py
@@ -1,4 +1,4 @@
-"""Frames to bytes and back, and bytes that are no frames."""
+"""Encoding and decoding of frames, and invalid frames."""
 
 from hypothesis import given
 from hypothesis import settings
--- a/tests/wire/test_tasks.py
+++ b/tests/wire/test_tasks.py
@@ -1,4 +1,4 @@
-"""Links between processes: strangers, broken peers, lost connections."""
+"""Peer links: foreign or faulty peers and lost connections."""
 
 import socket
 import struct
@@ -20,7 +20,7 @@
 
 
 class Bed:
-    """Two networks on one loop; ``taken`` holds what the second received."""
+    """Two networks on one loop; ``taken`` holds the IDs the second got."""
 
     def __init__(self):
         self.loop = build_root()
@@ -37,7 +37,7 @@
 
     def take(self, _link, message) -> None:
         if message.call_id == 13:
-            raise ValueError('a value that the receiver can not take')
+            raise ValueError('a value that the receiver rejects')
         self.taken.append(message.call_id)
 
     def run_until(self, condition) -> None:
@@ -45,7 +45,7 @@
             if condition():
                 return
             self.loop.tick(0.01)
-        raise AssertionError('the condition never held')
+        raise AssertionError('timed out waiting for the condition')
 
     def stranger(self, data: bytes) -> socket.socket:
         sock = socket.create_connection(tuple(self.address))
@@ -166,9 +166,9 @@
 
 
 def unanswered(bed) -> tuple[socket.socket, list[socket.socket]]:
-    """Return a listener whose queue is full, so that nobody gets through.
+    """Return a listener with a full backlog and the sockets that fill it.
 
-    A machine that has lost power looks the same to those who connect.
+    To a connecting peer it looks like a machine that has lost power.
     """
     listener = socket.create_server(tuple(LOCAL), backlog=0)
     address = listener.getsockname()
