--- a/cyclamenlift/core/codes.py
+++ b/cyclamenlift/core/codes.py
@@ -97,8 +97,8 @@
 
 
 _RETRY = 'Safe to retry after the time in Retry-After.'
-_ASK = 'Query the outcome with the same Idempotency-Key.'
-_MEND = 'Correct the request.'
+_QUERY = 'Query the outcome with the same Idempotency-Key.'
+_CORRECT = 'Correct the request.'
 
 _INFO = {
     ResultCode.ANSWERED: (200, 'answered by a target', 'Nothing to do.'),
@@ -167,18 +167,18 @@
     ResultCode.TARGET_BROKE_OFF: (
         502,
         'the target closed the connection early',
-        _ASK,
+        _QUERY,
     ),
-    ResultCode.PEER_LOST: (502, 'the connection to the gate was lost', _ASK),
+    ResultCode.PEER_LOST: (502, 'the connection to the gate was lost', _QUERY),
     ResultCode.DEADLINE_UNKNOWN: (
         504,
         'the deadline passed while it ran',
-        _ASK,
+        _QUERY,
     ),
     ResultCode.CLAIM_IN_PROGRESS: (
         504,
         'an attempt with this key is in progress',
-        _ASK,
+        _QUERY,
     ),
     ResultCode.CLAIM_UNKNOWN: (
         504,
@@ -188,20 +188,20 @@
     ResultCode.BAD_TARGET_ANSWER: (
         502,
         'the response of the target was invalid or incomplete',
-        _ASK,
+        _QUERY,
     ),
     ResultCode.RECORD_TOO_LARGE: (
         504,
         'it ran, but its response was too large to record',
         'The operation ran once: check its effect.',
     ),
-    ResultCode.TARGET_ENDED: (502, 'the target ended while it ran', _ASK),
+    ResultCode.TARGET_ENDED: (502, 'the target ended while it ran', _QUERY),
     ResultCode.PAGE_FAILED: (
         500,
         'the page failed',
         'Check the logs and the current state before a retry.',
     ),
-    ResultCode.BAD_REQUEST: (400, 'the request is invalid', _MEND),
+    ResultCode.BAD_REQUEST: (400, 'the request is invalid', _CORRECT),
     ResultCode.UNKNOWN_SERVICE: (
         404,
         'no service of this name in the event',
@@ -222,21 +222,25 @@
         'the key was used for another request',
         'Use a fresh key for a new operation.',
     ),
-    ResultCode.BODY_TOO_LARGE: (413, 'the body exceeds the limit', _MEND),
-    ResultCode.HEADERS_TOO_LARGE: (431, 'the headers exceed the limit', _MEND),
-    ResultCode.BAD_FRAMING: (400, 'invalid request framing', _MEND),
+    ResultCode.BODY_TOO_LARGE: (413, 'the body exceeds the limit', _CORRECT),
+    ResultCode.HEADERS_TOO_LARGE: (
+        431,
+        'the headers exceed the limit',
+        _CORRECT,
+    ),
+    ResultCode.BAD_FRAMING: (400, 'invalid request framing', _CORRECT),
     ResultCode.REQUEST_TIMEOUT: (
         408,
         'the request was not received in time',
         'Send it again on a new connection.',
     ),
     ResultCode.NOT_FOUND: (404, 'no such page', 'Check the path.'),
-    ResultCode.METHOD_NOT_ALLOWED: (405, 'method not allowed', _MEND),
-    ResultCode.EXPECTATION_FAILED: (417, 'unknown expectation', _MEND),
+    ResultCode.METHOD_NOT_ALLOWED: (405, 'method not allowed', _CORRECT),
+    ResultCode.EXPECTATION_FAILED: (417, 'unknown expectation', _CORRECT),
     ResultCode.BAD_TIMEOUT: (
         400,
         'Cyclamenlift-Timeout-Ms is not a positive number',
-        _MEND,
+        _CORRECT,
     ),
     ResultCode.TOO_DEEP: (
         508,
--- a/cyclamenlift/core/exporting.py
+++ b/cyclamenlift/core/exporting.py
@@ -91,7 +91,7 @@
             HISTOGRAM_NAME, 'time of finished calls', labels=['service']
         )
         for service, latency in self.durations().items():
-            counts = latency.counts_up_to(BUCKETS)
+            counts = latency.cumulative_counts(BUCKETS)
             total = latency.read().get_total_count()
             buckets = [
                 (str(bound), count)
--- a/cyclamenlift/core/latency.py
+++ b/cyclamenlift/core/latency.py
@@ -9,7 +9,7 @@
 
 SIGNIFICANT_DIGITS = 2
 # An HDR histogram of two digits keeps the eight most significant bits.
-KEPT_BITS = 8
+PRECISION_BITS = 8
 
 
 class LatencyHistogram:
@@ -27,37 +27,37 @@
     10047
     """
 
-    __slots__ = ('fresh', 'histogram', 'longest')
+    __slots__ = ('unmerged', 'histogram', 'max_value')
 
-    def __init__(self, longest_seconds: float):
-        self.longest = int(longest_seconds * MICROSECONDS)
+    def __init__(self, max_seconds: float):
+        self.max_value = int(max_seconds * MICROSECONDS)
         self.histogram: HdrHistogram | None = None
-        self.fresh: dict[int, int] = {}
+        self.unmerged: dict[int, int] = {}
 
     def note(self, seconds: float) -> None:
         """Record one latency; negative values count as zero."""
         value = int(seconds * MICROSECONDS) + 1 if seconds > 0.0 else 1
-        surplus = value.bit_length() - KEPT_BITS
+        surplus = value.bit_length() - PRECISION_BITS
         if surplus > 0:
             value = value >> surplus << surplus
-        self.fresh[value] = self.fresh.get(value, 0) + 1
+        self.unmerged[value] = self.unmerged.get(value, 0) + 1
 
     def read(self) -> 'HdrHistogram':
         """Return the histogram of all recorded values."""
         if self.histogram is None:
-            self.histogram = self.make()
-        for value, count in self.fresh.items():
+            self.histogram = self.create_histogram()
+        for value, count in self.unmerged.items():
             self.histogram.record_value(value, count)
-        self.fresh.clear()
+        self.unmerged.clear()
         return self.histogram
 
-    def counts_up_to(self, bounds: tuple[float, ...]) -> list[int]:
+    def cumulative_counts(self, bounds: tuple[float, ...]) -> list[int]:
         """Return the cumulative counts up to each bound in seconds.
 
         >>> latency = LatencyHistogram(60.0)
         >>> latency.note(0.010)
         >>> latency.note(0.200)
-        >>> latency.counts_up_to((0.1, 1.0))
+        >>> latency.cumulative_counts((0.1, 1.0))
         [1, 2]
         """
         counts = [0] * len(bounds)
@@ -68,8 +68,8 @@
                     counts[position] += item.count_added_in_this_iter_step
         return counts
 
-    def make(self) -> 'HdrHistogram':
+    def create_histogram(self) -> 'HdrHistogram':
         """Import the library on first use: few processes need it."""
         from hdrh.histogram import HdrHistogram
 
-        return HdrHistogram(1, self.longest, SIGNIFICANT_DIGITS)
+        return HdrHistogram(1, self.max_value, SIGNIFICANT_DIGITS)
--- a/cyclamenlift/core/log_budget.py
+++ b/cyclamenlift/core/log_budget.py
@@ -11,46 +11,46 @@
 # Sustained rate and burst size of one event. They keep a process under full
 # load below a few hundred lines a second.
 LINES_PER_SECOND = 40.0
-LINES_AT_ONCE = 120.0
+BURST_LINES = 120.0
 
 
-class EventBudget:
+class TokenBucket:
     """Token bucket of one event."""
 
-    __slots__ = ('filled_at', 'left_out', 'tokens')
+    __slots__ = ('dropped', 'filled_at', 'tokens')
 
     def __init__(self, now: float):
-        self.tokens = LINES_AT_ONCE
+        self.tokens = BURST_LINES
         self.filled_at = now
-        self.left_out = 0
+        self.dropped = 0
 
-    def take(self, now: float) -> bool:
-        gained = (now - self.filled_at) * LINES_PER_SECOND
-        self.tokens = min(LINES_AT_ONCE, self.tokens + gained)
+    def try_take(self, now: float) -> bool:
+        refill = (now - self.filled_at) * LINES_PER_SECOND
+        self.tokens = min(BURST_LINES, self.tokens + refill)
         self.filled_at = now
         if self.tokens < 1.0:
-            self.left_out += 1
+            self.dropped += 1
             return False
         self.tokens -= 1.0
         return True
 
 
-class LineBudget:
+class LogRateLimiter:
     """Structlog processor that drops lines over the rate limit."""
 
     def __init__(self, clock=time.monotonic):
         self.clock = clock
-        self.events: dict[str, EventBudget] = {}
+        self.buckets: dict[str, TokenBucket] = {}
 
     def __call__(self, _logger, _method, fields: dict) -> dict:
         name = str(fields.get('event', ''))
         now = self.clock()
-        budget = self.events.get(name)
-        if budget is None:
-            budget = self.events[name] = EventBudget(now)
-        if not budget.take(now):
+        bucket = self.buckets.get(name)
+        if bucket is None:
+            bucket = self.buckets[name] = TokenBucket(now)
+        if not bucket.try_take(now):
             raise structlog.DropEvent
-        if budget.left_out:
-            fields['left_out'] = budget.left_out
-            budget.left_out = 0
+        if bucket.dropped:
+            fields['left_out'] = bucket.dropped
+            bucket.dropped = 0
         return fields
--- a/cyclamenlift/core/log_sink.py
+++ b/cyclamenlift/core/log_sink.py
@@ -14,10 +14,10 @@
 
 # Bytes that a writable pipe accepts at once (POSIX requires 512 or
 # more, Linux has 4096).
-PIECE_BYTES = select.PIPE_BUF
+MAX_WRITE_BYTES = select.PIPE_BUF
 # Size of the buffer for a stalled reader, in bytes: some seconds of output
 # of a busy process, small compared to its memory.
-KEPT_BYTES = 128 * 1024
+MAX_BUFFERED_BYTES = 128 * 1024
 STANDARD_OUTPUT = 1
 
 
@@ -28,18 +28,18 @@
         self.descriptor = descriptor
         self.poll = select.poll()
         self.poll.register(descriptor, select.POLLOUT)
-        self.waiting: deque[bytes] = deque()
-        self.size = 0
-        self.left_out = 0
+        self.buffer: deque[bytes] = deque()
+        self.buffered_bytes = 0
+        self.dropped = 0
 
     def msg(self, line: str) -> None:
         """Write, buffer or drop a line."""
         data = line.encode() + b'\n'
-        if self.size + len(data) > KEPT_BYTES:
-            self.left_out += 1
+        if self.buffered_bytes + len(data) > MAX_BUFFERED_BYTES:
+            self.dropped += 1
         else:
-            self.waiting.append(data)
-            self.size += len(data)
+            self.buffer.append(data)
+            self.buffered_bytes += len(data)
         self.flush()
 
     log = debug = info = warning = warn = error = critical = msg
@@ -47,46 +47,46 @@
 
     def flush(self) -> None:
         """Write buffered data as far as possible without blocking."""
-        while self.waiting and self.is_writable():
-            piece = self.next_piece()
+        while self.buffer and self.is_writable():
+            piece = self.next_chunk()
             try:
                 written = os.write(self.descriptor, piece)
             except OSError:
                 # The reader is gone, so the error can't be logged either.
-                self.forget()
+                self.discard_buffer()
                 return
-            self.size -= written
+            self.buffered_bytes -= written
             if written < len(piece):
-                self.waiting.appendleft(piece[written:])
-        if self.left_out and not self.waiting:
-            self.tell_left_out()
+                self.buffer.appendleft(piece[written:])
+        if self.dropped and not self.buffer:
+            self.report_dropped()
 
     def is_writable(self) -> bool:
         ready = self.poll.poll(0)
         return bool(ready) and bool(ready[0][1] & select.POLLOUT)
 
-    def next_piece(self) -> bytes:
+    def next_chunk(self) -> bytes:
         """Remove and return lines that fit one write, or part of a line."""
-        piece = self.waiting.popleft()
-        while self.waiting and len(piece) + len(self.waiting[0]) <= (
-            PIECE_BYTES
+        piece = self.buffer.popleft()
+        while self.buffer and len(piece) + len(self.buffer[0]) <= (
+            MAX_WRITE_BYTES
         ):
-            piece += self.waiting.popleft()
-        if len(piece) > PIECE_BYTES:
-            self.waiting.appendleft(piece[PIECE_BYTES:])
-            piece = piece[:PIECE_BYTES]
+            piece += self.buffer.popleft()
+        if len(piece) > MAX_WRITE_BYTES:
+            self.buffer.appendleft(piece[MAX_WRITE_BYTES:])
+            piece = piece[:MAX_WRITE_BYTES]
         return piece
 
-    def tell_left_out(self) -> None:
-        count, self.left_out = self.left_out, 0
+    def report_dropped(self) -> None:
+        count, self.dropped = self.dropped, 0
         line = {'event': 'log_lines_left_out', 'count': count}
         data = json.dumps(line).encode() + b'\n'
-        self.waiting.append(data)
-        self.size += len(data)
+        self.buffer.append(data)
+        self.buffered_bytes += len(data)
 
-    def forget(self) -> None:
-        self.waiting.clear()
-        self.size = 0
+    def discard_buffer(self) -> None:
+        self.buffer.clear()
+        self.buffered_bytes = 0
 
 
 SINK = LogSink()
--- a/cyclamenlift/core/logs.py
+++ b/cyclamenlift/core/logs.py
@@ -4,7 +4,7 @@
 
 import structlog
 
-from cyclamenlift.core.log_budget import LineBudget
+from cyclamenlift.core.log_budget import LogRateLimiter
 from cyclamenlift.core.log_sink import make_sink
 from cyclamenlift.core.registry import Registry
 
@@ -29,7 +29,7 @@
     structlog.reset_defaults()
     structlog.configure(
         processors=[
-            LineBudget(),
+            LogRateLimiter(),
             structlog.contextvars.merge_contextvars,
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt='iso', utc=True),
--- a/cyclamenlift/core/memory.py
+++ b/cyclamenlift/core/memory.py
@@ -5,7 +5,7 @@
 # Allocations between two collections of the youngest generation. The objects
 # of a call form reference cycles, so the collector has to free them; that
 # costs less for many calls at a time.
-YOUNG_OBJECTS = 10_000
+YOUNG_THRESHOLD = 10_000
 
 
 def keep_start_up_objects() -> None:
@@ -17,4 +17,4 @@
     """
     gc.collect()
     gc.freeze()
-    gc.set_threshold(YOUNG_OBJECTS)
+    gc.set_threshold(YOUNG_THRESHOLD)
--- a/cyclamenlift/core/metrics.py
+++ b/cyclamenlift/core/metrics.py
@@ -14,7 +14,7 @@
 from cyclamenlift.core.clock import MICROSECONDS
 from cyclamenlift.core.latency import LatencyHistogram
 
-LONGEST_SECONDS = 600.0
+MAX_LATENCY_SECONDS = 600.0
 QUANTILES = (0.5, 0.99, 0.999)
 THOUSAND = 1000
 
@@ -176,19 +176,21 @@
     return ResultClass(thousands if thousands in CLASS_VALUES else 0)
 
 
-def make_histogram() -> LatencyHistogram:
-    return LatencyHistogram(LONGEST_SECONDS)
+def create_histogram() -> LatencyHistogram:
+    return LatencyHistogram(MAX_LATENCY_SECONDS)
 
 
 @dataclasses.dataclass(slots=True)
-class CallFigures:
+class CallStatistics:
     """Counters and latencies of the calls of one service."""
 
     codes: dict[int, int] = dataclasses.field(default_factory=dict)
     duration: LatencyHistogram = dataclasses.field(
-        default_factory=make_histogram
+        default_factory=create_histogram
+    )
+    added: LatencyHistogram = dataclasses.field(
+        default_factory=create_histogram
     )
-    added: LatencyHistogram = dataclasses.field(default_factory=make_histogram)
 
 
 class Metrics:
@@ -197,7 +199,7 @@
     def __init__(self, instance: str, data_centre: str) -> None:
         self.instance = instance
         self.data_centre = data_centre
-        self.calls: dict[str, CallFigures] = {}
+        self.calls: dict[str, CallStatistics] = {}
         self.observed: list[tuple[MetricInfo, Read]] = []
         self.exporter = None
         self.watch_calls()
@@ -212,13 +214,13 @@
         added_seconds: float | None = None,
     ) -> None:
         """Record a call; ``added_seconds`` if the target's time is known."""
-        figures = self.calls.get(service)
-        if figures is None:
-            figures = self.calls[service] = CallFigures()
-        figures.codes[code] = figures.codes.get(code, 0) + 1
-        figures.duration.note(seconds)
+        statistics = self.calls.get(service)
+        if statistics is None:
+            statistics = self.calls[service] = CallStatistics()
+        statistics.codes[code] = statistics.codes.get(code, 0) + 1
+        statistics.duration.note(seconds)
         if added_seconds is not None:
-            figures.added.note(added_seconds)
+            statistics.added.note(added_seconds)
 
     # -- collection -------------------------------------------------------
 
@@ -237,18 +239,18 @@
         self.observe(INFO['cyclamenlift.calls.refused'], self.calls_refused)
         self.observe(
             INFO['cyclamenlift.call.duration'],
-            lambda: self.quantiles(lambda figures: figures.duration),
+            lambda: self.quantiles(lambda statistics: statistics.duration),
         )
         self.observe(
             INFO['cyclamenlift.call.added'],
-            lambda: self.quantiles(lambda figures: figures.added),
+            lambda: self.quantiles(lambda statistics: statistics.added),
         )
 
     def calls_by_class(self) -> list[Reading]:
         result = []
-        for service, figures in self.calls.items():
+        for service, statistics in self.calls.items():
             counts = dict.fromkeys(ResultClass, 0)
-            for code, count in figures.codes.items():
+            for code, count in statistics.codes.items():
                 counts[result_class(code)] += count
             for kind, count in counts.items():
                 attributes = {'service': service, 'result': kind.name.lower()}
@@ -258,17 +260,17 @@
     def calls_refused(self) -> list[Reading]:
         return [
             Reading(count, {'service': service, 'code': str(int(code))})
-            for service, figures in self.calls.items()
-            for code, count in figures.codes.items()
+            for service, statistics in self.calls.items()
+            for code, count in statistics.codes.items()
             if result_class(code) is ResultClass.NOT_RUN
         ]
 
     def quantiles(
-        self, choose: Callable[[CallFigures], LatencyHistogram]
+        self, select: Callable[[CallStatistics], LatencyHistogram]
     ) -> list[Reading]:
         result = []
-        for service, figures in self.calls.items():
-            histogram = choose(figures).read()
+        for service, statistics in self.calls.items():
+            histogram = select(statistics).read()
             if not histogram.get_total_count():
                 continue
             for quantile in QUANTILES:
@@ -284,10 +286,10 @@
     def render_prometheus(self) -> bytes:
         """Return all metrics in the Prometheus text format."""
         if self.exporter is None:
-            self.exporter = self.make_exporter()
+            self.exporter = self.create_exporter()
         return self.exporter.render()
 
-    def make_exporter(self):
+    def create_exporter(self):
         """Import the exporter libraries on the first scrape."""
         from cyclamenlift.core.exporting import Exporter
 
--- a/cyclamenlift/core/poller.py
+++ b/cyclamenlift/core/poller.py
@@ -23,7 +23,7 @@
 
 LOG = structlog.get_logger('poller')
 LOST = select.EPOLLHUP | select.EPOLLERR
-CONTROL_BYTES = 4096
+WAKEUP_READ_BYTES = 4096
 
 
 @runtime_checkable
@@ -40,7 +40,7 @@
         """Called when the peer of ``sock`` is gone."""
 
 
-class Watched:
+class Registration:
     """A registered socket, its owner and its event mask."""
 
     __slots__ = ('direct', 'mask', 'owner', 'sock')
@@ -61,8 +61,8 @@
         super().__init__(channel='poller')
         self.scheduler = scheduler
         self.epoll = select.epoll()
-        self.by_sock: dict[object, Watched] = {}
-        self.by_number: dict[int, Watched] = {}
+        self.by_sock: dict[object, Registration] = {}
+        self.by_descriptor: dict[int, Registration] = {}
         os.set_blocking(self._ctrl_recv, False)
         os.set_blocking(self._ctrl_send, False)
         self.epoll.register(self._ctrl_recv, select.EPOLLIN)
@@ -70,51 +70,55 @@
     # -- interface for owners ----------------------------------------------
 
     def addReader(self, source, fd) -> None:  # noqa: N802
-        self.change(source, fd, add=select.EPOLLIN)
+        self.update_mask(source, fd, add=select.EPOLLIN)
 
     def addWriter(self, source, fd) -> None:  # noqa: N802
-        self.change(source, fd, add=select.EPOLLOUT)
+        self.update_mask(source, fd, add=select.EPOLLOUT)
 
     def removeReader(self, fd) -> None:  # noqa: N802
-        self.change(None, fd, remove=select.EPOLLIN)
+        self.update_mask(None, fd, remove=select.EPOLLIN)
 
     def removeWriter(self, fd) -> None:  # noqa: N802
-        self.change(None, fd, remove=select.EPOLLOUT)
+        self.update_mask(None, fd, remove=select.EPOLLOUT)
 
     def isReading(self, fd) -> bool:  # noqa: N802
-        watched = self.by_sock.get(fd)
-        return watched is not None and bool(watched.mask & select.EPOLLIN)
+        registration = self.by_sock.get(fd)
+        return registration is not None and bool(
+            registration.mask & select.EPOLLIN
+        )
 
     def isWriting(self, fd) -> bool:  # noqa: N802
-        watched = self.by_sock.get(fd)
-        return watched is not None and bool(watched.mask & select.EPOLLOUT)
+        registration = self.by_sock.get(fd)
+        return registration is not None and bool(
+            registration.mask & select.EPOLLOUT
+        )
 
     def discard(self, fd) -> None:
         """Unregister a socket. Must be called before it is closed."""
-        watched = self.by_sock.pop(fd, None)
-        if watched is None:
+        registration = self.by_sock.pop(fd, None)
+        if registration is None:
             return
-        number = fd.fileno()
-        if self.by_number.get(number) is watched:
-            del self.by_number[number]
+        descriptor = fd.fileno()
+        if self.by_descriptor.get(descriptor) is registration:
+            del self.by_descriptor[descriptor]
             with contextlib.suppress(OSError):
-                self.epoll.unregister(number)
+                self.epoll.unregister(descriptor)
 
-    def change(self, source, fd, add: int = 0, remove: int = 0) -> None:
+    def update_mask(self, source, fd, add: int = 0, remove: int = 0) -> None:
         """Update the event mask of ``fd``; an empty mask unregisters it."""
-        watched = self.by_sock.get(fd)
-        if watched is None:
+        registration = self.by_sock.get(fd)
+        if registration is None:
             if not add:
                 return
-            watched = Watched(fd, source)
-            watched.mask = add
-            self.by_sock[fd] = watched
-            self.by_number[fd.fileno()] = watched
+            registration = Registration(fd, source)
+            registration.mask = add
+            self.by_sock[fd] = registration
+            self.by_descriptor[fd.fileno()] = registration
             self.epoll.register(fd.fileno(), add)
             return
-        watched.mask = (watched.mask | add) & ~remove
-        if watched.mask:
-            self.epoll.modify(fd.fileno(), watched.mask)
+        registration.mask = (registration.mask | add) & ~remove
+        if registration.mask:
+            self.epoll.modify(fd.fileno(), registration.mask)
         else:
             self.discard(fd)
 
@@ -131,8 +135,8 @@
         root = self.root
         while True:
             ready = self.poll(event)
-            for number, mask in ready:
-                self.serve(number, mask)
+            for descriptor, mask in ready:
+                self.handle_ready(descriptor, mask)
             if not root.running or len(root._queue) or root._tasks:
                 return
             if event.time_left >= 0:
@@ -149,49 +153,53 @@
             timeout = due
         return self.epoll.poll(timeout)
 
-    def serve(self, number: int, mask: int) -> None:
+    def handle_ready(self, descriptor: int, mask: int) -> None:
         """Notify the owner of one ready socket."""
-        watched = self.by_number.get(number)
-        if watched is None:
-            if number == self._ctrl_recv:
-                self.clear_wake_up()
+        registration = self.by_descriptor.get(descriptor)
+        if registration is None:
+            if descriptor == self._ctrl_recv:
+                self.drain_wakeups()
             return
-        if not watched.direct:
-            self.fire_stock(watched, mask)
+        if not registration.direct:
+            self.fire_circuits_events(registration, mask)
             return
         try:
-            self.call_owner(watched, mask)
+            self.notify_owner(registration, mask)
         except Exception:
             # An error of one socket must not affect the other sockets.
-            LOG.exception('socket_failed', owner=str(watched.owner.channel))
-            watched.owner.on_poll_lost(watched.sock)
+            LOG.exception(
+                'socket_failed', owner=str(registration.owner.channel)
+            )
+            registration.owner.on_poll_lost(registration.sock)
 
-    def clear_wake_up(self) -> None:
+    def drain_wakeups(self) -> None:
         """Read the bytes that ``resume`` has written."""
         with contextlib.suppress(BlockingIOError):
-            os.read(self._ctrl_recv, CONTROL_BYTES)
+            os.read(self._ctrl_recv, WAKEUP_READ_BYTES)
 
-    def call_owner(self, watched: Watched, mask: int) -> None:
-        owner = watched.owner
+    def notify_owner(self, registration: Registration, mask: int) -> None:
+        owner = registration.owner
         if mask == select.EPOLLIN:
-            owner.on_poll_read(watched.sock)
+            owner.on_poll_read(registration.sock)
             return
         if mask & LOST and not mask & select.EPOLLIN:
-            owner.on_poll_lost(watched.sock)
+            owner.on_poll_lost(registration.sock)
             return
         if mask & select.EPOLLIN:
-            owner.on_poll_read(watched.sock)
+            owner.on_poll_read(registration.sock)
         if mask & select.EPOLLOUT:
-            owner.on_poll_write(watched.sock)
+            owner.on_poll_write(registration.sock)
 
-    def fire_stock(self, watched: Watched, mask: int) -> None:
+    def fire_circuits_events(
+        self, registration: Registration, mask: int
+    ) -> None:
         """Fire the events that a poller of circuits would fire."""
-        channel = watched.owner.channel
+        channel = registration.owner.channel
         if mask & LOST and not mask & select.EPOLLIN:
-            self.discard(watched.sock)
-            self.fire(_disconnect(watched.sock), channel)
+            self.discard(registration.sock)
+            self.fire(_disconnect(registration.sock), channel)
             return
         if mask & select.EPOLLIN:
-            self.fire(_read(watched.sock), channel)
+            self.fire(_read(registration.sock), channel)
         if mask & select.EPOLLOUT:
-            self.fire(_write(watched.sock), channel)
+            self.fire(_write(registration.sock), channel)
--- a/cyclamenlift/core/streams.py
+++ b/cyclamenlift/core/streams.py
@@ -91,7 +91,7 @@
         if data and self.open:
             self.outbound.append(data)
             self.pending += len(data)
-            self.want_write()
+            self.start_writing()
 
     def send_now(self, data: bytes) -> bytes:
         """Send data; return the part that the kernel didn't accept."""
@@ -100,22 +100,22 @@
         except (BlockingIOError, InterruptedError):
             return data
         except OSError as error:
-            self.owner.lose(self, error)
+            self.owner.close_failed(self, error)
             return b''
         return data[sent:] if sent < len(data) else b''
 
     def flush(self) -> None:
         """Send pending data as far as the kernel accepts it."""
         while self.outbound and self.open:
-            data = self.next_bytes()
+            data = self.next_buffer()
             rest = self.send_now(data)
             if not self.open:
                 return
-            self.note_sent(len(data) - len(rest))
+            self.consume_sent(len(data) - len(rest))
             if rest:
                 return
 
-    def next_bytes(self) -> bytes:
+    def next_buffer(self) -> bytes:
         """Return the next pending pieces joined to about ``SEND_SIZE``."""
         pieces = []
         size = 0
@@ -126,7 +126,7 @@
                 break
         return b''.join(pieces)
 
-    def note_sent(self, size: int) -> None:
+    def consume_sent(self, size: int) -> None:
         """Remove ``size`` sent bytes; unsent pieces keep their identity."""
         self.pending -= size
         while size:
@@ -152,12 +152,12 @@
                 return True
         return False
 
-    def want_write(self) -> None:
+    def start_writing(self) -> None:
         if not self.writing and self.open:
             self.writing = True
             self.owner.poller.addWriter(self.owner, self.sock)
 
-    def stop_write(self) -> None:
+    def stop_writing(self) -> None:
         if self.writing:
             self.writing = False
             self.owner.poller.removeWriter(self.sock)
@@ -175,7 +175,7 @@
 
     def close(self) -> None:
         """Close immediately without calling ``on_lost``."""
-        self.owner.forget(self)
+        self.owner.close_stream(self)
 
     def close_after_write(self) -> None:
         """Close as soon as all pending data has been sent."""
@@ -195,7 +195,7 @@
     channel = 'streams'
     # Whole seconds without an acknowledgement by the peer's kernel after
     # which a connection counts as lost; 0: the kernel's default.
-    silence_seconds = 0
+    peer_timeout_seconds = 0
 
     def __init__(self, poller, channel: str):
         super().__init__(channel=channel)
@@ -264,36 +264,41 @@
             status = error.errno or errno.EINVAL
         if status and status not in IN_PROGRESS:
             failure = OSError(status, errno.errorcode.get(status, ''))
-            self.fire_later(stream, failure)
+            self.fail_later(stream, failure)
             return stream
-        stream.want_write()
+        stream.start_writing()
         return stream
 
     def set_options(self, sock: socket.socket) -> None:
         """Disable Nagle's algorithm; enable keepalive if configured."""
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        if not self.silence_seconds:
+        if not self.peer_timeout_seconds:
             return
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
         for option, value in (
             (socket.TCP_KEEPIDLE, 1),
             (socket.TCP_KEEPINTVL, 1),
-            (socket.TCP_KEEPCNT, self.silence_seconds),
-            (socket.TCP_USER_TIMEOUT, self.silence_seconds * MILLISECONDS),
+            (socket.TCP_KEEPCNT, self.peer_timeout_seconds),
+            (
+                socket.TCP_USER_TIMEOUT,
+                self.peer_timeout_seconds * MILLISECONDS,
+            ),
         ):
             sock.setsockopt(socket.IPPROTO_TCP, option, value)
 
-    def fire_later(self, stream: Stream, error: OSError) -> None:
+    def fail_later(self, stream: Stream, error: OSError) -> None:
         """Report a failure in the next iteration, never synchronously."""
-        self.root.scheduler.after(0.0, lambda: self.lose(stream, error))
+        self.root.scheduler.after(
+            0.0, lambda: self.close_failed(stream, error)
+        )
 
-    def lose(self, stream: Stream, error: OSError | None) -> None:
+    def close_failed(self, stream: Stream, error: OSError | None) -> None:
         """Close a failed stream and call ``on_lost`` once."""
         if stream.open:
-            self.forget(stream)
+            self.close_stream(stream)
             self.on_lost(stream, error)
 
-    def forget(self, stream: Stream) -> None:
+    def close_stream(self, stream: Stream) -> None:
         if not stream.open:
             return
         stream.open = False
@@ -329,7 +334,7 @@
             return
         stream.flush()
         if stream.open and not stream.pending:
-            stream.stop_write()
+            stream.stop_writing()
             if stream.closing:
                 stream.close()
             else:
@@ -340,7 +345,7 @@
         if stream is None:
             return
         status = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
-        self.lose(stream, OSError(status, 'lost') if status else None)
+        self.close_failed(stream, OSError(status, 'lost') if status else None)
 
     def read_from(self, stream: Stream) -> None:
         try:
@@ -348,10 +353,10 @@
         except (BlockingIOError, InterruptedError):
             return
         except OSError as error:
-            self.lose(stream, error)
+            self.close_failed(stream, error)
             return
         if not data:
-            self.lose(stream, None)
+            self.close_failed(stream, None)
         elif not stream.closing:
             self.on_data(stream, data)
 
@@ -372,12 +377,14 @@
     def finish_connect(self, stream: Stream) -> None:
         status = stream.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         if status:
-            self.lose(stream, OSError(status, errno.errorcode.get(status)))
+            self.close_failed(
+                stream, OSError(status, errno.errorcode.get(status))
+            )
             return
         stream.connected = True
-        stream.stop_write()
+        stream.stop_writing()
         stream.resume_reading()
         self.on_connected(stream)
         stream.flush()
         if stream.open and stream.pending:
-            stream.want_write()
+            stream.start_writing()
--- a/cyclamenlift/http/answer_parser.py
+++ b/cyclamenlift/http/answer_parser.py
@@ -14,18 +14,18 @@
 SWITCHING_PROTOCOLS = 101
 
 
-class AnswerRefused(Exception):
+class ResponseRejected(Exception):
     """The response violates a framing rule or a limit."""
 
 
-class AnswerParser:
+class ResponseParser:
     """Parses the responses of one connection, one after the other.
 
     After ``feed``, ``head_ready`` tells whether the final head has been
     parsed, ``chunks`` holds new body bytes, ``complete`` tells whether the
     whole response has been parsed, ``problem`` describes invalid input, and
-    ``stray`` tells whether bytes followed a complete response. Call
-    ``expect_answer`` before each response.
+    ``has_trailing_data`` tells whether bytes followed a complete response.
+    Call ``expect_response`` before each response.
     """
 
     __slots__ = (
@@ -33,7 +33,7 @@
         'call_id',
         'chunks',
         'complete',
-        'foreign',
+        'skipping',
         'head_bytes',
         'head_ready',
         'headers',
@@ -45,9 +45,9 @@
         'parser',
         'problem',
         'progress',
-        'quiet_bytes',
+        'unparsed_bytes',
         'status',
-        'stray',
+        'has_trailing_data',
         'until_close',
     )
 
@@ -57,26 +57,26 @@
         self.method = ''
         self.call_id = ''
         self.bodiless = False
-        self.reset_answer()
+        self.reset_response()
 
-    def reset_answer(self) -> None:
+    def reset_response(self) -> None:
         self.headers: Headers = []
         self.chunks: list[bytes] = []
         self.status = 0
         self.length: int | None = None
         self.head_bytes = 0
-        self.quiet_bytes = 0
+        self.unparsed_bytes = 0
         self.head_ready = False
         self.interim = False
-        self.foreign = False
+        self.skipping = False
         self.keep_alive = False
         self.until_close = False
         self.complete = False
         self.progress = False
-        self.stray = False
+        self.has_trailing_data = False
         self.problem = ''
 
-    def expect_answer(self, method: str, call_id: str = '') -> None:
+    def expect_response(self, method: str, call_id: str = '') -> None:
         """Prepare for the response to a request with this method.
 
         ``call_id`` is the ID that the response must echo, if any.
@@ -86,7 +86,7 @@
             # llhttp would wait for the body that a HEAD response announces.
             self.parser = HttpResponseParser(self)
         self.method = method
-        self.reset_answer()
+        self.reset_response()
 
     def feed(self, data: bytes) -> None:
         """Parse input. Never raises; the attributes hold the result."""
@@ -97,24 +97,26 @@
             self.fail('the protocol was switched')
         except HttpParserError as error:
             cause = error.__context__
-            refused = isinstance(cause, AnswerRefused)
+            refused = isinstance(cause, ResponseRejected)
             self.fail(str(cause if refused else error))
-        self.count_quiet(len(data))
+        self.limit_unparsed(len(data))
 
     def fail(self, detail: str) -> None:
         """Record invalid input; after a complete response it is trailing."""
         if self.complete:
-            self.stray = True
+            self.has_trailing_data = True
         else:
             self.problem = detail
 
-    def count_quiet(self, size: int) -> None:
+    def limit_unparsed(self, size: int) -> None:
         """Limit input that completes no head and carries no body bytes."""
-        self.quiet_bytes = 0 if self.progress else self.quiet_bytes + size
-        if self.quiet_bytes > self.limits.max_header_bytes:
+        self.unparsed_bytes = (
+            0 if self.progress else self.unparsed_bytes + size
+        )
+        if self.unparsed_bytes > self.limits.max_header_bytes:
             self.fail('header fields exceed the limit')
 
-    def end_of_input(self) -> bool:
+    def completes_at_eof(self) -> bool:
         """Return whether end of file completes the response."""
         return self.head_ready and self.until_close and not self.problem
 
@@ -122,7 +124,7 @@
 
     def on_message_begin(self) -> None:
         if self.complete:
-            raise AnswerRefused('data after the end of the response')
+            raise ResponseRejected('data after the end of the response')
         self.headers = []
         self.head_bytes = 0
 
@@ -130,7 +132,7 @@
         limits = self.limits
         self.head_bytes += len(name) + len(value) + FIELD_OVERHEAD
         if self.head_bytes > limits.max_header_bytes:
-            raise AnswerRefused('header fields exceed the limit')
+            raise ResponseRejected('header fields exceed the limit')
         if self.head_ready:
             # Trailer fields count towards the limit and are dropped.
             return
@@ -140,21 +142,21 @@
         )
         self.headers.append(field)
         if len(self.headers) > limits.max_headers:
-            raise AnswerRefused('too many header fields')
+            raise ResponseRejected('too many header fields')
 
     def on_headers_complete(self) -> None:
         self.progress = True
         if self.parser.get_http_version() not in VERSIONS:
-            raise AnswerRefused('the HTTP version is not supported')
+            raise ResponseRejected('the HTTP version is not supported')
         self.status = self.parser.get_status_code()
         self.interim = self.status < 200
         if self.interim:
             if self.status == SWITCHING_PROTOCOLS:
-                raise AnswerRefused('the protocol was switched')
+                raise ResponseRejected('the protocol was switched')
             return
-        self.measure()
-        if self.is_foreign():
-            self.drop_foreign()
+        self.determine_framing()
+        if self.is_for_other_call():
+            self.skip_response()
             return
         self.head_ready = True
         if self.method == 'HEAD':
@@ -162,21 +164,21 @@
 
     def on_body(self, data: bytes) -> None:
         if self.complete:
-            raise AnswerRefused('data after the end of the response')
+            raise ResponseRejected('data after the end of the response')
         self.progress = True
-        if not self.foreign:
+        if not self.skipping:
             self.chunks.append(data)
 
     def on_message_complete(self) -> None:
         self.progress = True
-        if self.foreign:
-            self.reset_answer()
+        if self.skipping:
+            self.reset_response()
         elif not self.interim:
             self.complete = True
 
     # -- validation of the head -------------------------------------------
 
-    def is_foreign(self) -> bool:
+    def is_for_other_call(self) -> bool:
         """Return whether the response echoes the ID of another call.
 
         A response without an ID is accepted: the target may have failed
@@ -188,13 +190,13 @@
         repeated = find_header(self.headers, field)
         return repeated is not None and repeated != self.call_id
 
-    def drop_foreign(self) -> None:
+    def skip_response(self) -> None:
         """Skip a response to another call; the expected one may follow."""
         if self.until_close:
-            raise AnswerRefused('it is a response to another call')
-        self.foreign = True
+            raise ResponseRejected('it is a response to another call')
+        self.skipping = True
 
-    def measure(self) -> None:
+    def determine_framing(self) -> None:
         """Determine the body length and how the end is marked."""
         length = None
         chunked = False
@@ -203,7 +205,7 @@
                 length = int(value)
             elif name == 'transfer-encoding':
                 if value.lower() != 'chunked':
-                    raise AnswerRefused(
+                    raise ResponseRejected(
                         f'unsupported transfer coding {value!r}'
                     )
                 chunked = True
@@ -215,5 +217,5 @@
         self.length = length
         self.until_close = length is None and not chunked
         if self.until_close and not self.limits.unsized_answers:
-            raise AnswerRefused('it declares no length')
+            raise ResponseRejected('it declares no length')
         self.keep_alive = self.parser.should_keep_alive()
--- a/cyclamenlift/http/client.py
+++ b/cyclamenlift/http/client.py
@@ -10,7 +10,7 @@
 from cyclamenlift.core.streams import Stream
 from cyclamenlift.core.streams import StreamOwner
 from cyclamenlift.core.tasks import Timer
-from cyclamenlift.http.answer_parser import AnswerParser
+from cyclamenlift.http.answer_parser import ResponseParser
 from cyclamenlift.http.headers import Headers
 from cyclamenlift.http.limits import ClientLimits
 from cyclamenlift.http.target import FailureKind
@@ -22,7 +22,7 @@
 # Delay before a lost probe connection is retried, in seconds. A terminating
 # process closes its listener last, so a loss alone doesn't show that nothing
 # listens.
-LOOK_AGAIN_SECONDS = 0.005
+PROBE_RETRY_SECONDS = 0.005
 LOG = structlog.get_logger('http')
 
 
@@ -35,7 +35,7 @@
         self.call = call
         self.idle_since = 0.0
         self.idle_deadline = float('inf')
-        self.parser = AnswerParser(limits)
+        self.parser = ResponseParser(limits)
         self.timer: Timer | None = None
 
 
@@ -61,7 +61,7 @@
         self.refused_hooks: list[Callable[[], None]] = []
         self.found_hooks: list[Callable[[], None]] = []
         # Probe connections and the deadlines for repeating them.
-        self.looks: dict[Stream, float] = {}
+        self.probes: dict[Stream, float] = {}
 
     # -- commands ---------------------------------------------------------
 
@@ -80,7 +80,7 @@
     def warm(self) -> None:
         """Open the warm connections and replace them when they are lost."""
         self.keep_warm = True
-        self.top_up()
+        self.fill_pool()
 
     def look(self, deadline: float) -> None:
         """Open a pooled connection to find out whether the target listens.
@@ -88,7 +88,7 @@
         A connection lost before ``deadline`` is inconclusive and is retried.
         """
         if len(self.streams) < self.limits.max_connections:
-            self.looks[self.open(None)] = deadline
+            self.probes[self.open(None)] = deadline
 
     def drop_idle(self) -> None:
         """Close the idle connections to a target that has ended."""
@@ -113,8 +113,8 @@
         """Assign a connection to the call, or queue the call."""
         while self.idle:
             stream = self.idle.pop()
-            if self.is_usable(stream) and is_quiet(stream):
-                if self.is_fresh_enough(stream, call):
+            if self.is_usable(stream) and has_no_input(stream):
+                if self.is_recent_enough(stream, call):
                     self.start(call, stream)
                     return
                 # The list ends with the most recently used connection, so the
@@ -131,7 +131,7 @@
         """Return whether the target should still hold the connection open."""
         return self.now() < stream.context.idle_deadline
 
-    def is_fresh_enough(self, stream: Stream, call: TargetCall) -> bool:
+    def is_recent_enough(self, stream: Stream, call: TargetCall) -> bool:
         if call.request.repeatable:
             return True
         idle = self.now() - stream.context.idle_since
@@ -140,7 +140,7 @@
     def now(self) -> float:
         return self.root.scheduler.clock.now()
 
-    def note_idle(self, stream: Stream) -> None:
+    def record_idle(self, stream: Stream) -> None:
         """Record when a connection became idle and when to stop reusing it."""
         connection = stream.context
         connection.idle_since = self.now()
@@ -157,7 +157,9 @@
         stream.context = connection
         connection.timer = self.root.scheduler.after(
             self.limits.connect_seconds,
-            lambda: self.lose(stream, TimeoutError('connect timed out')),
+            lambda: self.close_failed(
+                stream, TimeoutError('connect timed out')
+            ),
         )
         if call is not None:
             call.stream = stream
@@ -168,22 +170,22 @@
         call.stream = stream
         stream.context.call = call
         request = call.request
-        stream.context.parser.expect_answer(request.method, request.call_id)
+        stream.context.parser.expect_response(request.method, request.call_id)
         if call.paused:
             stream.pause_reading()
-        self.push(call)
+        self.write_request(call)
 
-    def push(self, call: TargetCall) -> None:
+    def write_request(self, call: TargetCall) -> None:
         """Write the buffered part of the request."""
         stream = call.stream
         if stream is None or not stream.connected:
             return
-        if not call.unsent and not call.request_whole:
+        if not call.unsent and not call.request_complete:
             return
         data = b''.join(call.unsent)
         call.unsent.clear()
-        if not call.head_given:
-            call.head_given = True
+        if not call.head_written:
+            call.head_written = True
             data = call.head + data
         if not data:
             return
@@ -196,15 +198,15 @@
         """Return a reusable connection to the pool or to a queued call."""
         stream.context.call = None
         stream.resume_reading()
-        self.note_idle(stream)
+        self.record_idle(stream)
         if not self.waiting:
             self.idle.append(stream)
-        elif is_quiet(stream):
+        elif has_no_input(stream):
             self.start(self.waiting.popleft(), stream)
         else:
             self.discard(stream)
 
-    def drop(self, call: TargetCall) -> None:
+    def discard_call(self, call: TargetCall) -> None:
         """Remove a cancelled call and close its connection."""
         if call.stream is None:
             if call in self.waiting:
@@ -225,10 +227,10 @@
             self.open(self.waiting.popleft())
         if self.keep_warm and self.warm_timer is None:
             self.warm_timer = self.root.scheduler.after(
-                self.limits.rewarm_seconds, self.top_up
+                self.limits.rewarm_seconds, self.fill_pool
             )
 
-    def top_up(self) -> None:
+    def fill_pool(self) -> None:
         """Open connections up to the configured number of warm ones."""
         self.warm_timer = None
         limits = self.limits
@@ -244,7 +246,7 @@
         call = connection.call
         if call is None:
             self.release(stream)
-            if stream in self.looks:
+            if stream in self.probes:
                 for hook in self.found_hooks:
                     hook()
         else:
@@ -256,9 +258,9 @@
 
     def on_data(self, stream: Stream, data: bytes) -> None:
         call = stream.context.call
-        if call is None or not call.head_given:
+        if call is None or not call.head_written:
             # Unsolicited data: the next response would be unreliable.
-            self.leave(stream, call)
+            self.reassign_unsent(stream, call)
             return
         parser = stream.context.parser
         parser.feed(data)
@@ -273,21 +275,21 @@
             self.fail(call, 'processing the response failed')
             self.discard(stream)
 
-    def leave(self, stream: Stream, call: TargetCall | None) -> None:
+    def reassign_unsent(self, stream: Stream, call: TargetCall | None) -> None:
         """Close a connection and reassign its call, which is unsent."""
-        self.forget_idle(stream)
+        self.remove_idle(stream)
         self.discard(stream)
         if call is not None:
             call.stream = None
             self.assign(call)
 
     def deliver(
-        self, stream: Stream, call: TargetCall, parser: AnswerParser
+        self, stream: Stream, call: TargetCall, parser: ResponseParser
     ) -> None:
         """Pass parsed data to the listener; complete the call at the end."""
         listener = call.listener
-        if parser.head_ready and not call.answering:
-            call.answering = True
+        if parser.head_ready and not call.response_started:
+            call.response_started = True
             listener.on_head(parser.status, parser.headers, parser.length)
         if parser.chunks and not call.done:
             data = b''.join(parser.chunks)
@@ -298,9 +300,13 @@
 
     def complete(self, stream: Stream, call: TargetCall) -> None:
         """Finish a call whose response is complete."""
-        listener = call.end()
+        listener = call.finish()
         parser = stream.context.parser
-        clean = parser.keep_alive and not parser.stray and call.request_whole
+        clean = (
+            parser.keep_alive
+            and not parser.has_trailing_data
+            and call.request_complete
+        )
         if clean and not stream.pending:
             self.release(stream)
         else:
@@ -315,27 +321,27 @@
     def on_lost(self, stream: Stream, error: OSError | None) -> None:
         connection = stream.context
         stop_timer(connection)
-        self.forget_idle(stream)
-        look_deadline = self.looks.pop(stream, 0.0)
+        self.remove_idle(stream)
+        probe_deadline = self.probes.pop(stream, 0.0)
         call = connection.call
         connection.call = None
         self.replace_lost()
-        kind = kind_of_loss(error, stream.connected)
+        kind = classify_loss(error, stream.connected)
         if kind is FailureKind.REFUSED:
             for hook in self.refused_hooks:
                 hook()
-        elif self.now() < look_deadline:
+        elif self.now() < probe_deadline:
             self.root.scheduler.after(
-                LOOK_AGAIN_SECONDS, lambda: self.look(look_deadline)
+                PROBE_RETRY_SECONDS, lambda: self.look(probe_deadline)
             )
         if call is None or call.done:
             return
-        if stream.connected and not call.head_given:
+        if stream.connected and not call.head_written:
             call.stream = None
             self.assign(call)
             return
-        if error is None and connection.parser.end_of_input():
-            call.end().on_end()
+        if error is None and connection.parser.completes_at_eof():
+            call.finish().on_end()
             return
         reason = error or 'the connection was closed'
         self.fail(call, f'incomplete response of the target: {reason}', kind)
@@ -351,16 +357,16 @@
         def report() -> None:
             if not call.done:
                 failure = TargetFailure(call.sent, detail, kind)
-                call.end().on_failure(failure)
+                call.finish().on_failure(failure)
 
         self.root.scheduler.after(0.0, report)
 
-    def forget_idle(self, stream: Stream) -> None:
+    def remove_idle(self, stream: Stream) -> None:
         if stream in self.idle:
             self.idle.remove(stream)
 
 
-def kind_of_loss(error: Exception | None, connected: bool) -> FailureKind:
+def classify_loss(error: Exception | None, connected: bool) -> FailureKind:
     """Classify the loss of a connection."""
     if isinstance(error, ConnectionRefusedError):
         return FailureKind.REFUSED
@@ -369,7 +375,7 @@
     return FailureKind.CLOSED
 
 
-def is_quiet(stream: Stream) -> bool:
+def has_no_input(stream: Stream) -> bool:
     """Return whether an idle connection is open without unread input."""
     if not stream.open:
         return False
--- a/cyclamenlift/http/connection.py
+++ b/cyclamenlift/http/connection.py
@@ -8,11 +8,11 @@
 from cyclamenlift.core.codes import ResultCode
 from cyclamenlift.core.problems import Problem
 from cyclamenlift.core.streams import Stream
-from cyclamenlift.http.ending import EndingConnection
-from cyclamenlift.http.exchange import AnswerState
+from cyclamenlift.http.ending import ClosingConnection
 from cyclamenlift.http.exchange import CLOSE
 from cyclamenlift.http.exchange import Exchange
 from cyclamenlift.http.exchange import KEEP_ALIVE
+from cyclamenlift.http.exchange import ResponseState
 from cyclamenlift.http.headers import Headers
 from cyclamenlift.http.request_parser import RequestParser
 from cyclamenlift.http.response import CONTINUE
@@ -21,13 +21,13 @@
     from cyclamenlift.http.request_parser import IncomingRequest
     from cyclamenlift.http.server import HttpServer
 
-MAX_UNREAD_BODY = 64 * 1024
+MAX_SKIPPED_BODY = 64 * 1024
 MAX_PENDING = 256 * 1024
 NO_FIELDS: Headers = []
 SAFE_METHODS = frozenset(('GET', 'HEAD'))
 
 
-class CallerConnection(EndingConnection):
+class CallerConnection(ClosingConnection):
     """Processes the requests of one connection in order.
 
     Pipelined requests stay in the parser's queue, and reading is paused
@@ -38,7 +38,7 @@
     __slots__ = (
         'active',
         'advancing',
-        'ahead',
+        'pipelined',
         'body_seconds_left',
         'head_deadline_set',
         'parser',
@@ -48,7 +48,7 @@
         super().__init__(server, stream)
         self.parser = RequestParser(server.limits)
         self.active: Exchange | None = None
-        self.ahead: deque[Exchange] = deque()
+        self.pipelined: deque[Exchange] = deque()
         self.advancing = False
         self.head_deadline_set = False
         self.body_seconds_left: float | None = None
@@ -86,37 +86,37 @@
         finally:
             self.advancing = False
         if self.stream.open and not self.lingering:
-            self.settle()
+            self.update_reading()
 
     def step(self) -> bool:
         """Perform one step; return whether another may be possible."""
         exchange = self.active
         if exchange is None:
-            return self.step_to_next()
+            return self.advance_to_next()
         if exchange.done:
-            return self.step_over(exchange)
+            return self.skip_body(exchange)
         if self.parser.problem is not None and not exchange.request.complete:
-            self.break_body(exchange, self.parser.problem)
+            self.fail_body(exchange, self.parser.problem)
             return False
         exchange.deliver_body()
         return self.active is not exchange
 
-    def step_to_next(self) -> bool:
+    def advance_to_next(self) -> bool:
         """Start the next request unless too much output is pending."""
-        if self.ahead:
-            self.active = self.ahead.popleft()
-            self.active.take_turn()
+        if self.pipelined:
+            self.active = self.pipelined.popleft()
+            self.active.send_deferred()
             return True
         if self.parser.queue:
             if self.stream.pending > MAX_PENDING:
                 return False
-            self.take_next()
+            self.start_next()
             return True
         if self.parser.problem is not None:
             self.refuse(self.parser.problem)
         return False
 
-    def step_over(self, exchange: Exchange) -> bool:
+    def skip_body(self, exchange: Exchange) -> bool:
         """Skip the rest of the body of an answered request."""
         exchange.request.chunks.clear()
         if exchange.request.complete:
@@ -126,7 +126,7 @@
             self.linger()
         return False
 
-    def take_next(self) -> None:
+    def start_next(self) -> None:
         """Pass the next request to the application."""
         request = self.parser.queue.popleft()
         self.deadline.clear()
@@ -135,36 +135,36 @@
         self.active = Exchange(self, request, now)
         self.server.take(self.active)
 
-    def take_ahead(self) -> None:
+    def start_pipelined(self) -> None:
         """Start requests that needn't wait for earlier responses."""
         most = self.server.limits.max_pipelined - 1
-        last = self.ahead[-1] if self.ahead else self.active
+        last = self.pipelined[-1] if self.pipelined else self.active
         while (
             self.parser.queue
-            and len(self.ahead) < most
+            and len(self.pipelined) < most
             and last.request.complete
             and last.request.keep_alive
-            and is_plain(self.parser.queue[0])
+            and is_pipelinable(self.parser.queue[0])
         ):
             request = self.parser.queue.popleft()
             last = Exchange(self, request, self.server.now(), early=True)
-            self.ahead.append(last)
+            self.pipelined.append(last)
             self.server.take(last)
             if not self.stream.open:
                 return
 
-    def drop_ahead(self) -> None:
+    def abandon_pipelined(self) -> None:
         """Abandon pipelined requests whose responses can't be sent."""
-        while self.ahead:
-            exchange = self.ahead.popleft()
-            exchange.state = AnswerState.DONE
+        while self.pipelined:
+            exchange = self.pipelined.popleft()
+            exchange.state = ResponseState.DONE
             if exchange.on_gone is not None:
                 exchange.on_gone()
 
-    def settle(self) -> None:
+    def update_reading(self) -> None:
         """Update reading and the deadline after all possible steps."""
         if self.active is not None and not self.active.done:
-            self.take_ahead()
+            self.start_pipelined()
         if not self.stream.open or self.lingering:
             return
         exchange = self.active
@@ -172,17 +172,17 @@
             if self.parser.in_head and not self.head_deadline_set:
                 self.head_deadline_set = True
                 self.deadline.set_after(self.server.limits.head_seconds)
-            self.read_on(not self.parser.queue)
+            self.set_reading(not self.parser.queue)
             return
         request = exchange.request
         if request.complete:
             if not exchange.done:
                 self.deadline.clear()
-            self.read_on(not self.parser.queue)
+            self.set_reading(not self.parser.queue)
         else:
-            self.read_on(not request.chunks and not exchange.paused)
+            self.set_reading(not request.chunks and not exchange.paused)
 
-    def read_on(self, wanted: bool) -> None:
+    def set_reading(self, wanted: bool) -> None:
         if wanted:
             self.stream.resume_reading()
         else:
@@ -197,13 +197,13 @@
             if not exchange.request.body_bytes:
                 self.stream.write(CONTINUE)
         self.deadline.set_after(self.server.limits.body_seconds)
-        self.read_on(not exchange.paused)
+        self.set_reading(not exchange.paused)
 
     def pause_body(self, exchange: Exchange) -> None:
         """Stop reading and suspend the deadline of the body."""
         if self.active is not exchange or exchange.request.complete:
             return
-        self.body_seconds_left = self.deadline.left()
+        self.body_seconds_left = self.deadline.remaining()
         self.deadline.clear()
         self.stream.pause_reading()
 
@@ -216,7 +216,7 @@
         self.body_seconds_left = None
         self.advance()
 
-    def break_body(self, exchange: Exchange, problem: Problem) -> None:
+    def fail_body(self, exchange: Exchange, problem: Problem) -> None:
         """End a request whose body is invalid or late.
 
         After a part of the body was delivered, only the application knows
@@ -228,13 +228,14 @@
         exchange.on_body = None
         hook = exchange.on_broken
         exchange.on_broken = None
-        if hook is not None and exchange.state is AnswerState.NONE:
+        if hook is not None and exchange.state is ResponseState.NONE:
             hook(problem)
             return
         answerable = (
-            exchange.state is AnswerState.NONE and not exchange.handed_over
+            exchange.state is ResponseState.NONE
+            and not exchange.body_delivered
         )
-        exchange.state = AnswerState.DONE
+        exchange.state = ResponseState.DONE
         self.active = None
         if answerable:
             self.refuse(problem)
@@ -245,33 +246,35 @@
 
     # -- responses --------------------------------------------------------
 
-    def closing_fields(self, exchange: Exchange) -> Headers:
+    def connection_fields(self, exchange: Exchange) -> Headers:
         """Return the ``Connection`` field of the response, if needed."""
         request = exchange.request
-        if not request.complete and not self.ends_soon(exchange):
+        if not request.complete and not self.is_remainder_small(exchange):
             request.keep_alive = False
-        if not request.keep_alive or (self.server.closing and not self.ahead):
+        if not request.keep_alive or (
+            self.server.closing and not self.pipelined
+        ):
             request.keep_alive = False
             return [CLOSE]
         if not request.minor_version:
             return [KEEP_ALIVE]
         return NO_FIELDS
 
-    def ends_soon(self, exchange: Exchange) -> bool:
+    def is_remainder_small(self, exchange: Exchange) -> bool:
         """Return whether the rest of the body is small enough to skip."""
         request = exchange.request
         if request.expects_continue or request.body_length is None:
             return False
-        return request.body_length - request.body_bytes <= MAX_UNREAD_BODY
+        return request.body_length - request.body_bytes <= MAX_SKIPPED_BODY
 
-    def answered(self, exchange: Exchange) -> None:
+    def response_sent(self, exchange: Exchange) -> None:
         """Proceed after the response to ``exchange`` was written."""
         if not self.stream.open:
             return
         exchange.on_body = None
         if not exchange.request.keep_alive:
             self.active = None
-            self.drop_ahead()
+            self.abandon_pipelined()
             self.linger()
             return
         if not exchange.request.complete:
@@ -296,7 +299,7 @@
     def expire(self) -> None:
         """Handle the expired deadline of the connection."""
         if self.stream.pending or self.lingering:
-            self.expire_output()
+            self.check_send_progress()
         elif self.active is not None and not self.active.request.complete:
             self.expire_body(self.active)
         elif self.parser.in_head:
@@ -311,12 +314,12 @@
             return
         detail = 'the request body was not received in time'
         problem = Problem(ResultCode.REQUEST_TIMEOUT, detail)
-        self.break_body(exchange, problem)
+        self.fail_body(exchange, problem)
 
     def reset(self) -> None:
         """Reset the connection, so that the response isn't taken as whole."""
         self.active = None
-        self.drop_ahead()
+        self.abandon_pipelined()
         super().reset()
 
     def fail(self) -> None:
@@ -328,9 +331,9 @@
 
     def drained(self) -> None:
         """Called when all output has been written to the kernel."""
-        self.pending_seen = 0
+        self.last_pending = 0
         if self.lingering:
-            self.end_output()
+            self.shut_down_output()
             return
         exchange = self.active
         if exchange is None:
@@ -347,15 +350,15 @@
         self.parser.stopped = True
         self.parser.queue.clear()
         self.deadline.cancel()
-        self.drop_ahead()
+        self.abandon_pipelined()
         if exchange is None or exchange.done:
             return
-        exchange.state = AnswerState.DONE
+        exchange.state = ResponseState.DONE
         exchange.on_body = None
         if exchange.on_gone is not None:
             exchange.on_gone()
 
 
-def is_plain(request: IncomingRequest) -> bool:
+def is_pipelinable(request: IncomingRequest) -> bool:
     """Return whether a request may be processed before its turn."""
     return request.complete and request.method in SAFE_METHODS
--- a/cyclamenlift/http/deadline.py
+++ b/cyclamenlift/http/deadline.py
@@ -32,13 +32,13 @@
             if self.timer.deadline <= deadline:
                 return
             self.timer.cancel()
-        self.timer = self.scheduler.at(deadline, self.look)
+        self.timer = self.scheduler.at(deadline, self.check)
 
     def clear(self) -> None:
         """Remove the deadline and keep the timer for reuse."""
         self.deadline = None
 
-    def left(self) -> float | None:
+    def remaining(self) -> float | None:
         """Return the remaining seconds, None without a deadline."""
         if self.deadline is None:
             return None
@@ -51,7 +51,7 @@
             self.timer.cancel()
             self.timer = None
 
-    def look(self) -> None:
+    def check(self) -> None:
         """Timer callback: expire, or re-arm if the deadline has moved."""
         self.timer = None
         if self.deadline is None:
--- a/cyclamenlift/http/ending.py
+++ b/cyclamenlift/http/ending.py
@@ -10,10 +10,10 @@
 from cyclamenlift.core.streams import Stream
 from cyclamenlift.http.deadline import MovingDeadline
 from cyclamenlift.http.exchange import CLOSE
-from cyclamenlift.http.response import answer_head
 from cyclamenlift.http.response import problem_body
 from cyclamenlift.http.response import problem_headers
 from cyclamenlift.http.response import problem_status
+from cyclamenlift.http.response import response_head
 
 if TYPE_CHECKING:
     from cyclamenlift.http.server import HttpServer
@@ -21,20 +21,20 @@
 RESET_ON_CLOSE = struct.pack('ii', 1, 0)
 
 
-class EndingConnection:
+class ClosingConnection:
     """Base of a caller's connection that implements closing.
 
     ``lingering`` is set once the last response was written: further input
     is discarded until the caller closes too or ``linger_seconds`` pass.
     """
 
-    __slots__ = ('deadline', 'lingering', 'pending_seen', 'server', 'stream')
+    __slots__ = ('deadline', 'lingering', 'last_pending', 'server', 'stream')
 
     def __init__(self, server: HttpServer, stream: Stream):
         self.server = server
         self.stream = stream
         self.lingering = False
-        self.pending_seen = 0
+        self.last_pending = 0
         self.deadline = MovingDeadline(server.root.scheduler, self.expire)
 
     def expire(self) -> None:
@@ -47,7 +47,7 @@
             return
         body = problem_body(problem)
         framing = [CLOSE, ('Content-Length', str(len(body)))]
-        head = answer_head(
+        head = response_head(
             problem_status(problem),
             problem_headers(problem, self.server.dialect),
             framing,
@@ -69,9 +69,9 @@
         if self.stream.pending:
             self.deadline.set_after(limits.send_seconds)
         else:
-            self.end_output()
+            self.shut_down_output()
 
-    def end_output(self) -> None:
+    def shut_down_output(self) -> None:
         """Shut down the sending side of the connection."""
         self.deadline.set_after(self.server.limits.linger_seconds)
         try:
@@ -79,15 +79,15 @@
         except OSError:
             self.stream.close()
 
-    def expire_output(self) -> None:
+    def check_send_progress(self) -> None:
         """Extend the deadline of a slow reader while it makes progress."""
         pending = self.stream.pending
         if not pending:
             self.stream.close()
-        elif self.pending_seen and pending >= self.pending_seen:
+        elif self.last_pending and pending >= self.last_pending:
             self.reset()
         else:
-            self.pending_seen = pending
+            self.last_pending = pending
             self.deadline.set_after(self.server.limits.send_seconds)
 
     def reset(self) -> None:
--- a/cyclamenlift/http/exchange.py
+++ b/cyclamenlift/http/exchange.py
@@ -11,12 +11,12 @@
 from cyclamenlift.http.dialects import Dialect
 from cyclamenlift.http.headers import Headers
 from cyclamenlift.http.request_parser import IncomingRequest
-from cyclamenlift.http.response import answer_head
-from cyclamenlift.http.response import has_no_body
+from cyclamenlift.http.response import forbids_body
 from cyclamenlift.http.response import LAST_CHUNK
 from cyclamenlift.http.response import problem_body
 from cyclamenlift.http.response import problem_headers
 from cyclamenlift.http.response import problem_status
+from cyclamenlift.http.response import response_head
 
 if TYPE_CHECKING:
     from cyclamenlift.http.connection import CallerConnection
@@ -27,7 +27,7 @@
 CHUNKED = ('Transfer-Encoding', 'chunked')
 
 
-class AnswerState(enum.Enum):
+class ResponseState(enum.Enum):
     """Progress of the response to a request."""
 
     NONE = 'none'
@@ -57,11 +57,11 @@
         'body_length',
         'chunked',
         'connection',
-        'first_fields',
-        'handed_over',
+        'first_values',
+        'body_delivered',
         'headers',
-        'held',
-        'left',
+        'deferred',
+        'remaining',
         'method',
         'on_body',
         'on_broken',
@@ -89,7 +89,7 @@
         self.path: str = request.path
         self.headers: Headers = request.headers
         # Reversed, so that the first of several equal names wins.
-        self.first_fields = dict(reversed(request.headers))
+        self.first_values = dict(reversed(request.headers))
         self.body_length: int | None = request.body_length
         self.remote: Address = connection.stream.remote
         self.received_at = received_at
@@ -98,19 +98,19 @@
         self.on_drained: Callable[[], None] | None = None
         self.on_body: OnBody | None = None
         self.paused = False
-        self.handed_over = False
-        self.state = AnswerState.NONE
-        self.left: int | None = None
+        self.body_delivered = False
+        self.state = ResponseState.NONE
+        self.remaining: int | None = None
         self.chunked = False
         self.without_body = False
         # Output deferred until earlier responses are sent; None if none is.
-        self.held: list[Callable[[], None]] | None = [] if early else None
+        self.deferred: list[Callable[[], None]] | None = [] if early else None
 
     # -- queries ----------------------------------------------------------
 
     def header(self, name: str) -> str | None:
         """Return the first field of this lower-case name."""
-        return self.first_fields.get(name)
+        return self.first_values.get(name)
 
     @property
     def dialect(self) -> Dialect:
@@ -125,7 +125,7 @@
     @property
     def done(self) -> bool:
         """Whether the response is complete or the caller disconnected."""
-        return self.state is AnswerState.DONE
+        return self.state is ResponseState.DONE
 
     # -- request body -----------------------------------------------------
 
@@ -155,7 +155,7 @@
         on_body = self.on_body
         if last:
             self.on_body = None
-        self.handed_over = self.handed_over or bool(data)
+        self.body_delivered = self.body_delivered or bool(data)
         on_body(data, last)
 
     def pause(self) -> None:
@@ -173,19 +173,19 @@
 
     # -- response ---------------------------------------------------------
 
-    def take_turn(self) -> None:
+    def send_deferred(self) -> None:
         """Send the output deferred until earlier responses were sent."""
-        held = self.held or []
-        self.held = None
-        for send in held:
+        deferred = self.deferred or []
+        self.deferred = None
+        for send in deferred:
             send()
 
-    def hold(self, send: Callable[[], None]) -> bool:
+    def defer(self, send: Callable[[], None]) -> bool:
         """Defer output until earlier responses are sent; False if they are."""
-        if self.held is None:
+        if self.deferred is None:
             return False
         if not self.done:
-            self.held.append(send)
+            self.deferred.append(send)
         return True
 
     def respond(self, status: int, headers: Headers, body: bytes) -> None:
@@ -195,22 +195,22 @@
         HEAD request a given ``Content-Length`` is kept. Raises HeaderError
         and sends nothing when a field contains a line break.
         """
-        if self.state is not AnswerState.NONE:
+        if self.state is not ResponseState.NONE:
             return
-        if self.hold(lambda: self.respond(status, headers, body)):
+        if self.defer(lambda: self.respond(status, headers, body)):
             return
-        framing = self.connection.closing_fields(self)
-        if has_no_body(self.method, status):
-            framing = framing + self.stated_length(status, headers, body)
+        framing = self.connection.connection_fields(self)
+        if forbids_body(self.method, status):
+            framing = framing + self.length_fields(status, headers, body)
             body = b''
         else:
             framing = framing + [('Content-Length', str(len(body)))]
-        data = answer_head(status, headers, framing) + body
-        self.state = AnswerState.DONE
+        data = response_head(status, headers, framing) + body
+        self.state = ResponseState.DONE
         self.connection.stream.write(data)
-        self.connection.answered(self)
+        self.connection.response_sent(self)
 
-    def stated_length(
+    def length_fields(
         self, status: int, headers: Headers, body: bytes
     ) -> Headers:
         """Return the ``Content-Length`` of a response without a body."""
@@ -235,14 +235,14 @@
         Without a length it is chunked; for HTTP/1.0 it ends with the
         connection. Raises HeaderError as ``respond`` does.
         """
-        if self.state is not AnswerState.NONE:
+        if self.state is not ResponseState.NONE:
             return
-        if self.hold(lambda: self.start(status, headers, length)):
+        if self.defer(lambda: self.start(status, headers, length)):
             return
-        self.without_body = has_no_body(self.method, status)
-        framing = self.connection.closing_fields(self)
+        self.without_body = forbids_body(self.method, status)
+        framing = self.connection.connection_fields(self)
         if self.without_body:
-            framing = framing + self.stated_length(status, headers, b'')
+            framing = framing + self.length_fields(status, headers, b'')
         elif length is not None:
             framing = framing + [('Content-Length', str(length))]
         elif self.request.minor_version:
@@ -251,9 +251,9 @@
         else:
             self.request.keep_alive = False
             framing = [CLOSE]
-        data = answer_head(status, headers, framing)
-        self.left = length
-        self.state = AnswerState.STREAMING
+        data = response_head(status, headers, framing)
+        self.remaining = length
+        self.state = ResponseState.STREAMING
         self.connection.stream.write(data)
 
     def send(self, data: bytes) -> None:
@@ -261,15 +261,15 @@
 
         Exceeding the declared length aborts the response.
         """
-        if self.hold(lambda: self.send(data)):
+        if self.defer(lambda: self.send(data)):
             return
-        if self.state is not AnswerState.STREAMING or not data:
+        if self.state is not ResponseState.STREAMING or not data:
             return
         if self.without_body:
             return
-        if self.left is not None:
-            self.left -= len(data)
-            if self.left < 0:
+        if self.remaining is not None:
+            self.remaining -= len(data)
+            if self.remaining < 0:
                 self.abort()
                 return
         if self.chunked:
@@ -278,22 +278,22 @@
 
     def finish(self) -> None:
         """Finish a streamed response; abort it if it is too short."""
-        if self.hold(self.finish):
+        if self.defer(self.finish):
             return
-        if self.state is not AnswerState.STREAMING:
+        if self.state is not ResponseState.STREAMING:
             return
-        if self.left and not self.without_body:
+        if self.remaining and not self.without_body:
             self.abort()
             return
-        self.state = AnswerState.DONE
+        self.state = ResponseState.DONE
         if self.chunked:
             self.connection.stream.write(LAST_CHUNK)
-        self.connection.answered(self)
+        self.connection.response_sent(self)
 
     def abort(self) -> None:
         """Reset the connection, so that a partial response isn't accepted."""
-        if self.hold(self.abort):
+        if self.defer(self.abort):
             return
-        if self.state is not AnswerState.DONE:
-            self.state = AnswerState.DONE
+        if self.state is not ResponseState.DONE:
+            self.state = ResponseState.DONE
             self.connection.reset()
--- a/cyclamenlift/http/lazy_web.py
+++ b/cyclamenlift/http/lazy_web.py
@@ -35,7 +35,7 @@
         super().__init__(channel=channel)
         self.make_controllers = make_controllers
         self.bridge = None
-        self.early: list[Exchange] | None = None
+        self.queued: list[Exchange] | None = None
         self.register(root)
         self.http = HttpServer(
             root.poller, limits or HttpLimits(), self.take, f'{channel}-http'
@@ -50,17 +50,17 @@
         """
         if self.bridge is None:
             self.bridge = self.make_bridge()
-            self.early = []
+            self.queued = []
             self.fire(pages_ready(), self.channel)
-        if self.early is not None:
-            self.early.append(exchange)
+        if self.queued is not None:
+            self.queued.append(exchange)
             return
         self.bridge.take(exchange)
 
     @handler('pages_ready')
     def _on_pages_ready(self) -> None:
-        early, self.early = self.early or [], None
-        for exchange in early:
+        queued, self.queued = self.queued or [], None
+        for exchange in queued:
             self.bridge.take(exchange)
 
     def make_bridge(self):
--- a/cyclamenlift/http/request_parser.py
+++ b/cyclamenlift/http/request_parser.py
@@ -23,7 +23,7 @@
 VERSIONS = {'1.1': 1, '1.0': 0}
 
 
-class RequestRefused(Exception):
+class RequestRejected(Exception):
     """The request violates a framing rule or a limit."""
 
     def __init__(self, code: ResultCode, detail: str):
@@ -68,7 +68,7 @@
         'problem',
         'progress',
         'queue',
-        'quiet_bytes',
+        'unparsed_bytes',
         'stopped',
         'target',
     )
@@ -82,7 +82,7 @@
         self.headers: Headers = []
         self.target = b''
         self.head_bytes = 0
-        self.quiet_bytes = 0
+        self.unparsed_bytes = 0
         self.in_head = False
         self.progress = False
         self.stopped = False
@@ -97,30 +97,30 @@
         except HttpParserUpgrade:
             self.stopped = True
         except HttpParserError as error:
-            self.stop_at(error)
-        self.count_quiet(len(data))
+            self.stop_on_error(error)
+        self.limit_unparsed(len(data))
 
-    def stop_at(self, error: HttpParserError) -> None:
+    def stop_on_error(self, error: HttpParserError) -> None:
         """Record a parser error unless parsing has already stopped."""
         if self.stopped:
             return
         self.stopped = True
         cause = error.__context__
-        if isinstance(cause, RequestRefused):
+        if isinstance(cause, RequestRejected):
             self.problem = cause.problem
         else:
             self.problem = Problem(ResultCode.BAD_FRAMING, str(error))
 
-    def count_quiet(self, size: int) -> None:
+    def limit_unparsed(self, size: int) -> None:
         """Limit input that completes no head and carries no body bytes.
 
         llhttp buffers an unfinished line without a limit.
         """
         if self.progress or self.stopped:
-            self.quiet_bytes = 0
+            self.unparsed_bytes = 0
             return
-        self.quiet_bytes += size
-        if self.quiet_bytes > self.limits.max_header_bytes:
+        self.unparsed_bytes += size
+        if self.unparsed_bytes > self.limits.max_header_bytes:
             self.stopped = True
             self.problem = Problem(
                 ResultCode.HEADERS_TOO_LARGE,
@@ -142,7 +142,7 @@
         self.head_bytes += len(name) + len(value) + FIELD_OVERHEAD
         limits = self.limits
         if self.head_bytes + len(self.target) > limits.max_header_bytes:
-            raise RequestRefused(
+            raise RequestRejected(
                 ResultCode.HEADERS_TOO_LARGE,
                 f'over {limits.max_header_bytes} bytes',
             )
@@ -155,7 +155,7 @@
         )
         self.headers.append(field)
         if len(self.headers) > limits.max_headers:
-            raise RequestRefused(
+            raise RequestRejected(
                 ResultCode.HEADERS_TOO_LARGE,
                 f'over {limits.max_headers} header fields',
             )
@@ -171,7 +171,7 @@
         request = self.current
         request.body_bytes += len(data)
         if request.body_bytes > self.limits.max_body_bytes:
-            raise RequestRefused(
+            raise RequestRejected(
                 ResultCode.BODY_TOO_LARGE,
                 f'over {self.limits.max_body_bytes} bytes',
             )
@@ -189,20 +189,20 @@
     # -- validation of the head -------------------------------------------
 
     def build_request(self) -> IncomingRequest:
-        """Validate the head; raise RequestRefused if it is invalid."""
+        """Validate the head; raise RequestRejected if it is invalid."""
         version = self.parser.get_http_version()
         minor = VERSIONS.get(version)
         if minor is None:
-            refuse(f'HTTP version {version} is not supported')
+            reject(f'HTTP version {version} is not supported')
         method = self.parser.get_method().decode('ascii')
-        fields = self.single_fields()
+        fields = self.fields_by_name()
         host = fields.get('host')
         check_host(host, minor)
         length = self.body_length(fields, minor)
         upgrade = self.parser.should_upgrade()
         if upgrade and (method == 'CONNECT' or length != 0):
             # llhttp would treat the body as data of another protocol.
-            refuse('protocol upgrades are not supported')
+            reject('protocol upgrades are not supported')
         return IncomingRequest(
             method,
             request_path(self.target.decode('latin-1'), method, host),
@@ -213,12 +213,12 @@
             expects_continue(fields, minor),
         )
 
-    def single_fields(self) -> dict[str, str]:
+    def fields_by_name(self) -> dict[str, str]:
         """Return the fields by name; reject a duplicate ``Host``."""
         fields = {}
         for name, value in self.headers:
             if name == 'host' and name in fields:
-                refuse('more than one Host field')
+                reject('more than one Host field')
             fields[name] = value
         return fields
 
@@ -227,30 +227,30 @@
         coding = fields.get('transfer-encoding')
         if coding is not None:
             if coding.lower() != 'chunked' or not minor:
-                refuse(f'transfer coding {coding!r} is not supported')
+                reject(f'transfer coding {coding!r} is not supported')
             return None
         length = int(fields.get('content-length', '0'))
         if length > self.limits.max_body_bytes:
-            raise RequestRefused(
+            raise RequestRejected(
                 ResultCode.BODY_TOO_LARGE,
                 f'{length} bytes exceed {self.limits.max_body_bytes}',
             )
         return length
 
 
-def refuse(detail: str) -> None:
-    """Raise RequestRefused for invalid framing."""
-    raise RequestRefused(ResultCode.BAD_FRAMING, detail)
+def reject(detail: str) -> None:
+    """Raise RequestRejected for invalid framing."""
+    raise RequestRejected(ResultCode.BAD_FRAMING, detail)
 
 
 def check_host(host: str | None, minor: int) -> None:
     """Reject a missing or malformed ``Host``."""
     if host is None:
         if minor:
-            refuse('the Host field is missing')
+            reject('the Host field is missing')
         return
     if HOST_PATTERN.fullmatch(host) is None:
-        refuse('the Host field is malformed')
+        reject('the Host field is malformed')
 
 
 def request_path(target: str, method: str, host: str | None) -> str:
@@ -264,15 +264,15 @@
     '/a'
     """
     if '#' in target:
-        refuse('the request target contains a fragment')
+        reject('the request target contains a fragment')
     if target.startswith('/') or (target == '*' and method == 'OPTIONS'):
         return target
     scheme, mark, rest = target.partition('://')
     authority, slash, path = rest.partition('/')
     if not mark or scheme.lower() != 'http':
-        refuse('the request target is malformed')
+        reject('the request target is malformed')
     if authority.lower() != (host or '').lower():
-        refuse('the request target names another host')
+        reject('the request target names another host')
     return '/' + path
 
 
@@ -282,7 +282,7 @@
     if expectation is None:
         return False
     if expectation.lower() != '100-continue':
-        raise RequestRefused(
+        raise RequestRejected(
             ResultCode.EXPECTATION_FAILED, f'Expect: {expectation[:100]}'
         )
     return minor == 1
--- a/cyclamenlift/http/response.py
+++ b/cyclamenlift/http/response.py
@@ -39,16 +39,16 @@
     return line
 
 
-def has_no_body(method: str, status: int) -> bool:
+def forbids_body(method: str, status: int) -> bool:
     """Return whether HTTP forbids a body in this response.
 
-    >>> has_no_body('HEAD', 200), has_no_body('GET', 200)
+    >>> forbids_body('HEAD', 200), forbids_body('GET', 200)
     (True, False)
     """
     return method == 'HEAD' or status in (204, 304)
 
 
-def answer_head(status: int, headers: Headers, framing: Headers) -> bytes:
+def response_head(status: int, headers: Headers, framing: Headers) -> bytes:
     """Return the head; ``framing`` replaces framing fields in ``headers``.
 
     Raises HeaderError when a value contains a line break.
@@ -58,10 +58,10 @@
     return render_head(status_line(status), fields)
 
 
-def run_word(code: ResultCode) -> str:
+def run_status(code: ResultCode) -> str:
     """Return whether the request ran: ``yes``, ``no`` or ``unknown``.
 
-    >>> run_word(ResultCode.DRAINING), run_word(ResultCode.PEER_LOST)
+    >>> run_status(ResultCode.DRAINING), run_status(ResultCode.PEER_LOST)
     ('no', 'unknown')
     """
     if is_not_run(code):
@@ -88,7 +88,7 @@
         'code': int(problem.code),
         'title': describe(problem.code).title,
         'detail': problem.detail,
-        'run': run_word(problem.code),
+        'run': run_status(problem.code),
         'hint': problem.advice(),
         'retry_after_ms': retry_after_ms(problem),
     }
--- a/cyclamenlift/http/target.py
+++ b/cyclamenlift/http/target.py
@@ -9,7 +9,7 @@
 from cyclamenlift.http.headers import Headers
 from cyclamenlift.http.headers import render_head
 
-DROPPED = FRAMING | {'expect'}
+REPLACED_FIELDS = FRAMING | {'expect'}
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -37,7 +37,9 @@
         """
         if not self.method.isalpha() or ' ' in self.path or not self.path:
             raise HeaderError('malformed request line')
-        fields = [field for field in self.headers if field[0] not in DROPPED]
+        fields = [
+            field for field in self.headers if field[0] not in REPLACED_FIELDS
+        ]
         if self.body_length is None:
             fields.append(('transfer-encoding', 'chunked'))
         elif self.body_length or self.method not in ('GET', 'HEAD'):
--- a/cyclamenlift/http/target_call.py
+++ b/cyclamenlift/http/target_call.py
@@ -21,16 +21,16 @@
     """
 
     __slots__ = (
-        'answering',
+        'response_started',
         'body_left',
         'client',
         'done',
         'head',
-        'head_given',
+        'head_written',
         'listener',
         'paused',
         'request',
-        'request_whole',
+        'request_complete',
         'sent',
         'stream',
         'unsent',
@@ -48,9 +48,9 @@
         self.head = request.head()
         self.unsent: list[bytes] = []
         self.body_left = request.body_length
-        self.request_whole = request.body_length == 0
-        self.head_given = False
-        self.answering = False
+        self.request_complete = request.body_length == 0
+        self.head_written = False
+        self.response_started = False
         self.stream: Stream | None = None
         self.paused = False
         self.sent = False
@@ -68,16 +68,16 @@
         Raises ValueError when the pieces don't add up to the declared
         length; the caller must then cancel.
         """
-        if self.done or self.request_whole:
+        if self.done or self.request_complete:
             return
-        self.count_body(len(data), last)
+        self.check_body_length(len(data), last)
         if self.request.body_length is None:
-            data = chunk_of(data, last)
-        self.request_whole = last
+            data = encode_chunk(data, last)
+        self.request_complete = last
         self.unsent.append(data)
-        self.client.push(self)
+        self.client.write_request(self)
 
-    def count_body(self, size: int, last: bool) -> None:
+    def check_body_length(self, size: int, last: bool) -> None:
         if self.body_left is None:
             return
         left = self.body_left - size
@@ -85,7 +85,7 @@
             raise ValueError('the body differs from its declared length')
         self.body_left = left
 
-    def end(self) -> TargetListener:
+    def finish(self) -> TargetListener:
         """Mark the call as done; return the listener for its last callback.
 
         The listener usually refers to this call. Dropping it here breaks the
@@ -99,8 +99,8 @@
     def cancel(self) -> None:
         """Cancel: close the connection; no callback follows."""
         if not self.done:
-            self.end()
-            self.client.drop(self)
+            self.finish()
+            self.client.discard_call(self)
 
     def pause(self) -> None:
         """Stop reading the response (back-pressure).
@@ -118,10 +118,10 @@
             self.stream.resume_reading()
 
 
-def chunk_of(data: bytes, last: bool) -> bytes:
+def encode_chunk(data: bytes, last: bool) -> bytes:
     """Return data encoded as a chunk, with the last chunk if ``last``.
 
-    >>> chunk_of(b'abc', True)
+    >>> encode_chunk(b'abc', True)
     b'3\\r\\nabc\\r\\n0\\r\\n\\r\\n'
     """
     chunk = b'%x\r\n%b\r\n' % (len(data), data) if data else b''
--- a/cyclamenlift/http/web.py
+++ b/cyclamenlift/http/web.py
@@ -37,14 +37,14 @@
 
 LOG = structlog.get_logger('web')
 SAFE_METHODS = ('GET', 'HEAD', 'OPTIONS')
-MAX_PAGE_BODY = 2 * 1024 * 1024
-PROBLEM_OF_STATUS = {
+MAX_BODY_BYTES = 2 * 1024 * 1024
+CODE_BY_STATUS = {
     404: ResultCode.NOT_FOUND,
     405: ResultCode.METHOD_NOT_ALLOWED,
 }
 
 
-class BorderAddress(NamedTuple):
+class ServerAddress(NamedTuple):
     """Server attributes that ``circuits.web`` reads."""
 
     host: str
@@ -61,7 +61,7 @@
     """
 
     def __init__(self, address: Address, channel: str):
-        super().__init__(BorderAddress(*address), channel=channel)
+        super().__init__(ServerAddress(*address), channel=channel)
         self.dispatcher = Dispatcher(channel=channel).register(self)
 
     # -- requests ---------------------------------------------------------
@@ -72,19 +72,19 @@
 
         def on_body(data: bytes, last: bool) -> None:
             parts.append(data)
-            if sum(map(len, parts)) > MAX_PAGE_BODY:
+            if sum(map(len, parts)) > MAX_BODY_BYTES:
                 refuse_size(exchange)
             elif last:
-                self.open_request(exchange, b''.join(parts))
+                self.dispatch_request(exchange, b''.join(parts))
 
         # Nothing runs before the whole body has been read.
         exchange.on_broken = exchange.respond_problem
-        if (exchange.body_length or 0) > MAX_PAGE_BODY:
+        if (exchange.body_length or 0) > MAX_BODY_BYTES:
             refuse_size(exchange)
         else:
             exchange.read_body(on_body)
 
-    def open_request(self, exchange: Exchange, body: bytes) -> None:
+    def dispatch_request(self, exchange: Exchange, body: bytes) -> None:
         """Fire the request event if a controller serves the path."""
         try:
             request = self.build_request(exchange, body)
@@ -166,7 +166,7 @@
             return
         if event.error is not None:
             LOG.error('page_failed', path=request.path, error=event.traceback)
-        kind = PROBLEM_OF_STATUS.get(status)
+        kind = CODE_BY_STATUS.get(status)
         if kind is None:
             kind = ResultCode.BAD_REQUEST
             if status >= 500:
@@ -240,7 +240,7 @@
 
 
 def refuse_size(exchange: Exchange) -> None:
-    detail = f'over {MAX_PAGE_BODY} bytes'
+    detail = f'over {MAX_BODY_BYTES} bytes'
     exchange.respond_problem(Problem(ResultCode.BODY_TOO_LARGE, detail))
 
 
--- a/cyclamenlift/wire/codec.py
+++ b/cyclamenlift/wire/codec.py
@@ -30,7 +30,7 @@
 FIELD_OF = {spec[3][0]: spec[2] for spec in FIELDS}
 STOP = bytes([TType.STOP])
 # First byte of a struct field whose ID doesn't fit the short form.
-LONG_HEAD = 0x0C
+LONG_FIELD_HEADER = 0x0C
 
 
 class FrameError(Exception):
@@ -101,7 +101,7 @@
     return packet
 
 
-def head_of(kind) -> bytes:
+def union_prefix(kind) -> bytes:
     """Return the bytes before a message of ``kind`` in its union.
 
     An encoded union with a struct field consists of the field's type and ID,
@@ -112,8 +112,8 @@
     return union[: len(union) - len(encode_compact(message)) - len(STOP)]
 
 
-HEAD_OF = {kind: head_of(kind) for kind in FIELD_OF}
-KIND_OF = {head: kind for kind, head in HEAD_OF.items()}
+PREFIX_BY_TYPE = {kind: union_prefix(kind) for kind in FIELD_OF}
+TYPE_BY_PREFIX = {head: kind for kind, head in PREFIX_BY_TYPE.items()}
 
 
 def encode_frame(message) -> bytes:
@@ -123,7 +123,7 @@
     writing and reading a ``Frame`` object, which has a field for each kind
     of message, would cost more than the message itself.
     """
-    data = HEAD_OF[type(message)] + encode_compact(message) + STOP
+    data = PREFIX_BY_TYPE[type(message)] + encode_compact(message) + STOP
     return LENGTH.pack(len(data)) + data
 
 
@@ -132,8 +132,8 @@
 
     Raises FrameError unless it contains exactly one known message.
     """
-    size = 2 if data[:1] == bytes([LONG_HEAD]) else 1
-    kind = KIND_OF.get(data[:size])
+    size = 2 if data[:1] == bytes([LONG_FIELD_HEADER]) else 1
+    kind = TYPE_BY_PREFIX.get(data[:size])
     if kind is None:
         raise FrameError('unknown message type in a frame')
     message = read_struct(kind, data[size:], protocol)
--- a/cyclamenlift/wire/tasks.py
+++ b/cyclamenlift/wire/tasks.py
@@ -27,10 +27,10 @@
 # answers nothing, and its peers should soon retry once it is back. Each
 # further one is doubled, since on a slow link a reply may queue behind bodies
 # for half a second.
-FIRST_CONNECT_SECONDS = 0.2
-MOST_CONNECT_SECONDS = 1.0
+INITIAL_CONNECT_SECONDS = 0.2
+MAX_CONNECT_SECONDS = 1.0
 # Addresses with a stored timeout: more than there are instances.
-MOST_REMEMBERED = 2048
+MAX_STORED_TIMEOUTS = 2048
 MAX_PENDING = 64 * 1024 * 1024
 LOG = structlog.get_logger('wire')
 
@@ -108,7 +108,7 @@
     # A link may fail without being closed, and calls would wait on it until
     # their deadlines, which are a second or more away. 2 s without an
     # acknowledgement leave enough time to retransmit lost packets.
-    silence_seconds = 2
+    peer_timeout_seconds = 2
 
     def __init__(self, poller, instance: str, data_centre: str, cluster: str):
         super().__init__(poller, channel='peers')
@@ -118,10 +118,10 @@
         self.numbers = itertools.count(1)
         self.outgoing: dict[Address, Link] = {}
         # Next connect timeout in seconds, by address with failed attempts.
-        self.connect_waits: dict[Address, float] = {}
+        self.connect_timeouts: dict[Address, float] = {}
         self.receivers: dict[str, Callable[[Link, object], None]] = {}
         self.lost_hooks: list[Callable[[Link], None]] = []
-        self.refused_frames = 0
+        self.rejected_frames = 0
 
     # -- commands ---------------------------------------------------------
 
@@ -145,8 +145,8 @@
         stream.context = link
         self.outgoing[address] = link
         link.send(self.make_hello())
-        wait = self.connect_waits.get(address, FIRST_CONNECT_SECONDS)
-        self.root.scheduler.after(wait, lambda: self.check_connected(link))
+        timeout = self.connect_timeouts.get(address, INITIAL_CONNECT_SECONDS)
+        self.root.scheduler.after(timeout, lambda: self.check_connected(link))
         return link
 
     def is_linked(self, address: Address) -> bool:
@@ -204,7 +204,7 @@
     def on_connected(self, stream: Stream) -> None:
         link = stream.context
         link.was_up = True
-        self.connect_waits.pop(link.address, None)
+        self.connect_timeouts.pop(link.address, None)
 
     def on_data(self, stream: Stream, data: bytes) -> None:
         link = stream.context
@@ -212,7 +212,7 @@
         try:
             messages = link.reader.feed(data)
         except FrameError as error:
-            self.refuse(link, ResultCode.FRAME_MALFORMED, str(error))
+            self.reject(link, ResultCode.FRAME_MALFORMED, str(error))
             return
         for field, message in messages:
             if link.closed:
@@ -227,11 +227,11 @@
 
     def dispatch(self, link: Link, field: str, message) -> None:
         if link.hello is None:
-            self.greet(link, message)
+            self.accept_hello(link, message)
             return
         receiver = self.receivers.get(field)
         if receiver is None:
-            self.refuse(link, ResultCode.FRAME_UNEXPECTED, field)
+            self.reject(link, ResultCode.FRAME_UNEXPECTED, field)
             return
         try:
             receiver(link, message)
@@ -239,23 +239,23 @@
             # A valid frame may contain values that its receiver can't
             # process; only this connection must be affected.
             LOG.exception('receiver_failed', field=field)
-            self.refuse(link, ResultCode.FRAME_UNEXPECTED, field)
+            self.reject(link, ResultCode.FRAME_UNEXPECTED, field)
 
-    def greet(self, link: Link, message) -> None:
+    def accept_hello(self, link: Link, message) -> None:
         """Process the first frame, which must be a matching hello."""
-        fits = (
+        matches = (
             isinstance(message, Hello)
             and message.cluster == self.cluster
             and message.wire_version == WIRE_VERSION
         )
-        if not fits:
-            self.refuse(link, ResultCode.STRANGER, type(message).__name__)
+        if not matches:
+            self.reject(link, ResultCode.STRANGER, type(message).__name__)
             return
         link.hello = message
 
-    def refuse(self, link: Link, code: ResultCode, detail: str) -> None:
+    def reject(self, link: Link, code: ResultCode, detail: str) -> None:
         """Close the connection of a foreign or faulty peer."""
-        self.refused_frames += 1
+        self.rejected_frames += 1
         LOG.warning(
             'frame_refused',
             code=int(code),
@@ -270,16 +270,16 @@
         if link.was_up or link.closed:
             return
         address = link.address
-        wait = self.connect_waits.get(address, FIRST_CONNECT_SECONDS)
-        LOG.info('peer_not_reached', remote=str(address), seconds=wait)
-        if len(self.connect_waits) >= MOST_REMEMBERED:
-            self.connect_waits.clear()
-        self.connect_waits[address] = min(MOST_CONNECT_SECONDS, 2 * wait)
+        timeout = self.connect_timeouts.get(address, INITIAL_CONNECT_SECONDS)
+        LOG.info('peer_not_reached', remote=str(address), seconds=timeout)
+        if len(self.connect_timeouts) >= MAX_STORED_TIMEOUTS:
+            self.connect_timeouts.clear()
+        self.connect_timeouts[address] = min(MAX_CONNECT_SECONDS, 2 * timeout)
         self.drop(link, TimeoutError('connect timed out'))
 
     def check_hello(self, link: Link) -> None:
         if link.hello is None and not link.closed:
-            self.refuse(link, ResultCode.STRANGER, 'no hello received in time')
+            self.reject(link, ResultCode.STRANGER, 'no hello received in time')
 
     def make_hello(self) -> Hello:
         return Hello(
--- a/tests/core/test_log_sink.py
+++ b/tests/core/test_log_sink.py
@@ -6,11 +6,11 @@
 import pytest
 import structlog
 
-from cyclamenlift.core.log_budget import LineBudget
-from cyclamenlift.core.log_budget import LINES_AT_ONCE
+from cyclamenlift.core.log_budget import BURST_LINES
 from cyclamenlift.core.log_budget import LINES_PER_SECOND
-from cyclamenlift.core.log_sink import KEPT_BYTES
+from cyclamenlift.core.log_budget import LogRateLimiter
 from cyclamenlift.core.log_sink import LogSink
+from cyclamenlift.core.log_sink import MAX_BUFFERED_BYTES
 
 LINE = 'x' * 200
 
@@ -43,8 +43,8 @@
     for _ in range(20_000):
         sink.msg(LINE)
     assert time.monotonic() - began < 5.0
-    assert sink.size <= KEPT_BYTES
-    assert sink.left_out > 0
+    assert sink.buffered_bytes <= MAX_BUFFERED_BYTES
+    assert sink.dropped > 0
 
 
 def test_lines_come_whole_and_in_order_once_the_reader_goes_on(pipe):
@@ -52,7 +52,7 @@
     sink = LogSink(writer)
     for number in range(2_000):
         sink.msg(f'{number:06d}{LINE}')
-    left_out = sink.left_out
+    dropped = sink.dropped
     text = b''
     for _ in range(20):
         text += read_all(reader)
@@ -60,8 +60,8 @@
     text += read_all(reader)
     lines = text.decode().splitlines()
     numbers = [int(line[:6]) for line in lines if line.endswith(LINE)]
-    assert numbers == list(range(2_000 - left_out))
-    assert f'"count": {left_out}' in lines[-1]
+    assert numbers == list(range(2_000 - dropped))
+    assert f'"count": {dropped}' in lines[-1]
 
 
 def test_a_reader_that_is_gone_costs_nothing():
@@ -70,12 +70,12 @@
     sink = LogSink(writer)
     sink.msg(LINE)
     os.close(writer)
-    assert sink.size <= len(LINE) + 1
+    assert sink.buffered_bytes <= len(LINE) + 1
 
 
 def test_a_crowd_of_one_event_is_counted_instead_of_written():
     now = [0.0]
-    budget = LineBudget(lambda: now[0])
+    budget = LogRateLimiter(lambda: now[0])
     written = 0
     for _ in range(1_000):
         try:
@@ -83,7 +83,7 @@
             written += 1
         except structlog.DropEvent:
             continue
-    assert written == LINES_AT_ONCE
+    assert written == BURST_LINES
     assert budget(None, 'info', {'event': 'started'}) == {'event': 'started'}
     now[0] += 1.0 / LINES_PER_SECOND
     fields = budget(None, 'info', {'event': 'refused'})
--- a/tests/http/test_server.py
+++ b/tests/http/test_server.py
@@ -33,7 +33,7 @@
     """Don't respond; the test does so through ``border.exchanges``."""
 
 
-def build_held(limits=LIMITS) -> Border:
+def build_manual_border(limits=LIMITS) -> Border:
     return build_border(keep, limits)
 
 
@@ -42,7 +42,7 @@
 
 
 def test_pipelined_requests_wait_until_the_one_before_is_answered():
-    border = build_held()
+    border = build_manual_border()
     caller = border.ask(GET_A + GET_B)
     assert [e.path for e in border.exchanges] == ['/a']
     border.exchanges[0].respond(200, [], b'first')
@@ -60,7 +60,7 @@
 
 
 def test_continue_is_sent_only_when_the_body_is_asked_for():
-    border = build_held()
+    border = build_manual_border()
     caller = border.ask(EXPECTING)
     assert caller.received == b''
     got = []
@@ -72,7 +72,7 @@
 
 
 def test_continue_is_not_sent_once_the_body_is_coming():
-    border = build_held()
+    border = build_manual_border()
     caller = border.ask(EXPECTING + b'ab')
     border.exchanges[0].read_body(lambda data, last: None)
     border.loop.settle(caller)
@@ -91,7 +91,7 @@
 
 def test_body_that_nobody_reads_stays_with_the_caller():
     limits = dataclasses.replace(LIMITS, max_body_bytes=len(LARGE))
-    border = build_held(limits)
+    border = build_manual_border(limits)
     caller = border.ask(request(POST, f'Content-Length: {len(LARGE)}'))
     assert caller.sock.send(LARGE) > 4 * READ_SIZE
     border.loop.settle(caller)
@@ -99,7 +99,7 @@
 
 
 def test_refusal_before_the_body_asks_for_none_and_closes():
-    border = build_held()
+    border = build_manual_border()
     caller = border.ask(EXPECTING)
     border.exchanges[0].respond(503, [], b'full')
     caller.until(lambda c: c.closed)
@@ -108,7 +108,7 @@
 
 
 def test_small_unread_body_is_skipped_and_the_connection_stays():
-    border = build_held()
+    border = build_manual_border()
     caller = border.ask(request(POST, 'Content-Length: 8', body=b'abcd'))
     border.exchanges[0].respond(503, [], b'full')
     caller.send(b'efgh' + GET_B)
@@ -150,7 +150,7 @@
 
 
 def test_caller_that_reads_nothing_of_its_answer_is_reset():
-    border = build_held(SOON)
+    border = build_manual_border(SOON)
     caller = border.caller().send(GET_A)
     border.loop.until(lambda: border.exchanges)
     border.exchanges[0].respond(200, [], LARGE)
@@ -221,7 +221,7 @@
 
 
 def test_piece_over_the_declared_length_is_not_sent():
-    border = build_held()
+    border = build_manual_border()
     caller = border.ask(GET_A)
     border.exchanges[0].start(200, [], 5)
     border.exchanges[0].send(b'abc')
@@ -232,7 +232,7 @@
 
 
 def test_aborted_answer_ends_with_a_reset():
-    border = build_held()
+    border = build_manual_border()
     caller = border.ask(GET_A)
     border.exchanges[0].start(200, [], None)
     border.exchanges[0].send(b'abc')
@@ -243,7 +243,7 @@
 
 @pytest.mark.parametrize('started', [False, True])
 def test_owner_learns_once_that_the_caller_left(started):
-    border = build_held()
+    border = build_manual_border()
     caller = border.ask(GET_A)
     exchange = border.exchanges[0]
     left = []
@@ -260,7 +260,7 @@
 
 
 def test_owner_answers_when_a_body_breaks_after_a_part_was_handed_over():
-    border = build_held()
+    border = build_manual_border()
     caller = border.ask(request(POST, 'Content-Length: 900', body=b'abc'))
     got = []
     problems = []
@@ -276,7 +276,7 @@
 
 
 def test_broken_body_is_not_answered_in_the_name_of_a_silent_owner():
-    border = build_held()
+    border = build_manual_border()
     chunked = request(POST, 'Transfer-Encoding: chunked')
     caller = border.ask(chunked + b'3\r\nabc\r\n')
     exchange = border.exchanges[0]
@@ -290,7 +290,7 @@
 
 def test_paused_body_stays_with_the_caller_until_resumed():
     limits = dataclasses.replace(LIMITS, max_body_bytes=len(LARGE))
-    border = build_held(limits)
+    border = build_manual_border(limits)
     head = request(POST, f'Content-Length: {len(LARGE)}')
     caller = border.caller().send(head)
     border.loop.until(lambda: border.exchanges)
@@ -313,7 +313,7 @@
 
 
 def test_owner_sees_what_the_kernel_has_not_taken_and_when_it_has():
-    border = build_held()
+    border = build_manual_border()
     caller = border.ask(GET_A)
     exchange = border.exchanges[0]
     drained = []
@@ -327,7 +327,7 @@
 
 @pytest.mark.parametrize('value', ['a\r\nX: b', 'a\nb', 'a\rb', 'a\0b', '€'])
 def test_header_value_can_not_forge_a_line(value):
-    border = build_held()
+    border = build_manual_border()
     caller = border.ask(GET_A)
     exchange = border.exchanges[0]
     with pytest.raises(HeaderError):
@@ -353,7 +353,7 @@
 
 
 def test_drain_answers_what_is_in_flight_and_ends_the_idle():
-    border = build_held()
+    border = build_manual_border()
     busy = border.ask(GET_A)
     idle = border.caller()
     late = border.caller()
@@ -419,7 +419,7 @@
 
 
 def test_request_is_described_as_it_came():
-    border = build_held()
+    border = build_manual_border()
     border.ask(
         request('GET http://a/x?y=1 HTTP/1.1', 'X-B:  1 ', 'x-b: 2', 'X-C: é')
     )
--- a/tests/http/test_splits.py
+++ b/tests/http/test_splits.py
@@ -4,7 +4,7 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 
-from cyclamenlift.http.answer_parser import AnswerParser
+from cyclamenlift.http.answer_parser import ResponseParser
 from cyclamenlift.http.limits import ClientLimits
 from cyclamenlift.http.request_parser import RequestParser
 from tests.http.builders import answers_in
@@ -63,12 +63,14 @@
 @STEADY
 @given(CUTS)
 def test_answer_of_the_target_is_the_same(places):
-    parser = AnswerParser(ClientLimits())
-    parser.expect_answer('GET')
+    parser = ResponseParser(ClientLimits())
+    parser.expect_response('GET')
     for piece in cut(ANSWER, places):
         assert not parser.complete
         parser.feed(piece)
-    assert parser.complete and not parser.problem and not parser.stray
+    assert (
+        parser.complete and not parser.problem and not parser.has_trailing_data
+    )
     assert (parser.status, b''.join(parser.chunks)) == (200, b'abcde')
 
 
--- a/tests/http/test_target_answers.py
+++ b/tests/http/test_target_answers.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from cyclamenlift.http.answer_parser import AnswerParser
+from cyclamenlift.http.answer_parser import ResponseParser
 from cyclamenlift.http.client import keep_alive_seconds
 from cyclamenlift.http.limits import ClientLimits
 
@@ -14,9 +14,9 @@
     return head.encode() + b'\r\n\r\n' + body
 
 
-def parser(name: str = 'mine') -> AnswerParser:
-    found = AnswerParser(LIMITS)
-    found.expect_answer('GET', name)
+def parser(name: str = 'mine') -> ResponseParser:
+    found = ResponseParser(LIMITS)
+    found.expect_response('GET', name)
     return found
 
 
@@ -41,7 +41,7 @@
     found = parser()
     found.feed(answer('mine') + answer('mine'))
     assert found.complete
-    assert found.stray
+    assert found.has_trailing_data
 
 
 def test_an_answer_without_a_name_is_taken():
@@ -54,7 +54,7 @@
     found = parser()
     found.feed(b'HTTP/1.1 200 OK\r\nX-Call: other\r\n\r\nbytes')
     assert found.problem
-    assert not found.end_of_input()
+    assert not found.completes_at_eof()
 
 
 @pytest.mark.parametrize(
--- a/tests/http/test_web.py
+++ b/tests/http/test_web.py
@@ -15,7 +15,7 @@
 from cyclamenlift.http.pages import problem_answer
 from cyclamenlift.http.pages import query_of
 from cyclamenlift.http.pages import WebAnswer
-from cyclamenlift.http.web import MAX_PAGE_BODY
+from cyclamenlift.http.web import MAX_BODY_BYTES
 from cyclamenlift.http.web import WebServer
 from tests.http.builders import answers_in
 from tests.http.builders import Caller
@@ -142,7 +142,7 @@
     if declared:
         pieces = [
             request(
-                'POST /form HTTP/1.1', f'Content-Length: {MAX_PAGE_BODY + 1}'
+                'POST /form HTTP/1.1', f'Content-Length: {MAX_BODY_BYTES + 1}'
             )
         ]
     else:
--- a/tests/wire/test_tasks.py
+++ b/tests/wire/test_tasks.py
@@ -100,7 +100,7 @@
     bed.run_until(lambda: bed.taken == [1])
     sock = bed.stranger(data)
     bed.run_until(lambda: bed.was_closed(sock))
-    assert bed.second.refused_frames == 1
+    assert bed.second.rejected_frames == 1
     bed.first.send(bed.address, Cancel(2))
     bed.run_until(lambda: bed.taken == [1, 2])
     sock.close()
@@ -198,10 +198,10 @@
 
 
 def test_a_connection_that_comes_up_begins_anew_with_the_short_wait(bed):
-    bed.first.connect_waits[bed.address] = 1.0
+    bed.first.connect_timeouts[bed.address] = 1.0
     link = bed.first.link_to(bed.address)
     bed.run_until(lambda: link.was_up)
-    assert bed.address not in bed.first.connect_waits
+    assert bed.address not in bed.first.connect_timeouts
 
 
 def test_a_connection_is_begun_anew_for_a_peer_that_is_there_now(bed):
