--- a/cyclamenlift/http/client.py
+++ b/cyclamenlift/http/client.py
@@ -144,11 +144,13 @@
         """Record when a connection became idle and when to stop reusing it."""
         connection = stream.context
         connection.idle_since = self.now()
-        stated = keep_alive_seconds(connection.parser.headers)
-        kept = self.limits.idle_seconds
-        if stated is not None:
-            kept = min(kept, stated - self.limits.idle_margin_seconds)
-        connection.idle_deadline = connection.idle_since + kept
+        declared = keep_alive_seconds(connection.parser.headers)
+        max_idle = self.limits.idle_seconds
+        if declared is not None:
+            max_idle = min(
+                max_idle, declared - self.limits.idle_margin_seconds
+            )
+        connection.idle_deadline = connection.idle_since + max_idle
 
     def open(self, call: TargetCall | None) -> Stream:
         """Open a connection for a call, or for the pool without one."""
@@ -234,8 +236,8 @@
         """Open connections up to the configured number of warm ones."""
         self.warm_timer = None
         limits = self.limits
-        kept = min(limits.warm_connections, limits.max_connections)
-        while self.keep_warm and len(self.streams) < kept:
+        wanted = min(limits.warm_connections, limits.max_connections)
+        while self.keep_warm and len(self.streams) < wanted:
             self.open(None)
 
     # -- stream hooks -----------------------------------------------------
--- a/cyclamenlift/http/connection.py
+++ b/cyclamenlift/http/connection.py
@@ -137,11 +137,11 @@
 
     def start_pipelined(self) -> None:
         """Start requests that needn't wait for earlier responses."""
-        most = self.server.limits.max_pipelined - 1
+        limit = self.server.limits.max_pipelined - 1
         last = self.pipelined[-1] if self.pipelined else self.active
         while (
             self.parser.queue
-            and len(self.pipelined) < most
+            and len(self.pipelined) < limit
             and last.request.complete
             and last.request.keep_alive
             and is_pipelinable(self.parser.queue[0])
--- a/cyclamenlift/http/json_requests.py
+++ b/cyclamenlift/http/json_requests.py
@@ -11,27 +11,27 @@
 
 
 def read_whole(
-    exchange: Exchange, most: int, done: Callable[[bytes], None]
+    exchange: Exchange, max_size: int, done: Callable[[bytes], None]
 ) -> None:
-    """Read a body of at most ``most`` bytes, then call ``done`` once."""
+    """Read a body of at most ``max_size`` bytes, then call ``done`` once."""
     parts: list[bytes] = []
 
     def on_body(data: bytes, last: bool) -> None:
         parts.append(data)
-        if sum(map(len, parts)) > most:
-            refuse_size(exchange, most)
+        if sum(map(len, parts)) > max_size:
+            refuse_size(exchange, max_size)
         elif last:
             done(b''.join(parts))
 
     exchange.on_broken = exchange.respond_problem
-    if (exchange.body_length or 0) > most:
-        refuse_size(exchange, most)
+    if (exchange.body_length or 0) > max_size:
+        refuse_size(exchange, max_size)
     else:
         exchange.read_body(on_body)
 
 
-def refuse_size(exchange: Exchange, most: int) -> None:
-    detail = f'over {most} bytes'
+def refuse_size(exchange: Exchange, max_size: int) -> None:
+    detail = f'over {max_size} bytes'
     exchange.respond_problem(Problem(ResultCode.BODY_TOO_LARGE, detail))
 
 
--- a/cyclamenlift/http/server.py
+++ b/cyclamenlift/http/server.py
@@ -83,9 +83,9 @@
 
     def on_accepted(self, stream: Stream) -> None:
         stream.context = CallerConnection(self, stream)
-        most = self.limits.max_connections
-        if most and len(self.streams) > most:
-            detail = f'the limit of {most} connections is reached'
+        limit = self.limits.max_connections
+        if limit and len(self.streams) > limit:
+            detail = f'the limit of {limit} connections is reached'
             problem = Problem(ResultCode.OVERLOADED, detail)
             stream.context.refuse(problem)
 
