--- a/cyclamenlift/calls/life.py
+++ b/cyclamenlift/calls/life.py
@@ -76,7 +76,7 @@
 
     def begin(self) -> None:
         """Gather the body, if there is one, then go on."""
-        self.exchange.on_gone = self.on_gone
+        self.exchange.on_disconnect = self.on_disconnect
         self.exchange.on_broken = self.give_up
         length = self.exchange.body_length
         if length == 0:
@@ -389,11 +389,11 @@
         """
         self.tries.close()
         self.parent = None
-        self.exchange.on_gone = None
+        self.exchange.on_disconnect = None
         self.exchange.on_broken = None
         self.exchange.on_drained = None
 
-    def on_gone(self) -> None:
+    def on_disconnect(self) -> None:
         """The caller left: stop, unless the call must not run in vain."""
         self.caller_gone = True
         if self.answered or self.keyed is not None:
--- a/cyclamenlift/calls/tries.py
+++ b/cyclamenlift/calls/tries.py
@@ -4,9 +4,9 @@
 
 from cyclamenlift.calls.attempt import Try
 from cyclamenlift.calls.state import MOST_ASKED
-from cyclamenlift.core.clock import machine_seconds
 from cyclamenlift.core.clock import MICROSECONDS
 from cyclamenlift.core.clock import MILLISECONDS
+from cyclamenlift.core.clock import seconds_since_boot
 from cyclamenlift.core.clock import time_left
 from cyclamenlift.quarantine.state import Standing
 from cyclamenlift.routing.hedging import last_in_time
@@ -191,7 +191,7 @@
             route_name=request.route_name,
             repeated=call_was_sent(self.call),
             fingerprint=self.call.fingerprint,
-            sent_at_us=int(machine_seconds() * MICROSECONDS),
+            sent_at_us=int(seconds_since_boot() * MICROSECONDS),
         )
 
     def most_pace(self, choice: Choice) -> int:
--- a/cyclamenlift/console/pages.py
+++ b/cyclamenlift/console/pages.py
@@ -20,10 +20,10 @@
 from cyclamenlift.events.reports import PublishReport
 from cyclamenlift.events.reports import StorageReport
 from cyclamenlift.http.pages import Deferred
-from cyclamenlift.http.pages import form_of
-from cyclamenlift.http.pages import problem_answer
-from cyclamenlift.http.pages import query_of
-from cyclamenlift.http.pages import WebAnswer
+from cyclamenlift.http.pages import parse_form
+from cyclamenlift.http.pages import parse_query
+from cyclamenlift.http.pages import problem_response
+from cyclamenlift.http.pages import WebResponse
 
 LOG = structlog.get_logger('console')
 HISTORY_LENGTH = 50
@@ -35,7 +35,7 @@
     ResultCode.DOCUMENT_INVALID,
 )
 
-Answer = Deferred | WebAnswer
+Answer = Deferred | WebResponse
 
 
 class ConsolePages(BaseController):
@@ -89,7 +89,7 @@
 
 def asked_version(request) -> int:
     """Return the version in the query, 0 (the newest) if there is none."""
-    text = query_of(request).get('version', '')
+    text = parse_query(request).get('version', '')
     if not (text.isascii() and text.isdigit()) or len(text) > MAX_DIGITS:
         return 0
     return int(text)
@@ -129,9 +129,9 @@
 def work_on_form(port: ControlPort, request) -> Answer:
     """Change rows, check or publish; the form is kept in each case."""
     try:
-        draft = draft_from_fields(form_of(request))
+        draft = draft_from_fields(parse_form(request))
     except ValueError as error:
-        return problem_answer(Problem(ResultCode.BAD_REQUEST, str(error)))
+        return problem_response(Problem(ResultCode.BAD_REQUEST, str(error)))
     if draft.edit_rows():
         return render_form(draft, ResultCode.ANSWERED)
     if draft.action == 'take-text':
@@ -144,7 +144,7 @@
     if draft.action == 'publish':
         return publish(port, draft)
     detail = f'no action is called {draft.action[:50]!r}'
-    return problem_answer(Problem(ResultCode.BAD_REQUEST, detail))
+    return problem_response(Problem(ResultCode.BAD_REQUEST, detail))
 
 
 def code_of_check(good: bool) -> ResultCode:
@@ -170,7 +170,7 @@
         change = draft.publication()
     except pydantic.ValidationError as error:
         detail = error.errors()[0]['msg']
-        return problem_answer(Problem(ResultCode.BAD_REQUEST, detail))
+        return problem_response(Problem(ResultCode.BAD_REQUEST, detail))
     deferred = Deferred()
 
     def finish(report: PublishReport) -> None:
@@ -198,7 +198,7 @@
     code: ResultCode,
     report: PublishReport | None = None,
     checked: bool = False,
-) -> WebAnswer:
+) -> WebResponse:
     form = FormBuilder(draft.value, draft.problems).build()
     return render(
         'edit.html',
@@ -224,10 +224,10 @@
 def replace_storage(port: ControlPort, request) -> Answer:
     """Order a replacement, then show the instances with its outcome."""
     try:
-        order = StorageReplacement(**dict(form_of(request)))
+        order = StorageReplacement(**dict(parse_form(request)))
     except (ValueError, TypeError):
         detail = 'instance and storage_id are needed'
-        return problem_answer(Problem(ResultCode.BAD_REQUEST, detail))
+        return problem_response(Problem(ResultCode.BAD_REQUEST, detail))
     deferred = Deferred()
 
     def finish(report: StorageReport) -> None:
--- a/cyclamenlift/console/rendering.py
+++ b/cyclamenlift/console/rendering.py
@@ -8,7 +8,7 @@
 from cyclamenlift.core.clock import MILLISECONDS
 from cyclamenlift.core.codes import describe
 from cyclamenlift.core.codes import ResultCode
-from cyclamenlift.http.pages import WebAnswer
+from cyclamenlift.http.pages import WebResponse
 
 # Only what stands in the page itself may be used by it.
 SECURITY = (
@@ -50,11 +50,11 @@
 ENVIRONMENT = make_environment()
 
 
-def render(template: str, code: ResultCode, **values) -> WebAnswer:
+def render(template: str, code: ResultCode, **values) -> WebResponse:
     """Return a page under the HTTP status of ``code``."""
     info = describe(code)
     text = ENVIRONMENT.get_template(template).render(
         code=int(code), info=info, codes=ResultCode, **values
     )
     headers = (*SECURITY, ('Cyclamenlift-Result', str(int(code))))
-    return WebAnswer(text.encode(), info.status or 200, headers=headers)
+    return WebResponse(text.encode(), info.status or 200, headers=headers)
--- a/cyclamenlift/core/clock.py
+++ b/cyclamenlift/core/clock.py
@@ -34,7 +34,7 @@
         return time.time_ns() // 1_000_000
 
 
-def machine_seconds() -> float:
+def seconds_since_boot() -> float:
     """Return the seconds since the machine booted, including suspension."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
--- a/cyclamenlift/core/exporting.py
+++ b/cyclamenlift/core/exporting.py
@@ -18,8 +18,8 @@
 
 from cyclamenlift.core.latency import LatencyHistogram
 from cyclamenlift.core.latency import MICROSECONDS
-from cyclamenlift.core.metrics import Kind
 from cyclamenlift.core.metrics import MetricInfo
+from cyclamenlift.core.metrics import MetricKind
 from cyclamenlift.core.metrics import Reading
 
 Read = Callable[[], Iterable[Reading]]
@@ -57,8 +57,8 @@
     def observe(self, info: MetricInfo, read: Read) -> None:
         """Create the instrument that ``info`` describes."""
         create = {
-            Kind.COUNTER: self.meter.create_observable_counter,
-            Kind.GAUGE: self.meter.create_observable_gauge,
+            MetricKind.COUNTER: self.meter.create_observable_counter,
+            MetricKind.GAUGE: self.meter.create_observable_gauge,
         }[info.kind]
         create(
             info.name,
--- a/cyclamenlift/core/memory.py
+++ b/cyclamenlift/core/memory.py
@@ -8,7 +8,7 @@
 YOUNG_THRESHOLD = 10_000
 
 
-def keep_start_up_objects() -> None:
+def freeze_startup_objects() -> None:
     """Exclude all objects created at start-up from garbage collection.
 
     Modules, classes and settings live as long as the process. A full
--- a/cyclamenlift/core/metrics.py
+++ b/cyclamenlift/core/metrics.py
@@ -19,7 +19,7 @@
 THOUSAND = 1000
 
 
-class Kind(enum.Enum):
+class MetricKind(enum.Enum):
     """Whether a value only increases or may also decrease."""
 
     COUNTER = 'counter'
@@ -42,7 +42,7 @@
     """Name, unit and description of one metric."""
 
     name: str
-    kind: Kind
+    kind: MetricKind
     unit: str
     description: str
     attributes: tuple[str, ...] = ()
@@ -51,101 +51,101 @@
 METRICS = (
     MetricInfo(
         'cyclamenlift.calls',
-        Kind.COUNTER,
+        MetricKind.COUNTER,
         '{call}',
         'finished calls that entered at this instance',
         ('service', 'result'),
     ),
     MetricInfo(
         'cyclamenlift.calls.refused',
-        Kind.COUNTER,
+        MetricKind.COUNTER,
         '{call}',
         'calls that provably did not run, by result code',
         ('service', 'code'),
     ),
     MetricInfo(
         'cyclamenlift.call.duration',
-        Kind.GAUGE,
+        MetricKind.GAUGE,
         's',
         'time from the request head to the end of a call, since start-up',
         ('service', 'quantile'),
     ),
     MetricInfo(
         'cyclamenlift.call.added',
-        Kind.GAUGE,
+        MetricKind.GAUGE,
         's',
         "time of answered calls without the target's time, since start-up",
         ('service', 'quantile'),
     ),
     MetricInfo(
         'cyclamenlift.calls.open',
-        Kind.GAUGE,
+        MetricKind.GAUGE,
         '{call}',
         'unfinished calls that entered at this instance',
     ),
     MetricInfo(
         'cyclamenlift.gate.refused',
-        Kind.COUNTER,
+        MetricKind.COUNTER,
         '{call}',
         'calls refused by this gate',
     ),
     MetricInfo(
         'cyclamenlift.gate.probes',
-        Kind.COUNTER,
+        MetricKind.COUNTER,
         '{probe}',
         'load probes answered by this gate',
     ),
     MetricInfo(
         'cyclamenlift.gate.in_flight',
-        Kind.GAUGE,
+        MetricKind.GAUGE,
         '{call}',
         'calls currently running at the local target',
     ),
     MetricInfo(
         'cyclamenlift.gate.queued',
-        Kind.GAUGE,
+        MetricKind.GAUGE,
         '{call}',
         'calls queued at this gate',
     ),
     MetricInfo(
         'cyclamenlift.gossip.sent',
-        Kind.COUNTER,
+        MetricKind.COUNTER,
         'By',
         'payload of sent membership packets',
     ),
     MetricInfo(
         'cyclamenlift.gossip.received',
-        Kind.COUNTER,
+        MetricKind.COUNTER,
         'By',
         'payload of received membership packets',
     ),
     MetricInfo(
         'cyclamenlift.gossip.refused',
-        Kind.COUNTER,
+        MetricKind.COUNTER,
         '{packet}',
         'membership packets that are malformed or of another cluster',
     ),
     MetricInfo(
         'cyclamenlift.members',
-        Kind.GAUGE,
+        MetricKind.GAUGE,
         '{instance}',
         'members that are alive or suspect',
     ),
     MetricInfo(
         'cyclamenlift.targets.ended',
-        Kind.COUNTER,
+        MetricKind.COUNTER,
         '{end}',
         'terminations of the local target while it ran calls',
     ),
     MetricInfo(
         'cyclamenlift.requests.quarantined',
-        Kind.GAUGE,
+        MetricKind.GAUGE,
         '{request}',
         'requests currently in quarantine',
     ),
     MetricInfo(
         'cyclamenlift.config.version',
-        Kind.GAUGE,
+        MetricKind.GAUGE,
         '{version}',
         'version of the active event document, 0 for none',
     ),
--- a/cyclamenlift/core/problems.py
+++ b/cyclamenlift/core/problems.py
@@ -35,10 +35,10 @@
         return f'{int(self.code)}{place} {detail} ({self.advice()})'
 
 
-def brief(error: object, max_size: int) -> str:
+def one_line(error: object, max_size: int) -> str:
     """Return the text as one line of at most ``max_size`` characters.
 
-    >>> brief(ValueError('much   too\\nlong'), 8)
+    >>> one_line(ValueError('much   too\\nlong'), 8)
     'much too'
     """
     return ' '.join(str(error).split())[:max_size]
--- a/cyclamenlift/events/commands.py
+++ b/cyclamenlift/events/commands.py
@@ -8,7 +8,7 @@
 
 from cyclamenlift.core.codes import ResultCode
 from cyclamenlift.core.packing import pack
-from cyclamenlift.core.problems import brief
+from cyclamenlift.core.problems import one_line
 from cyclamenlift.core.problems import Problem
 from cyclamenlift.events.border import Publication
 from cyclamenlift.events.border import StorageReplacement
@@ -151,7 +151,7 @@
 
 def failed_report(context: ControlContext, error: Exception) -> PublishReport:
     """Return the refusal of a change at which our own code failed."""
-    detail = brief(f'{type(error).__name__}: {error}', MOST_DETAIL)
+    detail = one_line(f'{type(error).__name__}: {error}', MOST_DETAIL)
     problem = Problem(ResultCode.DOCUMENT_INVALID, detail)
     return invalid_report(context, [problem])
 
--- a/cyclamenlift/gate/announcements.py
+++ b/cyclamenlift/gate/announcements.py
@@ -55,7 +55,7 @@
         self.log(announcement, Announced.NEW)
         gate.state.renew(announcement.warm_up_seconds > 0.0)
         if before:
-            gate.client.drop_idle()
+            gate.client.close_idle()
         gate.presence.note_present('announcement')
         if not announcement.draining:
             gate.set_target_state(TargetState.READY)
--- a/cyclamenlift/gate/ends.py
+++ b/cyclamenlift/gate/ends.py
@@ -66,7 +66,7 @@
     def watch(self, client: 'TargetClient') -> None:
         """Learn from these connections whether the target is there."""
         client.refused_hooks.append(self.note_nobody_listens)
-        client.found_hooks.append(self.note_found)
+        client.probe_hooks.append(self.note_found)
 
     @property
     def is_looking(self) -> bool:
@@ -81,7 +81,7 @@
         if len(self.untold) == 1:
             scheduler = self.gate.scheduler
             self.timer = scheduler.after(LOOK_SECONDS, self.tell)
-            self.gate.client.look(now + LOOK_SECONDS)
+            self.gate.client.probe_listener(now + LOOK_SECONDS)
 
     def note_cut(self, call: 'GateCall') -> None:
         """Take a call that was given up while the target ran it.
--- a/cyclamenlift/gate/presence.py
+++ b/cyclamenlift/gate/presence.py
@@ -90,7 +90,7 @@
 
     def check(self) -> None:
         if self.checking:
-            self.gate.client.look(self.gate.now())
+            self.gate.client.probe_listener(self.gate.now())
             self.gate.scheduler.after(CHECK_SECONDS, self.end_check)
 
     def end_check(self) -> None:
@@ -103,5 +103,5 @@
         """Look whether somebody listens, until somebody does."""
         if not self.absent:
             return
-        self.gate.client.look(self.gate.now())
+        self.gate.client.probe_listener(self.gate.now())
         self.plan_try()
--- a/cyclamenlift/gate/tasks.py
+++ b/cyclamenlift/gate/tasks.py
@@ -5,9 +5,9 @@
 
 import structlog
 
-from cyclamenlift.core.clock import machine_seconds
 from cyclamenlift.core.clock import MICROSECONDS
 from cyclamenlift.core.clock import MILLISECONDS
+from cyclamenlift.core.clock import seconds_since_boot
 from cyclamenlift.core.codes import ResultCode
 from cyclamenlift.core.streams import Address
 from cyclamenlift.gate.announcements import Announcements
@@ -215,7 +215,7 @@
 
     def lag_now(self, link) -> float:
         """Return how late calls of a connection come now, in seconds."""
-        return self.delays.lag(link.number, machine_seconds())
+        return self.delays.lag(link.number, seconds_since_boot())
 
     def bytes_due(self) -> int:
         """Return the bytes of bodies that are still to come."""
@@ -301,7 +301,7 @@
         if not start.sent_at_us:
             return 0.0
         sent_at = start.sent_at_us / MICROSECONDS
-        return self.delays.note(link.number, sent_at, machine_seconds())
+        return self.delays.note(link.number, sent_at, seconds_since_boot())
 
     def on_body_chunk(self, link, chunk: BodyChunk) -> None:
         call = self.calls.get((link.number, chunk.call_id))
--- a/cyclamenlift/http/__init__.py
+++ b/cyclamenlift/http/__init__.py
@@ -7,7 +7,7 @@
 from cyclamenlift.http.limits import ClientLimits
 from cyclamenlift.http.limits import HttpLimits
 from cyclamenlift.http.pages import Deferred
-from cyclamenlift.http.pages import WebAnswer
+from cyclamenlift.http.pages import WebResponse
 from cyclamenlift.http.server import HttpServer
 from cyclamenlift.http.target import TargetFailure
 from cyclamenlift.http.target import TargetListener
@@ -26,6 +26,6 @@
     'TargetFailure',
     'TargetListener',
     'TargetRequest',
-    'WebAnswer',
+    'WebResponse',
     'end_to_end',
 ]
--- a/cyclamenlift/http/client.py
+++ b/cyclamenlift/http/client.py
@@ -59,7 +59,7 @@
         # Called when the target's address refuses connections, and when a
         # probe connection was accepted.
         self.refused_hooks: list[Callable[[], None]] = []
-        self.found_hooks: list[Callable[[], None]] = []
+        self.probe_hooks: list[Callable[[], None]] = []
         # Probe connections and the deadlines for repeating them.
         self.probes: dict[Stream, float] = {}
 
@@ -77,12 +77,12 @@
         self.assign(call)
         return call
 
-    def warm(self) -> None:
+    def warm_up(self) -> None:
         """Open the warm connections and replace them when they are lost."""
         self.keep_warm = True
         self.fill_pool()
 
-    def look(self, deadline: float) -> None:
+    def probe_listener(self, deadline: float) -> None:
         """Open a pooled connection to find out whether the target listens.
 
         A connection lost before ``deadline`` is inconclusive and is retried.
@@ -90,7 +90,7 @@
         if len(self.streams) < self.limits.max_connections:
             self.probes[self.open(None)] = deadline
 
-    def drop_idle(self) -> None:
+    def close_idle(self) -> None:
         """Close the idle connections to a target that has ended."""
         for stream in self.idle:
             stream.close()
@@ -249,7 +249,7 @@
         if call is None:
             self.release(stream)
             if stream in self.probes:
-                for hook in self.found_hooks:
+                for hook in self.probe_hooks:
                     hook()
         else:
             self.start(call, stream)
@@ -334,7 +334,8 @@
                 hook()
         elif self.now() < probe_deadline:
             self.root.scheduler.after(
-                PROBE_RETRY_SECONDS, lambda: self.look(probe_deadline)
+                PROBE_RETRY_SECONDS,
+                lambda: self.probe_listener(probe_deadline),
             )
         if call is None or call.done:
             return
--- a/cyclamenlift/http/connection.py
+++ b/cyclamenlift/http/connection.py
@@ -158,8 +158,8 @@
         while self.pipelined:
             exchange = self.pipelined.popleft()
             exchange.state = ResponseState.DONE
-            if exchange.on_gone is not None:
-                exchange.on_gone()
+            if exchange.on_disconnect is not None:
+                exchange.on_disconnect()
 
     def update_reading(self) -> None:
         """Update reading and the deadline after all possible steps."""
@@ -241,8 +241,8 @@
             self.refuse(problem)
         else:
             self.reset()
-        if exchange.on_gone is not None:
-            exchange.on_gone()
+        if exchange.on_disconnect is not None:
+            exchange.on_disconnect()
 
     # -- responses --------------------------------------------------------
 
@@ -355,8 +355,8 @@
             return
         exchange.state = ResponseState.DONE
         exchange.on_body = None
-        if exchange.on_gone is not None:
-            exchange.on_gone()
+        if exchange.on_disconnect is not None:
+            exchange.on_disconnect()
 
 
 def is_pipelinable(request: IncomingRequest) -> bool:
--- a/cyclamenlift/http/exchange.py
+++ b/cyclamenlift/http/exchange.py
@@ -43,7 +43,7 @@
     ``received_at`` (monotonic seconds) describe the request.
 
     The application may set hooks, each called at most once:
-    ``on_gone()`` when the caller disconnects before the response is
+    ``on_disconnect()`` when the caller disconnects before the response is
     complete, and ``on_broken(problem)`` when the body turns out invalid
     after a part of it was delivered. Only the application knows whether the
     request ran, so that hook must respond; without it the connection is
@@ -66,7 +66,7 @@
         'on_body',
         'on_broken',
         'on_drained',
-        'on_gone',
+        'on_disconnect',
         'path',
         'paused',
         'received_at',
@@ -93,7 +93,7 @@
         self.body_length: int | None = request.body_length
         self.remote: Address = connection.stream.remote
         self.received_at = received_at
-        self.on_gone: Callable[[], None] | None = None
+        self.on_disconnect: Callable[[], None] | None = None
         self.on_broken: Callable[[Problem], None] | None = None
         self.on_drained: Callable[[], None] | None = None
         self.on_body: OnBody | None = None
--- a/cyclamenlift/http/json_requests.py
+++ b/cyclamenlift/http/json_requests.py
@@ -10,7 +10,7 @@
 JSON_TYPE = ('Content-Type', 'application/json')
 
 
-def read_whole(
+def read_body(
     exchange: Exchange, max_size: int, done: Callable[[bytes], None]
 ) -> None:
     """Read a body of at most ``max_size`` bytes, then call ``done`` once."""
@@ -35,7 +35,7 @@
     exchange.respond_problem(Problem(ResultCode.BODY_TOO_LARGE, detail))
 
 
-def answer(
+def send_json(
     exchange: Exchange,
     status: int,
     value: object = None,
@@ -46,10 +46,10 @@
     exchange.respond(status, [JSON_TYPE, *headers], body)
 
 
-def refuse(exchange: Exchange, status: int, problem: Problem) -> None:
+def reject(exchange: Exchange, status: int, problem: Problem) -> None:
     """Respond with an explicit status and a numbered error."""
     value = {
         'error': problem.line(),
         'code': int(problem.code),
     }
-    answer(exchange, status, value)
+    send_json(exchange, status, value)
--- a/cyclamenlift/http/pages.py
+++ b/cyclamenlift/http/pages.py
@@ -22,7 +22,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class WebAnswer:
+class WebResponse:
     """Response returned by a controller."""
 
     body: bytes
@@ -35,29 +35,29 @@
     """A response that a controller provides later, once."""
 
     def __init__(self):
-        self.answer: WebAnswer | None = None
-        self.hook: Callable[[WebAnswer], None] | None = None
+        self.answer: WebResponse | None = None
+        self.hook: Callable[[WebResponse], None] | None = None
 
-    def resolve(self, answer: WebAnswer) -> None:
+    def resolve(self, answer: WebResponse) -> None:
         """Set the response; a second one is ignored."""
         if self.answer is None:
             self.answer = answer
             if self.hook is not None:
                 self.hook(answer)
 
-    def then(self, hook: Callable[[WebAnswer], None]) -> None:
+    def then(self, hook: Callable[[WebResponse], None]) -> None:
         """Call ``hook`` with the response, immediately if it is set."""
         self.hook = hook
         if self.answer is not None:
             hook(self.answer)
 
 
-def query_of(request: 'Request') -> dict[str, str]:
+def parse_query(request: 'Request') -> dict[str, str]:
     """Return the query parameters; the last of equal names wins."""
     return dict(parse_qsl(request.query, max_num_fields=MAX_FORM_FIELDS))
 
 
-def form_of(request: 'Request') -> Headers:
+def parse_form(request: 'Request') -> Headers:
     """Return the fields of a URL-encoded form, in order.
 
     Raises ValueError when the body isn't a valid form.
@@ -69,17 +69,17 @@
     )
 
 
-def json_answer(value, status: int = 200, headers=()) -> WebAnswer:
+def json_response(value, status: int = 200, headers=()) -> WebResponse:
     """Return a JSON response."""
     body = json.dumps(value, indent=2).encode() + b'\n'
-    return WebAnswer(body, status, JSON, tuple(headers))
+    return WebResponse(body, status, JSON, tuple(headers))
 
 
-def problem_answer(problem: Problem) -> WebAnswer:
+def problem_response(problem: Problem) -> WebResponse:
     """Return the JSON response that reports a problem."""
     fields = dict(problem_headers(problem))
     kind = fields.pop('Content-Type')
-    return WebAnswer(
+    return WebResponse(
         problem_body(problem),
         problem_status(problem),
         kind,
@@ -87,7 +87,7 @@
     )
 
 
-def give(exchange: Exchange, answer: WebAnswer) -> None:
+def give(exchange: Exchange, answer: WebResponse) -> None:
     """Send a controller's response."""
     headers = [('Content-Type', answer.content_type), *answer.headers]
     exchange.respond(answer.status, headers, answer.body)
--- a/cyclamenlift/http/web.py
+++ b/cyclamenlift/http/web.py
@@ -4,7 +4,7 @@
 controllers are those of ``circuits.web``. Its parser isn't used, nor is its
 mapping of form fields to keyword arguments: a form field named like an
 argument of a handler would break the handler. Controllers read their input
-with ``query_of`` and ``form_of``.
+with ``parse_query`` and ``parse_form``.
 """
 
 from collections.abc import Iterable
@@ -32,7 +32,7 @@
 from cyclamenlift.http.pages import Deferred
 from cyclamenlift.http.pages import give
 from cyclamenlift.http.pages import HTML
-from cyclamenlift.http.pages import WebAnswer
+from cyclamenlift.http.pages import WebResponse
 from cyclamenlift.http.server import HttpServer
 
 LOG = structlog.get_logger('web')
@@ -141,7 +141,7 @@
         request = opened.args[0]
         if isinstance(found, Deferred):
             found.then(lambda answer: give(request.exchange, answer))
-        elif isinstance(found, WebAnswer):
+        elif isinstance(found, WebResponse):
             give(request.exchange, found)
         else:
             super()._on_request_success(opened, value)
--- a/cyclamenlift/platform/documents.py
+++ b/cyclamenlift/platform/documents.py
@@ -13,7 +13,7 @@
 
 from cyclamenlift.conf.durations import milliseconds
 from cyclamenlift.core.codes import ResultCode
-from cyclamenlift.core.problems import brief
+from cyclamenlift.core.problems import one_line
 from cyclamenlift.core.problems import Problem
 from cyclamenlift.models.document import document_from_value
 from cyclamenlift.models.document import EventDocument
@@ -270,4 +270,4 @@
 
 
 def invalid(detail: str) -> Failure:
-    return Failure(Problem(ResultCode.DOCUMENT_INVALID, brief(detail, 300)))
+    return Failure(Problem(ResultCode.DOCUMENT_INVALID, one_line(detail, 300)))
--- a/cyclamenlift/platform/operators.py
+++ b/cyclamenlift/platform/operators.py
@@ -21,10 +21,10 @@
 from cyclamenlift.events.reports import DocumentReport
 from cyclamenlift.events.reports import PublishReport
 from cyclamenlift.http.exchange import Exchange
-from cyclamenlift.http.json_requests import answer
 from cyclamenlift.http.json_requests import JSON_TYPE
-from cyclamenlift.http.json_requests import read_whole
-from cyclamenlift.http.json_requests import refuse
+from cyclamenlift.http.json_requests import read_body
+from cyclamenlift.http.json_requests import reject
+from cyclamenlift.http.json_requests import send_json
 from cyclamenlift.models.document import document_from_bytes
 from cyclamenlift.platform.dialect import BASE_VERSION_FIELD
 from cyclamenlift.platform.documents import edit_document
@@ -87,11 +87,11 @@
         if (exchange.method, path) == ('GET', GET_PATH):
             self.take_get(exchange)
         elif exchange.method != 'POST' or path not in ORDER_KINDS.items:
-            refuse(exchange, 404, Problem(ResultCode.NOT_FOUND, path[:100]))
+            reject(exchange, 404, Problem(ResultCode.NOT_FOUND, path[:100]))
         elif not self.orders.takes(exchange.body_length):
             self.send_on(exchange, self.orders.place())
         else:
-            read_whole(
+            read_body(
                 exchange,
                 MOST_CHANGE_BYTES,
                 lambda body: self.take_change(exchange, path, body),
@@ -127,11 +127,11 @@
         )
 
     def refuse_unsure(self, exchange: Exchange, detail: str) -> None:
-        refuse(exchange, NOT_SURE, Problem(ResultCode.NOT_LEADER, detail))
+        reject(exchange, NOT_SURE, Problem(ResultCode.NOT_LEADER, detail))
 
     def refuse_change(self, exchange: Exchange, problem: Problem) -> None:
         LOG.info('change_refused', problem=problem.line())
-        refuse(exchange, STATUS_OF.get(problem.code, 400), problem)
+        reject(exchange, STATUS_OF.get(problem.code, 400), problem)
 
     def finish(
         self, exchange: Exchange, order: Order, report: PublishReport
@@ -144,9 +144,9 @@
             return
         status = STATUS_OF.get(report.code, NOT_SURE)
         if status == 200:
-            answer(exchange, 200, {'version': report.version})
+            send_json(exchange, 200, {'version': report.version})
         else:
-            refuse(exchange, status, Problem(report.code, report.summary()))
+            reject(exchange, status, Problem(report.code, report.summary()))
 
     def send_on(self, exchange: Exchange, place: Address | None) -> None:
         """Name the place of another instance, or say that none is known."""
@@ -155,4 +155,4 @@
             self.refuse_unsure(exchange, 'no leader is known')
             return
         there = f'http://{place.host}:{self.port}{exchange.path}'
-        answer(exchange, 307, None, (('Location', there),))
+        send_json(exchange, 307, None, (('Location', there),))
--- a/cyclamenlift/platform/programs.py
+++ b/cyclamenlift/platform/programs.py
@@ -11,7 +11,7 @@
 from cyclamenlift.conf.watching import SettingsFile
 from cyclamenlift.conf.watching import SettingsWatch
 from cyclamenlift.core.logs import configure_logs
-from cyclamenlift.core.memory import keep_start_up_objects
+from cyclamenlift.core.memory import freeze_startup_objects
 from cyclamenlift.core.problems import Problem
 from cyclamenlift.core.streams import Address
 from cyclamenlift.http.limits import HttpLimits
@@ -77,7 +77,7 @@
     listen(node.loop, str(address), take, 'targets')
     node.start_parts()
     watch_settings(node, fields, stamp)
-    keep_start_up_objects()
+    freeze_startup_objects()
     node.loop.run()
     return 0
 
@@ -104,7 +104,7 @@
     calls = OperatorCalls(node.orders, address.port)
     listen(node.loop, str(address), calls.take, 'operators')
     watch_settings(node, fields, stamp)
-    keep_start_up_objects()
+    freeze_startup_objects()
     node.loop.run()
     return 0
 
--- a/cyclamenlift/platform/readiness.py
+++ b/cyclamenlift/platform/readiness.py
@@ -5,8 +5,8 @@
 from cyclamenlift.core.codes import ResultCode
 from cyclamenlift.core.problems import Problem
 from cyclamenlift.http.exchange import Exchange
-from cyclamenlift.http.json_requests import answer
-from cyclamenlift.http.json_requests import refuse
+from cyclamenlift.http.json_requests import reject
+from cyclamenlift.http.json_requests import send_json
 
 READY_PATH = '/v1/ready'
 
@@ -21,8 +21,8 @@
         """Take one request on the readiness address."""
         if exchange.path.partition('?')[0] != READY_PATH:
             problem = Problem(ResultCode.NOT_FOUND, exchange.path[:100])
-            refuse(exchange, 404, problem)
+            reject(exchange, 404, problem)
         elif self.is_ready():
-            answer(exchange, 200)
+            send_json(exchange, 200)
         else:
-            refuse(exchange, 503, Problem(ResultCode.NO_CONFIGURATION))
+            reject(exchange, 503, Problem(ResultCode.NO_CONFIGURATION))
--- a/cyclamenlift/platform/targets.py
+++ b/cyclamenlift/platform/targets.py
@@ -10,16 +10,16 @@
 
 from cyclamenlift.conf.durations import seconds
 from cyclamenlift.core.codes import ResultCode
-from cyclamenlift.core.problems import brief
+from cyclamenlift.core.problems import one_line
 from cyclamenlift.core.problems import Problem
 from cyclamenlift.core.streams import Address
 from cyclamenlift.gate.registration import Announcement
 from cyclamenlift.gate.registration import UNKNOWN_START
 from cyclamenlift.gate.tasks import Gate
 from cyclamenlift.http.exchange import Exchange
-from cyclamenlift.http.json_requests import answer
-from cyclamenlift.http.json_requests import read_whole
-from cyclamenlift.http.json_requests import refuse
+from cyclamenlift.http.json_requests import read_body
+from cyclamenlift.http.json_requests import reject
+from cyclamenlift.http.json_requests import send_json
 
 BEAT_PATH = '/v1/Instances.Heartbeat/'
 LEAVE_PATH = '/v1/Instances.Deregister/'
@@ -102,7 +102,7 @@
 
 def bad_request(error: object) -> Problem:
     """Return a numbered problem with a bounded text."""
-    return Problem(ResultCode.BAD_REQUEST, brief(error, MOST_DETAIL))
+    return Problem(ResultCode.BAD_REQUEST, one_line(error, MOST_DETAIL))
 
 
 class TargetCheckIns:
@@ -117,20 +117,20 @@
         path = exchange.path.partition('?')[0]
         if exchange.method == 'POST' and path.startswith(BEAT_PATH):
             name = path.removeprefix(BEAT_PATH)
-            read_whole(
+            read_body(
                 exchange,
                 MOST_BEAT_BYTES,
                 lambda body: self.take_beat(exchange, name, body),
             )
         elif exchange.method == 'POST' and path.startswith(LEAVE_PATH):
             name = path.removeprefix(LEAVE_PATH)
-            read_whole(
+            read_body(
                 exchange,
                 MOST_BEAT_BYTES,
                 lambda body: self.take_leave(exchange, name, body),
             )
         else:
-            refuse(exchange, 404, Problem(ResultCode.NOT_FOUND, path[:100]))
+            reject(exchange, 404, Problem(ResultCode.NOT_FOUND, path[:100]))
 
     def take_beat(self, exchange: Exchange, name: str, body: bytes) -> None:
         found = read_beat(name, body)
@@ -143,10 +143,10 @@
             self.refuse_told(exchange, name, bad_request(detail))
             return
         if self.gate.is_foreign(name, announcement.address):
-            refuse(exchange, 503, Problem(ResultCode.NO_TARGET))
+            reject(exchange, 503, Problem(ResultCode.NO_TARGET))
             return
         self.gate.announce(announcement)
-        answer(exchange, 200)
+        send_json(exchange, 200)
 
     def take_leave(self, exchange: Exchange, name: str, body: bytes) -> None:
         found = read_farewell(body)
@@ -154,10 +154,10 @@
             self.refuse_told(exchange, name, found.failure())
             return
         if self.gate.is_foreign(name, str(exchange.remote)):
-            refuse(exchange, 503, Problem(ResultCode.NO_TARGET))
+            reject(exchange, 503, Problem(ResultCode.NO_TARGET))
             return
         self.gate.target_leaves(name, found.unwrap())
-        answer(exchange, 200)
+        send_json(exchange, 200)
 
     def refuse_told(
         self, exchange: Exchange, name: str, problem: Problem
@@ -168,4 +168,4 @@
             incarnation=name[:MOST_NAME],
             problem=problem.line(),
         )
-        refuse(exchange, 400, problem)
+        reject(exchange, 400, problem)
--- a/cyclamenlift/runtime/admin.py
+++ b/cyclamenlift/runtime/admin.py
@@ -10,9 +10,9 @@
 from cyclamenlift.core.codes import ResultCode
 from cyclamenlift.core.problems import Problem
 from cyclamenlift.events.border import read_border
-from cyclamenlift.http.pages import json_answer
-from cyclamenlift.http.pages import problem_answer
-from cyclamenlift.http.pages import WebAnswer
+from cyclamenlift.http.pages import json_response
+from cyclamenlift.http.pages import problem_response
+from cyclamenlift.http.pages import WebResponse
 from cyclamenlift.quarantine.border import LiftOrder
 from cyclamenlift.quarantine.queries import rows
 from cyclamenlift.runtime.status import daemon_status
@@ -33,21 +33,21 @@
         self.node = node
 
     @expose('status')
-    def status(self) -> WebAnswer:
-        return json_answer(dataclasses.asdict(daemon_status(self.node)))
+    def status(self) -> WebResponse:
+        return json_response(dataclasses.asdict(daemon_status(self.node)))
 
     @expose('quarantine')
-    def quarantine(self) -> WebAnswer:
+    def quarantine(self) -> WebResponse:
         """Return the requests that are not clear; a POST lifts some."""
         if self.request.method == 'POST':
             order = read_border(LiftOrder, self.request.content)
             if isinstance(order, Failure):
-                return problem_answer(order.failure())
+                return problem_response(order.failure())
             names = order.unwrap().fingerprints
             self.node.quarantine.lift([bytes.fromhex(n) for n in names])
         kept = self.node.quarantine
         found = rows(kept.evidence, kept.now())
-        return json_answer(
+        return json_response(
             {'requests': [dataclasses.asdict(row) for row in found]}
         )
 
@@ -62,19 +62,19 @@
         self.node = node
 
     @expose('metrics')
-    def metrics(self) -> WebAnswer:
-        return WebAnswer(
+    def metrics(self) -> WebResponse:
+        return WebResponse(
             self.node.observer.metrics.render_prometheus(), 200, METRICS_TYPE
         )
 
     @expose('burn')
-    def burn(self) -> WebAnswer:
-        return json_answer(self.node.observer.burn_snapshot())
+    def burn(self) -> WebResponse:
+        return json_response(self.node.observer.burn_snapshot())
 
     @expose('drain')
-    def drain(self) -> WebAnswer:
+    def drain(self) -> WebResponse:
         """Begin a drain; a second request changes nothing."""
         if self.request.method != 'POST':
-            return problem_answer(Problem(ResultCode.METHOD_NOT_ALLOWED))
+            return problem_response(Problem(ResultCode.METHOD_NOT_ALLOWED))
         self.node.drain()
-        return json_answer(dataclasses.asdict(daemon_status(self.node)))
+        return json_response(dataclasses.asdict(daemon_status(self.node)))
--- a/cyclamenlift/runtime/control_api.py
+++ b/cyclamenlift/runtime/control_api.py
@@ -22,9 +22,9 @@
 from cyclamenlift.events.reports import report_to_json
 from cyclamenlift.http.pages import Deferred
 from cyclamenlift.http.pages import JSON
-from cyclamenlift.http.pages import problem_answer
-from cyclamenlift.http.pages import query_of
-from cyclamenlift.http.pages import WebAnswer
+from cyclamenlift.http.pages import parse_query
+from cyclamenlift.http.pages import problem_response
+from cyclamenlift.http.pages import WebResponse
 
 MAX_DIGITS = 18
 
@@ -39,27 +39,27 @@
         self.context = context
 
     @expose('publish')
-    def publish(self) -> Deferred | WebAnswer:
+    def publish(self) -> Deferred | WebResponse:
         """Publish a document (POST)."""
         return run_command(self, Publication, publish)
 
     @expose('replace-storage')
-    def replace_storage(self) -> Deferred | WebAnswer:
+    def replace_storage(self) -> Deferred | WebResponse:
         """Let a new storage count for an instance (POST)."""
         return run_command(self, StorageReplacement, replace_storage)
 
     @expose('document')
-    def document(self) -> Deferred | WebAnswer:
+    def document(self) -> Deferred | WebResponse:
         """Return one version of the document, by default the newest."""
         return run_query(self, 'version', 0, show)
 
     @expose('history')
-    def history(self) -> Deferred | WebAnswer:
+    def history(self) -> Deferred | WebResponse:
         """Return who made the newest versions."""
         return run_query(self, 'limit', HISTORY_LIMIT, history)
 
     @expose('status')
-    def status(self) -> WebAnswer:
+    def status(self) -> WebResponse:
         """Return the state of this instance."""
         return report_answer(status(self.context))
 
@@ -69,13 +69,13 @@
 
 def run_command(
     page: ControlApi, kind: type, command: Callable
-) -> Deferred | WebAnswer:
+) -> Deferred | WebResponse:
     """Read the JSON body as ``kind`` and run a command with it."""
     if page.request.method != 'POST':
-        return problem_answer(Problem(ResultCode.METHOD_NOT_ALLOWED))
+        return problem_response(Problem(ResultCode.METHOD_NOT_ALLOWED))
     order = read_border(kind, page.request.content)
     if isinstance(order, Failure):
-        return problem_answer(order.failure())
+        return problem_response(order.failure())
     deferred = Deferred()
     command(
         page.context,
@@ -87,12 +87,12 @@
 
 def run_query(
     page: ControlApi, name: str, default: int, query: Callable
-) -> Deferred | WebAnswer:
+) -> Deferred | WebResponse:
     """Read a number from the query string and run a query with it."""
-    text = query_of(page.request).get(name, str(default))
+    text = parse_query(page.request).get(name, str(default))
     if not (text.isascii() and text.isdigit()) or len(text) > MAX_DIGITS:
         detail = f'{text[:50]!r} is no whole number'
-        return problem_answer(Problem(ResultCode.BAD_REQUEST, detail, name))
+        return problem_response(Problem(ResultCode.BAD_REQUEST, detail, name))
     deferred = Deferred()
     query(
         page.context,
@@ -102,7 +102,7 @@
     return deferred
 
 
-def report_answer(report) -> WebAnswer:
+def report_answer(report) -> WebResponse:
     """Return a report as JSON, under the HTTP status of its code."""
     status_code = describe(report.code).status or 200
-    return WebAnswer(report_to_json(report), status_code, JSON)
+    return WebResponse(report_to_json(report), status_code, JSON)
--- a/cyclamenlift/runtime/control_metrics.py
+++ b/cyclamenlift/runtime/control_metrics.py
@@ -8,8 +8,8 @@
 from collections.abc import Callable
 from collections.abc import Iterable
 
-from cyclamenlift.core.metrics import Kind
 from cyclamenlift.core.metrics import MetricInfo
+from cyclamenlift.core.metrics import MetricKind
 from cyclamenlift.core.metrics import Metrics
 from cyclamenlift.core.metrics import Reading
 from cyclamenlift.events.context import ControlContext
@@ -20,51 +20,51 @@
 
 COMMITS = MetricInfo(
     'cyclamenlift.control.commits',
-    Kind.COUNTER,
+    MetricKind.COUNTER,
     '{entry}',
     'log entries known to be committed, over all time',
 )
 TERM = MetricInfo(
     'cyclamenlift.control.term',
-    Kind.GAUGE,
+    MetricKind.GAUGE,
     '{term}',
     'term of the replicated log; it rises with each election',
 )
 ROLE = MetricInfo(
     'cyclamenlift.control.role',
-    Kind.GAUGE,
+    MetricKind.GAUGE,
     '{instance}',
     '1 for the role that this instance has, 0 for the others',
     ('role',),
 )
 LOG_INDEX = MetricInfo(
     'cyclamenlift.control.log.index',
-    Kind.GAUGE,
+    MetricKind.GAUGE,
     '{entry}',
     'index of the last entry in the log of this instance',
 )
 APPLIED_INDEX = MetricInfo(
     'cyclamenlift.control.log.applied',
-    Kind.GAUGE,
+    MetricKind.GAUGE,
     '{entry}',
     'index of the last entry that took effect here',
 )
 CLAIMS_HELD = MetricInfo(
     'cyclamenlift.control.claims.held',
-    Kind.GAUGE,
+    MetricKind.GAUGE,
     '{key}',
     'keys that the ledger holds',
 )
 CLAIMS_ANSWERED = MetricInfo(
     'cyclamenlift.control.claims.answered',
-    Kind.COUNTER,
+    MetricKind.COUNTER,
     '{claim}',
     'claims that this instance answered, by verdict',
     ('verdict',),
 )
 VERSION = MetricInfo(
     'cyclamenlift.control.config.version',
-    Kind.GAUGE,
+    MetricKind.GAUGE,
     '{version}',
     'version of the event document that took effect here, 0 for none',
 )
--- a/cyclamenlift/runtime/control_pages.py
+++ b/cyclamenlift/runtime/control_pages.py
@@ -7,7 +7,7 @@
 from cyclamenlift.console.pages import ConsolePages
 from cyclamenlift.console.port import ContextPort
 from cyclamenlift.events.context import ControlContext
-from cyclamenlift.http.pages import WebAnswer
+from cyclamenlift.http.pages import WebResponse
 from cyclamenlift.runtime.admin import METRICS_TYPE
 from cyclamenlift.runtime.control_api import ControlApi
 from cyclamenlift.runtime.control_metrics import ControlMetrics
@@ -23,8 +23,8 @@
         self.metrics = metrics
 
     @expose('index')
-    def index(self) -> WebAnswer:
-        return WebAnswer(self.metrics.render(), 200, METRICS_TYPE)
+    def index(self) -> WebResponse:
+        return WebResponse(self.metrics.render(), 200, METRICS_TYPE)
 
 
 def control_pages(
--- a/cyclamenlift/runtime/daemon.py
+++ b/cyclamenlift/runtime/daemon.py
@@ -14,7 +14,7 @@
 from cyclamenlift.core.codes import ResultCode
 from cyclamenlift.core.log_sink import SINK
 from cyclamenlift.core.logs import configure_logs
-from cyclamenlift.core.memory import keep_start_up_objects
+from cyclamenlift.core.memory import freeze_startup_objects
 from cyclamenlift.core.problems import Problem
 from cyclamenlift.core.streams import Address
 from cyclamenlift.core.tasks import build_root
@@ -302,7 +302,7 @@
         self.gossip_address = self.membership.start()
         self.follower.start()
         if self.gate is not None:
-            self.gate.client.warm()
+            self.gate.client.warm_up()
             self.health.start()
         self.scheduler.every(LOG_FLUSH_SECONDS, SINK.flush)
         LOG.info(
@@ -409,6 +409,6 @@
     if problems:
         return EXIT_SETTINGS
     node.start_parts()
-    keep_start_up_objects()
+    freeze_startup_objects()
     node.loop.run()
     return 0
--- a/tests/gate/builders.py
+++ b/tests/gate/builders.py
@@ -34,13 +34,13 @@
         self.listeners.append(listener)
         return self
 
-    def look(self, _deadline):
+    def probe_listener(self, _deadline):
         self.looks += 1
 
     def has_connections(self) -> bool:
         return self.connected
 
-    def drop_idle(self):
+    def close_idle(self):
         """Close nothing."""
 
     def send_body(self, data, _last):
--- a/tests/http/test_client.py
+++ b/tests/http/test_client.py
@@ -319,7 +319,7 @@
 
 def test_warm_connections_are_opened_early_and_again_when_lost():
     side = build_side()
-    side.client.warm()
+    side.client.warm_up()
     side.target.until(lambda: len(side.target.connections) == 2)
     side.target.until(lambda: len(side.client.idle) == 2)
     _, listener = side.ask()
--- a/tests/http/test_lazy_web.py
+++ b/tests/http/test_lazy_web.py
@@ -5,7 +5,7 @@
 import pytest
 
 from cyclamenlift.http.lazy_web import LazyWebServer
-from cyclamenlift.http.pages import WebAnswer
+from cyclamenlift.http.pages import WebResponse
 from tests.http.builders import Caller
 from tests.http.builders import Loop
 from tests.http.builders import LOOPBACK
@@ -17,8 +17,8 @@
     channel = '/'
 
     @expose('hello')
-    def hello(self) -> WebAnswer:
-        return WebAnswer(b'good day')
+    def hello(self) -> WebResponse:
+        return WebResponse(b'good day')
 
 
 @pytest.mark.parametrize('requests', [1, 3])
--- a/tests/http/test_pipelining.py
+++ b/tests/http/test_pipelining.py
@@ -92,7 +92,7 @@
     bed.send(GET % 1, GET % 2, GET % 3)
     gone = []
     for exchange in bed.taken:
-        exchange.on_gone = lambda e=exchange: gone.append(e.path)
+        exchange.on_disconnect = lambda e=exchange: gone.append(e.path)
     bed.caller.sock.close()
     bed.loop.until(lambda: len(gone) == 3)
     assert sorted(gone) == ['/1', '/2', '/3']
--- a/tests/http/test_server.py
+++ b/tests/http/test_server.py
@@ -247,7 +247,7 @@
     caller = border.ask(GET_A)
     exchange = border.exchanges[0]
     left = []
-    exchange.on_gone = lambda: left.append(True)
+    exchange.on_disconnect = lambda: left.append(True)
     if started:
         exchange.start(200, [], 9)
     caller.leave()
@@ -281,7 +281,7 @@
     caller = border.ask(chunked + b'3\r\nabc\r\n')
     exchange = border.exchanges[0]
     gone = []
-    exchange.on_gone = lambda: gone.append(True)
+    exchange.on_disconnect = lambda: gone.append(True)
     exchange.read_body(lambda data, last: None)
     caller.send(b'garbage').until(lambda c: c.closed)
     assert caller.received == b''
--- a/tests/http/test_web.py
+++ b/tests/http/test_web.py
@@ -10,11 +10,11 @@
 from cyclamenlift.core.codes import ResultCode
 from cyclamenlift.core.problems import Problem
 from cyclamenlift.http.pages import Deferred
-from cyclamenlift.http.pages import form_of
-from cyclamenlift.http.pages import json_answer
-from cyclamenlift.http.pages import problem_answer
-from cyclamenlift.http.pages import query_of
-from cyclamenlift.http.pages import WebAnswer
+from cyclamenlift.http.pages import json_response
+from cyclamenlift.http.pages import parse_form
+from cyclamenlift.http.pages import parse_query
+from cyclamenlift.http.pages import problem_response
+from cyclamenlift.http.pages import WebResponse
 from cyclamenlift.http.web import MAX_BODY_BYTES
 from cyclamenlift.http.web import WebServer
 from tests.http.builders import answers_in
@@ -39,11 +39,11 @@
 
     @expose('query')
     def query(self):
-        return json_answer(query_of(self.request))
+        return json_response(parse_query(self.request))
 
     @expose('form')
     def form(self):
-        return json_answer(form_of(self.request))
+        return json_response(parse_form(self.request))
 
     @expose('late')
     def late(self):
@@ -63,7 +63,7 @@
 
     @expose('problem')
     def problem(self):
-        return problem_answer(
+        return problem_response(
             Problem(ResultCode.NO_MAJORITY, retry_after_ms=1500)
         )
 
@@ -123,8 +123,8 @@
         request('GET /late HTTP/1.1') + request('GET / HTTP/1.1')
     )
     assert caller.received == b''
-    site.pages.deferred.resolve(WebAnswer(b'late'))
-    site.pages.deferred.resolve(WebAnswer(b'twice'))
+    site.pages.deferred.resolve(WebResponse(b'late'))
+    site.pages.deferred.resolve(WebResponse(b'twice'))
     site.loop.settle(caller)
     bodies = [answer.body for answer in answers_in(caller.received)]
     assert bodies == [b'late', b'plain']
--- a/tests/platform/test_targets.py
+++ b/tests/platform/test_targets.py
@@ -50,7 +50,7 @@
 class Client:
     """A target client that has no connections."""
 
-    def drop_idle(self) -> None:
+    def close_idle(self) -> None:
         """Drop nothing."""
 
 
--- a/tests/runtime/test_late_calls.py
+++ b/tests/runtime/test_late_calls.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from cyclamenlift.core.clock import machine_seconds
+from cyclamenlift.core.clock import seconds_since_boot
 from cyclamenlift.core.codes import ResultCode
 from cyclamenlift.gate.tasks import Gate
 from cyclamenlift.runtime.local import local_pair
@@ -57,7 +57,7 @@
         body_length=0,
         body_complete=True,
         trace_id=str(number),
-        sent_at_us=int((machine_seconds() - age) * MICROSECONDS),
+        sent_at_us=int((seconds_since_boot() - age) * MICROSECONDS),
         **fields,
     )
 
--- a/tools/mutants_quarantine.py
+++ b/tools/mutants_quarantine.py
@@ -67,8 +67,8 @@
     Mutant(
         'a broken connection counts as an end',
         'cyclamenlift/gate/ends.py',
-        'client.found_hooks.append(self.note_found)',
-        'client.found_hooks.append(self.note_nobody_listens)',
+        'client.probe_hooks.append(self.note_found)',
+        'client.probe_hooks.append(self.note_nobody_listens)',
         PATH_TESTS,
     ),
     Mutant(
