--- a/cyclamenlift/calls/attempt.py
+++ b/cyclamenlift/calls/attempt.py
@@ -79,7 +79,9 @@
 
     def never_left(self) -> bool:
         """Tell whether the gate can not have heard of this try."""
-        return not self.link.was_up or self.link.holds(self.start_frame)
+        return not self.link.was_established or self.link.is_unsent(
+            self.start_frame
+        )
 
     def withdraw(self) -> bool:
         """Take back what has not gone out; True proves that nothing has."""
--- a/cyclamenlift/core/latency.py
+++ b/cyclamenlift/core/latency.py
@@ -22,7 +22,7 @@
     has buckets.
 
     >>> latency = LatencyHistogram(60.0)
-    >>> latency.note(0.010)
+    >>> latency.record(0.010)
     >>> latency.read().get_value_at_percentile(50)
     10047
     """
@@ -34,7 +34,7 @@
         self.histogram: HdrHistogram | None = None
         self.unmerged: dict[int, int] = {}
 
-    def note(self, seconds: float) -> None:
+    def record(self, seconds: float) -> None:
         """Record one latency; negative values count as zero."""
         value = int(seconds * MICROSECONDS) + 1 if seconds > 0.0 else 1
         surplus = value.bit_length() - PRECISION_BITS
@@ -55,8 +55,8 @@
         """Return the cumulative counts up to each bound in seconds.
 
         >>> latency = LatencyHistogram(60.0)
-        >>> latency.note(0.010)
-        >>> latency.note(0.200)
+        >>> latency.record(0.010)
+        >>> latency.record(0.200)
         >>> latency.cumulative_counts((0.1, 1.0))
         [1, 2]
         """
--- a/cyclamenlift/core/logs.py
+++ b/cyclamenlift/core/logs.py
@@ -4,7 +4,7 @@
 
 import structlog
 
-from cyclamenlift.core.log_budget import LogRateLimiter
+from cyclamenlift.core.log_rate_limit import LogRateLimiter
 from cyclamenlift.core.log_sink import make_sink
 from cyclamenlift.core.registry import Registry
 
--- a/cyclamenlift/core/metrics.py
+++ b/cyclamenlift/core/metrics.py
@@ -218,9 +218,9 @@
         if statistics is None:
             statistics = self.calls[service] = CallStatistics()
         statistics.codes[code] = statistics.codes.get(code, 0) + 1
-        statistics.duration.note(seconds)
+        statistics.duration.record(seconds)
         if added_seconds is not None:
-            statistics.added.note(added_seconds)
+            statistics.added.record(added_seconds)
 
     # -- collection -------------------------------------------------------
 
--- a/cyclamenlift/core/streams.py
+++ b/cyclamenlift/core/streams.py
@@ -136,7 +136,7 @@
                 return
             size -= len(piece)
 
-    def holds(self, data: bytes) -> bool:
+    def is_unsent(self, data: bytes) -> bool:
         """Return whether this very object is queued and entirely unsent."""
         return any(piece is data for piece in self.outbound)
 
--- a/cyclamenlift/events/carrying.py
+++ b/cyclamenlift/events/carrying.py
@@ -5,8 +5,8 @@
 import structlog
 
 from cyclamenlift.core.codes import ResultCode
+from cyclamenlift.core.scheduler import Root
 from cyclamenlift.core.streams import Address
-from cyclamenlift.core.tasks import Root
 from cyclamenlift.events.commands import Change
 from cyclamenlift.events.commands import SHOWN_ID
 from cyclamenlift.events.orders import OPEN_CODES
@@ -18,8 +18,8 @@
 from cyclamenlift.ledger.finder import LeaderFinder
 from cyclamenlift.wire.gen.protocol.ttypes import OrderAnswer
 from cyclamenlift.wire.gen.protocol.ttypes import OrderRequest
-from cyclamenlift.wire.tasks import Link
-from cyclamenlift.wire.tasks import PeerNetwork
+from cyclamenlift.wire.network import Link
+from cyclamenlift.wire.network import PeerNetwork
 
 # Orders on their way from one instance: with those of the largest size they
 # take 2 MB. Operators have eight under way.
@@ -118,7 +118,9 @@
     def ask_next(self, errand: Errand) -> None:
         """Give up at once when all were asked and none can be reached."""
         control = self.finder.control
-        reached = any(self.network.is_up(address) for address in control)
+        reached = any(
+            self.network.is_established(address) for address in control
+        )
         if reached or errand.hops < len(control):
             super().ask_next(errand)
         else:
--- a/cyclamenlift/events/door.py
+++ b/cyclamenlift/events/door.py
@@ -12,7 +12,7 @@
 from cyclamenlift.events.orders import PATIENCE_SECONDS
 from cyclamenlift.events.reports import PublishReport
 from cyclamenlift.wire.gen.protocol.ttypes import OrderRequest
-from cyclamenlift.wire.tasks import Link
+from cyclamenlift.wire.network import Link
 
 # How long a daemon tries for a control instance, in seconds.
 RELAY_SECONDS = 0.4
@@ -62,4 +62,4 @@
     def place(self) -> Address | None:
         """Return the leader, else an instance that is up."""
         network = self.carrier.network
-        return self.carrier.finder.choose(None, network.is_up)
+        return self.carrier.finder.choose(None, network.is_established)
--- a/cyclamenlift/events/giving.py
+++ b/cyclamenlift/events/giving.py
@@ -13,7 +13,7 @@
 from cyclamenlift.events.history import packed_size
 from cyclamenlift.wire.gen.protocol.ttypes import DocumentAnswer
 from cyclamenlift.wire.gen.protocol.ttypes import DocumentRequest
-from cyclamenlift.wire.tasks import Link
+from cyclamenlift.wire.network import Link
 
 # How long documents may occupy a link before others are sent elsewhere, in
 # seconds: an eighth of the 2 s in which a change has to be in force.
--- a/cyclamenlift/events/pulling.py
+++ b/cyclamenlift/events/pulling.py
@@ -14,7 +14,7 @@
 from cyclamenlift.core.streams import Address
 from cyclamenlift.events.adoption import Offer
 from cyclamenlift.events.sources import Sources
-from cyclamenlift.wire.tasks import Link
+from cyclamenlift.wire.network import Link
 
 if typing.TYPE_CHECKING:
     from cyclamenlift.events.tasks import ConfigFollower
@@ -99,7 +99,7 @@
             version,
             address,
             began_at=follower.now(),
-            received=follower.network.received_from(address),
+            received=follower.network.bytes_received_from(address),
         )
         self.under_way = pull
         self.sources.tried.add(address)
@@ -131,7 +131,7 @@
 
     def moves(self, pull: Pull) -> bool:
         """Tell whether to wait on for a pull, since bytes came."""
-        received = self.follower.network.received_from(pull.address)
+        received = self.follower.network.bytes_received_from(pull.address)
         return pull.goes_on(received, self.follower.now())
 
     def awaits(self, pull: Pull | None) -> bool:
@@ -169,8 +169,10 @@
         named = sources.next_named()
         if named is not None and not control_first:
             return named
-        is_up = follower.network.is_up
-        up = sources.next_control(follower.control, is_up, follower.rng)
+        is_established = follower.network.is_established
+        up = sources.next_control(
+            follower.control, is_established, follower.rng
+        )
         if up is not None or named is not None:
             return up or named
         return sources.next_control(
@@ -204,4 +206,6 @@
         """Ask another one at once when the one who was asked is gone."""
         pull = self.under_way
         if self.awaits(pull) and link.address == pull.address:
-            self.ask_another(pull, 'lost' if link.was_up else 'not reached')
+            self.ask_another(
+                pull, 'lost' if link.was_established else 'not reached'
+            )
--- a/cyclamenlift/events/sources.py
+++ b/cyclamenlift/events/sources.py
@@ -47,9 +47,11 @@
     def next_control(
         self,
         control: list[Address],
-        is_up: Callable[[Address], bool],
+        is_established: Callable[[Address], bool],
         rng: random.Random,
     ) -> Address | None:
         """Return a control instance not tried, whose connection is up."""
-        fresh = [a for a in control if a not in self.tried and is_up(a)]
+        fresh = [
+            a for a in control if a not in self.tried and is_established(a)
+        ]
         return rng.choice(fresh) if fresh else None
--- a/cyclamenlift/events/tasks.py
+++ b/cyclamenlift/events/tasks.py
@@ -12,8 +12,8 @@
 from cyclamenlift.core.clock import MILLISECONDS
 from cyclamenlift.core.packing import pack
 from cyclamenlift.core.problems import Problem
+from cyclamenlift.core.scheduler import Root
 from cyclamenlift.core.streams import Address
-from cyclamenlift.core.tasks import Root
 from cyclamenlift.events.adoption import Adoption
 from cyclamenlift.events.adoption import Offer
 from cyclamenlift.events.giving import bare_answer
@@ -27,8 +27,8 @@
 from cyclamenlift.models.rules import EventRules
 from cyclamenlift.wire.gen.protocol.ttypes import DocumentAnswer
 from cyclamenlift.wire.gen.protocol.ttypes import DocumentRequest
-from cyclamenlift.wire.tasks import Link
-from cyclamenlift.wire.tasks import PeerNetwork
+from cyclamenlift.wire.network import Link
+from cyclamenlift.wire.network import PeerNetwork
 
 POLL_SECONDS = 5.0
 CONFIRM_SECONDS = 0.5
@@ -142,7 +142,7 @@
                 self.control.append(address)
                 LOG.info('control_found', address=str(address))
             if self.started and not self.confirmed:
-                self.network.give_up_connecting(address)
+                self.network.abort_connecting(address)
                 self.ask(address, with_document=False)
         elif len(self.control) > 1:
             self.note_other(address)
@@ -195,7 +195,7 @@
     def ask_strangers(self) -> None:
         """Ask those without a link, so that all can tell of news."""
         for address in self.control:
-            if not self.network.is_linked(address):
+            if not self.network.has_link(address):
                 self.ask(address)
 
     def ask(self, address: Address, with_document: bool = True) -> int:
--- a/cyclamenlift/http/client.py
+++ b/cyclamenlift/http/client.py
@@ -6,13 +6,13 @@
 
 import structlog
 
+from cyclamenlift.core.scheduler import Timer
 from cyclamenlift.core.streams import Address
 from cyclamenlift.core.streams import Stream
 from cyclamenlift.core.streams import StreamOwner
-from cyclamenlift.core.tasks import Timer
-from cyclamenlift.http.answer_parser import ResponseParser
 from cyclamenlift.http.headers import Headers
 from cyclamenlift.http.limits import ClientLimits
+from cyclamenlift.http.response_parser import ResponseParser
 from cyclamenlift.http.target import FailureKind
 from cyclamenlift.http.target import TargetFailure
 from cyclamenlift.http.target import TargetListener
--- a/cyclamenlift/http/connection.py
+++ b/cyclamenlift/http/connection.py
@@ -8,7 +8,7 @@
 from cyclamenlift.core.codes import ResultCode
 from cyclamenlift.core.problems import Problem
 from cyclamenlift.core.streams import Stream
-from cyclamenlift.http.ending import ClosingConnection
+from cyclamenlift.http.closing import ClosingConnection
 from cyclamenlift.http.exchange import CLOSE
 from cyclamenlift.http.exchange import Exchange
 from cyclamenlift.http.exchange import KEEP_ALIVE
--- a/cyclamenlift/ledger/errands.py
+++ b/cyclamenlift/ledger/errands.py
@@ -7,12 +7,12 @@
 
 from circuits.core.components import BaseComponent
 
+from cyclamenlift.core.scheduler import Root
+from cyclamenlift.core.scheduler import Timer
 from cyclamenlift.core.streams import Address
-from cyclamenlift.core.tasks import Root
-from cyclamenlift.core.tasks import Timer
 from cyclamenlift.ledger.finder import LeaderFinder
-from cyclamenlift.wire.tasks import Link
-from cyclamenlift.wire.tasks import PeerNetwork
+from cyclamenlift.wire.network import Link
+from cyclamenlift.wire.network import PeerNetwork
 
 # How long one instance may be silent before another one is asked, in
 # seconds.
@@ -147,7 +147,7 @@
         if errand.in_round.issuperset(self.finder.control):
             errand.in_round.clear()
         address = hinted or self.finder.choose(
-            errand.asked, self.network.is_up, errand.in_round
+            errand.asked, self.network.is_established, errand.in_round
         )
         if address is not None:
             errand.in_round.add(address)
@@ -213,7 +213,7 @@
             return
         self.finder.note_silent(link.address)
         for errand in list(self.errands.values()):
-            if not link.was_up:
+            if not link.was_established:
                 errand.open_asks.pop(link.address, None)
             if errand.asked == link.address:
                 self.ask_next(errand)
--- a/cyclamenlift/ledger/finder.py
+++ b/cyclamenlift/ledger/finder.py
@@ -67,7 +67,7 @@
     def choose(
         self,
         tried: Address | None = None,
-        is_up: Callable[[Address], bool] = lambda address: True,
+        is_established: Callable[[Address], bool] = lambda address: True,
         in_round: Collection[Address] = (),
     ) -> Address | None:
         """Return whom to ask: the last leader, else the next in the list.
@@ -78,7 +78,9 @@
         the others may be dark, also the last leader.
         """
         if self.leader not in (None, tried):
-            if is_up(self.leader) or not any(map(is_up, self.control)):
+            if is_established(self.leader) or not any(
+                map(is_established, self.control)
+            ):
                 return self.leader
         if not self.control:
             return None
@@ -89,4 +91,4 @@
         in_turn = self.control[index:] + self.control[:index]
         others = [a for a in in_turn if a != tried] or in_turn
         fresh = [a for a in others if a not in in_round] or others
-        return next(filter(is_up, fresh), fresh[0])
+        return next(filter(is_established, fresh), fresh[0])
--- a/cyclamenlift/quarantine/tasks.py
+++ b/cyclamenlift/quarantine/tasks.py
@@ -28,8 +28,8 @@
 if typing.TYPE_CHECKING:
     from cyclamenlift.membership.packets import DigestSeen
     from cyclamenlift.membership.tasks import Membership
-    from cyclamenlift.wire.tasks import Link
-    from cyclamenlift.wire.tasks import PeerNetwork
+    from cyclamenlift.wire.network import Link
+    from cyclamenlift.wire.network import PeerNetwork
 
 LOG = structlog.get_logger('quarantine')
 # Members that are told at once, by the one who knows first and by each one
--- a/cyclamenlift/reports/state.py
+++ b/cyclamenlift/reports/state.py
@@ -64,7 +64,7 @@
         if good:
             self.good += 1
             minute.good += 1
-        self.latency.note(seconds)
+        self.latency.record(seconds)
 
     def by_age(self, number: int) -> list[list[int]]:
         """Return [total, good] for each minute, the current one first."""
--- a/cyclamenlift/runtime/control.py
+++ b/cyclamenlift/runtime/control.py
@@ -16,8 +16,8 @@
 from cyclamenlift.core.log_sink import SINK
 from cyclamenlift.core.logs import configure_logs
 from cyclamenlift.core.problems import Problem
+from cyclamenlift.core.scheduler import build_root
 from cyclamenlift.core.streams import Address
-from cyclamenlift.core.tasks import build_root
 from cyclamenlift.events.carrying import OrderCarrier
 from cyclamenlift.events.context import ControlContext
 from cyclamenlift.events.desk import OrderDesk
@@ -37,7 +37,7 @@
 from cyclamenlift.wire.gen.protocol.ttypes import MemberRecord
 from cyclamenlift.wire.gen.protocol.ttypes import MemberRole
 from cyclamenlift.wire.gen.protocol.ttypes import MemberState
-from cyclamenlift.wire.tasks import PeerNetwork
+from cyclamenlift.wire.network import PeerNetwork
 
 EXIT_FAILED = 1
 EXIT_SETTINGS = 2
--- a/cyclamenlift/runtime/daemon.py
+++ b/cyclamenlift/runtime/daemon.py
@@ -16,8 +16,8 @@
 from cyclamenlift.core.logs import configure_logs
 from cyclamenlift.core.memory import freeze_startup_objects
 from cyclamenlift.core.problems import Problem
+from cyclamenlift.core.scheduler import build_root
 from cyclamenlift.core.streams import Address
-from cyclamenlift.core.tasks import build_root
 from cyclamenlift.events.carrying import OrderCarrier
 from cyclamenlift.events.door import OrderDoor
 from cyclamenlift.events.tasks import ConfigFollower
@@ -48,7 +48,7 @@
 from cyclamenlift.wire.gen.protocol.ttypes import MemberRecord
 from cyclamenlift.wire.gen.protocol.ttypes import MemberRole
 from cyclamenlift.wire.gen.protocol.ttypes import TargetState
-from cyclamenlift.wire.tasks import PeerNetwork
+from cyclamenlift.wire.network import PeerNetwork
 
 LOG = structlog.get_logger('daemon')
 EXIT_SETTINGS = 2
--- a/cyclamenlift/runtime/local.py
+++ b/cyclamenlift/runtime/local.py
@@ -12,7 +12,7 @@
     It offers what calls and gate use of ``wire.Link``.
     """
 
-    was_up = True
+    was_established = True
     # Nobody greets on a link inside one process.
     hello = None
     closed = False
@@ -35,7 +35,7 @@
         self.send(message)
         return NO_FRAME
 
-    def holds(self, _frame: bytes) -> bool:
+    def is_unsent(self, _frame: bytes) -> bool:
         return False
 
     def withdraw(self, _frame: bytes) -> bool:
--- a/cyclamenlift/wire/codec.py
+++ b/cyclamenlift/wire/codec.py
@@ -27,7 +27,7 @@
 LENGTH = struct.Struct('!I')
 MAX_FRAME = 4 * 1024 * 1024
 FIELDS = [spec for spec in ttypes.Frame.thrift_spec if spec is not None]
-FIELD_OF = {spec[3][0]: spec[2] for spec in FIELDS}
+FIELD_BY_TYPE = {spec[3][0]: spec[2] for spec in FIELDS}
 STOP = bytes([TType.STOP])
 # First byte of a struct field whose ID doesn't fit the short form.
 LONG_FIELD_HEADER = 0x0C
@@ -108,11 +108,11 @@
     the struct, and a stop byte.
     """
     message = kind()
-    union = encode_compact(ttypes.Frame(**{FIELD_OF[kind]: message}))
+    union = encode_compact(ttypes.Frame(**{FIELD_BY_TYPE[kind]: message}))
     return union[: len(union) - len(encode_compact(message)) - len(STOP)]
 
 
-PREFIX_BY_TYPE = {kind: union_prefix(kind) for kind in FIELD_OF}
+PREFIX_BY_TYPE = {kind: union_prefix(kind) for kind in FIELD_BY_TYPE}
 TYPE_BY_PREFIX = {head: kind for kind, head in PREFIX_BY_TYPE.items()}
 
 
@@ -140,7 +140,7 @@
     rest = protocol.trans.cstringio_buf.read()
     if rest != STOP:
         raise FrameError(f'{len(rest)} bytes after the message of a frame')
-    return FIELD_OF[kind], message
+    return FIELD_BY_TYPE[kind], message
 
 
 class FrameReader:
--- a/cyclamenlift/wire/tasks.py
+++ b/cyclamenlift/wire/network.py
@@ -15,7 +15,7 @@
 from cyclamenlift.core.streams import Stream
 from cyclamenlift.core.streams import StreamOwner
 from cyclamenlift.wire.codec import encode_frame
-from cyclamenlift.wire.codec import FIELD_OF
+from cyclamenlift.wire.codec import FIELD_BY_TYPE
 from cyclamenlift.wire.codec import FrameError
 from cyclamenlift.wire.codec import FrameReader
 from cyclamenlift.wire.gen.protocol.ttypes import Hello
@@ -52,7 +52,7 @@
         'reader',
         'received',
         'stream',
-        'was_up',
+        'was_established',
     )
 
     def __init__(self, network: 'PeerNetwork', stream: Stream, address):
@@ -61,7 +61,7 @@
         self.address: Address | None = address
         self.reader = FrameReader()
         self.hello: Hello | None = None
-        self.was_up = False
+        self.was_established = False
         self.closed = False
         # Received bytes, to distinguish a slow response from none.
         self.received = 0
@@ -79,9 +79,9 @@
         self.stream.write(frame)
         return b'' if self.closed else frame
 
-    def holds(self, frame: bytes) -> bool:
+    def is_unsent(self, frame: bytes) -> bool:
         """Return whether a posted frame is still entirely unsent."""
-        return not self.closed and self.stream.holds(frame)
+        return not self.closed and self.stream.is_unsent(frame)
 
     def withdraw(self, frame: bytes) -> bool:
         """Unqueue a posted frame; False if part of it may have been sent."""
@@ -129,7 +129,7 @@
         self, kind: type, receiver: Callable[[Link, object], None]
     ) -> None:
         """Pass every message of thrift class ``kind`` to ``receiver``."""
-        self.receivers[FIELD_OF[kind]] = receiver
+        self.receivers[FIELD_BY_TYPE[kind]] = receiver
 
     def subscribe_lost(self, hook: Callable[[Link], None]) -> None:
         """Call ``hook`` for every lost link."""
@@ -149,29 +149,29 @@
         self.root.scheduler.after(timeout, lambda: self.check_connected(link))
         return link
 
-    def is_linked(self, address: Address) -> bool:
+    def has_link(self, address: Address) -> bool:
         """Return whether a link to ``address`` is open or connecting."""
         link = self.outgoing.get(address)
         return link is not None and not link.closed
 
-    def is_up(self, address: Address) -> bool:
+    def is_established(self, address: Address) -> bool:
         """Return whether a link to ``address`` is established."""
         link = self.outgoing.get(address)
-        return link is not None and link.was_up and not link.closed
+        return link is not None and link.was_established and not link.closed
 
-    def received_from(self, address: Address) -> int:
+    def bytes_received_from(self, address: Address) -> int:
         """Return the number of bytes received on the link to ``address``."""
         link = self.outgoing.get(address)
         return link.received if link is not None else 0
 
-    def give_up_connecting(self, address: Address) -> None:
+    def abort_connecting(self, address: Address) -> None:
         """Close a link to ``address`` that isn't established yet.
 
         Used for a peer that is now known to be running: the connection
         request may have been sent before it was.
         """
         link = self.outgoing.get(address)
-        if link is not None and not link.was_up:
+        if link is not None and not link.was_established:
             self.drop(link, None)
 
     def send(self, address: Address, message) -> bool:
@@ -194,7 +194,7 @@
 
     def on_accepted(self, stream: Stream) -> None:
         link = Link(self, stream, None)
-        link.was_up = True
+        link.was_established = True
         stream.context = link
         link.send(self.make_hello())
         self.root.scheduler.after(
@@ -203,7 +203,7 @@
 
     def on_connected(self, stream: Stream) -> None:
         link = stream.context
-        link.was_up = True
+        link.was_established = True
         self.connect_timeouts.pop(link.address, None)
 
     def on_data(self, stream: Stream, data: bytes) -> None:
@@ -267,7 +267,7 @@
 
     def check_connected(self, link: Link) -> None:
         """Close a link that wasn't established in time; nothing was sent."""
-        if link.was_up or link.closed:
+        if link.was_established or link.closed:
             return
         address = link.address
         timeout = self.connect_timeouts.get(address, INITIAL_CONNECT_SECONDS)
--- a/tests/calls/test_attempt.py
+++ b/tests/calls/test_attempt.py
@@ -12,7 +12,7 @@
     """A link to a gate in this process: it credits a chunk at once."""
 
     pending = 0
-    was_up = True
+    was_established = True
 
     def __init__(self):
         self.attempt = Try(1, 'own', self, 0.0)
--- a/tests/conf/test_watching.py
+++ b/tests/conf/test_watching.py
@@ -6,7 +6,7 @@
 
 from cyclamenlift.conf.watching import SettingsFile
 from cyclamenlift.conf.watching import SettingsWatch
-from cyclamenlift.core.tasks import build_root
+from cyclamenlift.core.scheduler import build_root
 from cyclamenlift.platform.settings import file_stamp
 from cyclamenlift.platform.settings import parse_fields
 from cyclamenlift.platform.settings import read_fields
--- a/tests/core/test_latency.py
+++ b/tests/core/test_latency.py
@@ -21,7 +21,7 @@
     plain = HdrHistogram(1, longest, SIGNIFICANT_DIGITS)
     for batch in batches:
         for seconds in batch:
-            latency.note(seconds)
+            latency.record(seconds)
             plain.record_value(int(max(0.0, seconds) * MICROSECONDS) + 1)
         found = latency.read()
         assert list(found.counts) == list(plain.counts)
--- a/tests/core/test_log_sink.py
+++ b/tests/core/test_log_sink.py
@@ -6,9 +6,9 @@
 import pytest
 import structlog
 
-from cyclamenlift.core.log_budget import BURST_LINES
-from cyclamenlift.core.log_budget import LINES_PER_SECOND
-from cyclamenlift.core.log_budget import LogRateLimiter
+from cyclamenlift.core.log_rate_limit import BURST_LINES
+from cyclamenlift.core.log_rate_limit import LINES_PER_SECOND
+from cyclamenlift.core.log_rate_limit import LogRateLimiter
 from cyclamenlift.core.log_sink import LogSink
 from cyclamenlift.core.log_sink import MAX_BUFFERED_BYTES
 
--- a/tests/events/fleet.py
+++ b/tests/events/fleet.py
@@ -10,13 +10,13 @@
 import random
 
 from cyclamenlift.core.packing import pack
+from cyclamenlift.core.scheduler import build_root
 from cyclamenlift.core.streams import Address
-from cyclamenlift.core.tasks import build_root
 from cyclamenlift.events.server import DocumentServer
 from cyclamenlift.events.state import EventStore
 from cyclamenlift.events.tasks import ConfigFollower
 from cyclamenlift.wire.codec import encode_frame
-from cyclamenlift.wire.codec import FIELD_OF
+from cyclamenlift.wire.codec import FIELD_BY_TYPE
 from cyclamenlift.wire.gen.protocol.ttypes import DocumentAnswer
 from tests.events.builders import FakeClock
 from tests.events.builders import FakeReplica
@@ -61,7 +61,7 @@
         self.address = address
         self.number = number
         self.hello = None
-        self.was_up = True
+        self.was_established = True
         self.closed = False
         self.pending = 0
         self.received = 0
@@ -104,22 +104,22 @@
         self.numbers = 0
 
     def subscribe(self, kind, receiver) -> None:
-        self.receivers[FIELD_OF[kind]] = receiver
+        self.receivers[FIELD_BY_TYPE[kind]] = receiver
 
     def subscribe_lost(self, hook) -> None:
         """No connection is lost here."""
 
-    def is_linked(self, address) -> bool:
+    def has_link(self, address) -> bool:
         return address in self.links
 
-    def is_up(self, address) -> bool:
+    def is_established(self, address) -> bool:
         return address in self.links
 
-    def received_from(self, address) -> int:
+    def bytes_received_from(self, address) -> int:
         link = self.links.get(address)
         return link.received if link is not None else 0
 
-    def give_up_connecting(self, address) -> None:
+    def abort_connecting(self, address) -> None:
         """All connections are up."""
 
     def link_to(self, address: Address) -> ThinLink:
@@ -144,7 +144,7 @@
             self.document_bytes_out += size
 
     def take(self, link: ThinLink, message) -> None:
-        self.receivers[FIELD_OF[type(message)]](link, message)
+        self.receivers[FIELD_BY_TYPE[type(message)]](link, message)
 
 
 class ThinDaemon:
--- a/tests/events/test_carrying.py
+++ b/tests/events/test_carrying.py
@@ -126,7 +126,7 @@
     bed.network.links.clear()
     bed.take()
     for _ in CONTROL:
-        bed.network.lose(bed.places[-1], was_up=False)
+        bed.network.lose(bed.places[-1], was_established=False)
         bed.pass_time(0.01)
     assert bed.codes == [ResultCode.NOT_LEADER]
     assert len(bed.places) == len(CONTROL)
--- a/tests/events/test_tasks.py
+++ b/tests/events/test_tasks.py
@@ -200,7 +200,7 @@
 def test_a_pull_that_brings_bytes_is_waited_for_but_not_for_ever():
     bed = running(3)
     came = [0]
-    bed.network.received_from = lambda address: came[0]
+    bed.network.bytes_received_from = lambda address: came[0]
     bed.follower.note_version(4, PEERS[0])
     assert bed.asked() == [FIRST]
     for _ in range(10):
@@ -260,7 +260,7 @@
     for number in range(3):
         bed = running(3)
         up = CONTROL[number]
-        bed.network.is_up = lambda address, up=up: address == up
+        bed.network.is_established = lambda address, up=up: address == up
         bed.follower.note_version(4, PEERS[0])
         bed.asked()
         assert lose(bed, FIRST) == [up]
@@ -271,7 +271,7 @@
 def test_a_pull_over_a_connection_with_calls_ends_within_the_bound():
     bed = running(3)
     came = itertools.count(1000, 1000)
-    bed.network.received_from = lambda _address: next(came)
+    bed.network.bytes_received_from = lambda _address: next(came)
     bed.follower.note_version(4, PEERS[0])
     bed.follower.note_version(4, PEERS[1])
     bed.asked()
@@ -279,28 +279,30 @@
     assert Address.parse(PEERS[1]) in bed.asked()
 
 
-def lose(bed, address, was_up=True) -> list:
+def lose(bed, address, was_established=True) -> list:
     """Lose the connection to ``address``; return who is asked for it."""
     link = FakeLink(address)
-    link.was_up = was_up
+    link.was_established = was_established
     for hook in bed.network.lost_hooks:
         hook(link)
     return bed.asked()
 
 
-@pytest.mark.parametrize('was_up', [True, False])
-def test_a_pull_is_asked_of_another_when_its_connection_is_lost(was_up):
+@pytest.mark.parametrize('was_established', [True, False])
+def test_a_pull_is_asked_of_another_when_its_connection_is_lost(
+    was_established,
+):
     bed = running(3)
     bed.follower.note_version(4, PEERS[0])
     bed.asked()
     asked = [FIRST]
     for _ in CONTROL:
-        (other,) = lose(bed, asked[-1], was_up)
+        (other,) = lose(bed, asked[-1], was_established)
         asked.append(other)
     # Each one once, lest it go on for ever; then the watch begins anew.
     assert sorted(asked[1:]) == sorted(CONTROL)
     for address in asked:
-        assert lose(bed, address, was_up) == []
+        assert lose(bed, address, was_established) == []
     bed.pass_time(PULL_SECONDS + 0.1)
     assert bed.follower.puller.under_way.address != asked[-1]
 
--- a/tests/http/test_splits.py
+++ b/tests/http/test_splits.py
@@ -4,9 +4,9 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 
-from cyclamenlift.http.answer_parser import ResponseParser
 from cyclamenlift.http.limits import ClientLimits
 from cyclamenlift.http.request_parser import RequestParser
+from cyclamenlift.http.response_parser import ResponseParser
 from tests.http.builders import answers_in
 from tests.http.builders import build_border
 from tests.http.builders import LIMITS
--- a/tests/http/test_target_answers.py
+++ b/tests/http/test_target_answers.py
@@ -2,9 +2,9 @@
 
 import pytest
 
-from cyclamenlift.http.answer_parser import ResponseParser
 from cyclamenlift.http.client import keep_alive_seconds
 from cyclamenlift.http.limits import ClientLimits
+from cyclamenlift.http.response_parser import ResponseParser
 
 LIMITS = ClientLimits(call_id_field='x-call', unsized_answers=True)
 
--- a/tests/ledger/builders.py
+++ b/tests/ledger/builders.py
@@ -5,12 +5,12 @@
 
 import pydantic
 
+from cyclamenlift.core.scheduler import build_root
 from cyclamenlift.core.streams import Address
-from cyclamenlift.core.tasks import build_root
 from cyclamenlift.ledger import records
 from cyclamenlift.ledger import state
 from cyclamenlift.ledger.tasks import ClaimClient
-from cyclamenlift.wire.codec import FIELD_OF
+from cyclamenlift.wire.codec import FIELD_BY_TYPE
 from cyclamenlift.wire.gen.protocol import ttypes
 
 START = 1_000_000
@@ -104,7 +104,7 @@
             ttypes.Hello(instance, 'bole', 1, 'c') if instance else None
         )
         self.number = number
-        self.was_up = True
+        self.was_established = True
         self.pending = 0
         self.sent = []
 
@@ -124,7 +124,7 @@
         self.lost_hooks = []
 
     def subscribe(self, kind, receiver) -> None:
-        self.receivers[FIELD_OF[kind]] = receiver
+        self.receivers[FIELD_BY_TYPE[kind]] = receiver
 
     def subscribe_lost(self, hook) -> None:
         self.lost_hooks.append(hook)
@@ -133,26 +133,26 @@
         self.sent.append((address, message))
         return True
 
-    def is_linked(self, address) -> bool:
+    def has_link(self, address) -> bool:
         return address in self.links
 
-    def is_up(self, address) -> bool:
+    def is_established(self, address) -> bool:
         return address in self.links
 
-    def received_from(self, _address) -> int:
+    def bytes_received_from(self, _address) -> int:
         return 0
 
-    def give_up_connecting(self, address) -> None:
+    def abort_connecting(self, address) -> None:
         self.given_up.append(address)
 
     def deliver(self, address, message) -> None:
         """Let a message of the peer at ``address`` arrive."""
         link = self.links.get(address) or FakeLink(address, str(address))
-        self.receivers[FIELD_OF[type(message)]](link, message)
+        self.receivers[FIELD_BY_TYPE[type(message)]](link, message)
 
-    def lose(self, address, was_up=True) -> None:
+    def lose(self, address, was_established=True) -> None:
         link = FakeLink(address, NAMES[address])
-        link.was_up = was_up
+        link.was_established = was_established
         for hook in self.lost_hooks:
             hook(link)
 
--- a/tests/ledger/test_tasks.py
+++ b/tests/ledger/test_tasks.py
@@ -103,15 +103,15 @@
 def test_a_refused_connection_moves_on_at_once():
     bed = ClientBed()
     bed.claim()
-    bed.network.lose(bed.asked(Request)[0], was_up=False)
+    bed.network.lose(bed.asked(Request)[0], was_established=False)
     bed.root.scheduler.run_due()
     assert len(bed.asked(Request)) == 2
 
 
-def lose_all(was_up):
+def lose_all(was_established):
     def step(bed):
         for address in CONTROL:
-            bed.network.lose(address, was_up)
+            bed.network.lose(address, was_established)
 
     return step
 
--- a/tests/runtime/test_stopping.py
+++ b/tests/runtime/test_stopping.py
@@ -10,8 +10,8 @@
 import socket
 from types import SimpleNamespace
 
+from cyclamenlift.core.scheduler import build_root
 from cyclamenlift.core.streams import Address
-from cyclamenlift.core.tasks import build_root
 from cyclamenlift.http.limits import HttpLimits
 from cyclamenlift.http.server import HttpServer
 from cyclamenlift.runtime.stopping import IDLE_CHECK_SECONDS
--- a/tests/wire/test_codec.py
+++ b/tests/wire/test_codec.py
@@ -7,7 +7,7 @@
 
 from cyclamenlift.wire.codec import encode_compact
 from cyclamenlift.wire.codec import encode_frame
-from cyclamenlift.wire.codec import FIELD_OF
+from cyclamenlift.wire.codec import FIELD_BY_TYPE
 from cyclamenlift.wire.codec import FrameError
 from cyclamenlift.wire.codec import FrameReader
 from cyclamenlift.wire.codec import LENGTH
@@ -53,13 +53,13 @@
         FrameReader().feed(LENGTH.pack(len(body)) + body)
 
 
-@pytest.mark.parametrize('kind', FIELD_OF, ids=lambda kind: kind.__name__)
+@pytest.mark.parametrize('kind', FIELD_BY_TYPE, ids=lambda kind: kind.__name__)
 def test_a_frame_is_the_union_that_the_wire_file_describes(kind):
     message = kind()
-    union = encode_compact(Frame(**{FIELD_OF[kind]: message}))
+    union = encode_compact(Frame(**{FIELD_BY_TYPE[kind]: message}))
     data = encode_frame(message)
     assert data == LENGTH.pack(len(union)) + union
-    assert FrameReader().feed(data) == [(FIELD_OF[kind], message)]
+    assert FrameReader().feed(data) == [(FIELD_BY_TYPE[kind], message)]
 
 
 @pytest.mark.parametrize(
--- a/tests/wire/test_tasks.py
+++ b/tests/wire/test_network.py
@@ -6,13 +6,13 @@
 
 import pytest
 
+from cyclamenlift.core.scheduler import build_root
 from cyclamenlift.core.streams import Address
-from cyclamenlift.core.tasks import build_root
 from cyclamenlift.wire.codec import encode_frame
 from cyclamenlift.wire.gen.protocol.ttypes import BodyChunk
 from cyclamenlift.wire.gen.protocol.ttypes import Cancel
 from cyclamenlift.wire.gen.protocol.ttypes import Hello
-from cyclamenlift.wire.tasks import PeerNetwork
+from cyclamenlift.wire.network import PeerNetwork
 
 LOCAL = Address('127.0.0.1', 0)
 ROUNDS = 500
@@ -110,7 +110,7 @@
     link = bed.first.link_to(bed.address)
     for number in range(100, 130):
         link.send(Cancel(number))
-    assert not link.was_up
+    assert not link.was_established
     bed.run_until(lambda: len(bed.taken) == 30)
     assert bed.taken == list(range(100, 130))
     assert link.hello.instance == 'second'
@@ -123,7 +123,7 @@
         address = Address(*server.getsockname())
     bed.first.send(address, Cancel(1))
     bed.run_until(lambda: lost)
-    assert not lost[0].was_up
+    assert not lost[0].was_established
     assert not lost[0].send(Cancel(2))
 
 
@@ -137,24 +137,24 @@
     bed.run_until(lambda: lost)
     bed.first.send(bed.address, Cancel(2))
     bed.run_until(lambda: bed.taken == [1, 2])
-    assert len(lost) == 1 and lost[0].was_up
+    assert len(lost) == 1 and lost[0].was_established
 
 
 def test_frame_withdrawn_before_the_connection_is_up_is_never_sent(bed):
     link = bed.first.link_to(bed.address)
     frames = {number: link.post(Cancel(number)) for number in range(5)}
-    assert link.holds(frames[2])
+    assert link.is_unsent(frames[2])
     assert link.withdraw(frames[2])
     assert not link.withdraw(frames[2])
     bed.run_until(lambda: len(bed.taken) == 4)
     assert bed.taken == [0, 1, 3, 4]
-    assert not link.holds(frames[3])
+    assert not link.is_unsent(frames[3])
     assert not link.withdraw(frames[3])
 
 
 def test_frame_behind_a_full_way_is_withdrawn_but_none_that_has_begun(bed):
     link = bed.first.link_to(bed.address)
-    bed.run_until(lambda: link.was_up and link.hello)
+    bed.run_until(lambda: link.was_established and link.hello)
     large = link.post(BodyChunk(1, bytes(8 * 1024 * 1024), True))
     behind = link.post(Cancel(7))
     last = link.post(Cancel(8))
@@ -190,7 +190,7 @@
         link = bed.first.link_to(address)
         bed.run_until(lambda link=link: link.closed)
         waits.append(time.monotonic() - begun)
-        assert not link.was_up
+        assert not link.was_established
     assert [round(w, 1) for w in waits] == [0.2, 0.4, 0.8, 1.0]
     listener.close()
     for filler in fillers:
@@ -200,7 +200,7 @@
 def test_a_connection_that_comes_up_begins_anew_with_the_short_wait(bed):
     bed.first.connect_timeouts[bed.address] = 1.0
     link = bed.first.link_to(bed.address)
-    bed.run_until(lambda: link.was_up)
+    bed.run_until(lambda: link.was_established)
     assert bed.address not in bed.first.connect_timeouts
 
 
@@ -208,11 +208,11 @@
     listener, fillers = unanswered(bed)
     address = Address(*listener.getsockname())
     stuck = bed.first.link_to(address)
-    bed.first.give_up_connecting(address)
+    bed.first.abort_connecting(address)
     assert stuck.closed
     link = bed.first.link_to(bed.address)
-    bed.run_until(lambda: link.was_up)
-    bed.first.give_up_connecting(bed.address)
+    bed.run_until(lambda: link.was_established)
+    bed.first.abort_connecting(bed.address)
     assert not link.closed
     listener.close()
     for filler in fillers:
--- a/tools/mutants_calls.py
+++ b/tools/mutants_calls.py
@@ -25,7 +25,7 @@
     Mutant(
         'a lost connection counts as not run',
         'cyclamenlift/calls/attempt.py',
-        'return not self.link.was_up',
+        'return not self.link.was_established',
         'return True',
         PATH_TESTS,
     ),
@@ -38,7 +38,7 @@
     ),
     Mutant(
         'the end of a connection makes any answer whole',
-        'cyclamenlift/http/answer_parser.py',
+        'cyclamenlift/http/response_parser.py',
         'return self.head_ready and self.until_close and not self.problem',
         'return self.head_ready',
         'tests/http/test_client.py',
@@ -111,7 +111,7 @@
     Mutant(
         'a lost connection counts as not run, real processes',
         'cyclamenlift/calls/attempt.py',
-        'return not self.link.was_up',
+        'return not self.link.was_established',
         'return True',
         BOOKINGS,
     ),
