--- a/tests/core/test_latency.py
+++ b/tests/core/test_latency.py
@@ -15,7 +15,7 @@
 
 @settings(derandomize=True, max_examples=200)
 @given(st.lists(st.lists(SECONDS, max_size=20), max_size=4))
-def test_every_count_is_where_the_histogram_would_have_put_it(batches):
+def test_counts_equal_those_of_an_hdr_histogram(batches):
     latency = LatencyHistogram(LONGEST)
     longest = int(LONGEST * MICROSECONDS)
     plain = HdrHistogram(1, longest, SIGNIFICANT_DIGITS)
--- a/tests/core/test_log_sink.py
+++ b/tests/core/test_log_sink.py
@@ -36,7 +36,7 @@
         found += data
 
 
-def test_a_reader_that_stalls_stops_nobody(pipe):
+def test_stalled_reader_does_not_block(pipe):
     reader, writer = pipe
     sink = LogSink(writer)
     began = time.monotonic()
@@ -47,7 +47,7 @@
     assert sink.dropped > 0
 
 
-def test_lines_come_whole_and_in_order_once_the_reader_goes_on(pipe):
+def test_lines_are_whole_and_ordered_after_a_stall(pipe):
     reader, writer = pipe
     sink = LogSink(writer)
     for number in range(2_000):
@@ -64,7 +64,7 @@
     assert f'"count": {dropped}' in lines[-1]
 
 
-def test_a_reader_that_is_gone_costs_nothing():
+def test_closed_reader_discards_the_buffer():
     reader, writer = os.pipe()
     os.close(reader)
     sink = LogSink(writer)
@@ -73,7 +73,7 @@
     assert sink.buffered_bytes <= len(LINE) + 1
 
 
-def test_a_crowd_of_one_event_is_counted_instead_of_written():
+def test_burst_of_one_event_is_counted_instead_of_written():
     now = [0.0]
     budget = LogRateLimiter(lambda: now[0])
     written = 0
--- a/tests/core/test_metrics.py
+++ b/tests/core/test_metrics.py
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize('name, service, attribute, expected', SERVICE_LINES)
-def test_finished_calls_show_by_service(
+def test_finished_calls_are_reported_by_service(
     metrics, name, service, attribute, expected
 ):
     for call in CALLS:
@@ -57,7 +57,7 @@
     assert found == pytest.approx(expected, rel=0.02)
 
 
-def test_latencies_are_counted_in_buckets_that_add_up(metrics):
+def test_latencies_are_counted_in_cumulative_buckets(metrics):
     for call in CALLS:
         metrics.call_finished(*call)
     text = metrics.render_prometheus().decode()
@@ -70,7 +70,7 @@
     assert total == pytest.approx(0.031, rel=0.05)
 
 
-def test_a_watched_value_is_read_at_each_collection(metrics):
+def test_watched_value_is_read_on_each_scrape(metrics):
     members = [3]
     metrics.watch('cyclamenlift.members', lambda: members[0])
     assert value_of(metrics.render_prometheus().decode(), 'members') == 3
@@ -78,7 +78,7 @@
     assert value_of(metrics.render_prometheus().decode(), 'members') == 5
 
 
-def test_two_processes_parts_keep_their_own_registry(metrics):
+def test_instances_have_separate_registries(metrics):
     other = Metrics('two', 'yeka')
     other.call_finished('price', ResultCode.ANSWERED, 0.1)
     assert 'service="price"' not in metrics.render_prometheus().decode()
--- a/tests/core/test_scheduler.py
+++ b/tests/core/test_scheduler.py
@@ -30,7 +30,7 @@
     assert ran == ['first', 'second']
 
 
-def test_repeated_timer_goes_on():
+def test_periodic_timer_repeats():
     clock = FakeClock()
     scheduler = Scheduler(clock)
     ran = []
--- a/tests/http/builders.py
+++ b/tests/http/builders.py
@@ -160,7 +160,7 @@
 
 
 @dataclasses.dataclass
-class Border:
+class ServerHarness:
     """An ``HttpServer`` on a loop of its own."""
 
     loop: Loop
@@ -178,7 +178,9 @@
         return caller
 
 
-def build_border(take=echo, limits: HttpLimits = LIMITS) -> Border:
+def build_server_harness(
+    take=echo, limits: HttpLimits = LIMITS
+) -> ServerHarness:
     """Return an ``HttpServer`` that records its exchanges."""
     loop = Loop()
     exchanges = []
@@ -187,12 +189,12 @@
         exchanges.append(exchange)
         take(exchange)
 
-    server = HttpServer(loop.root.poller, limits, note, 'border')
+    server = HttpServer(loop.root.poller, limits, note, 'harness')
     server.register(loop.root)
-    return Border(loop, server, server.listen(LOOPBACK), exchanges)
+    return ServerHarness(loop, server, server.listen(LOOPBACK), exchanges)
 
 
-class StockPages(Controller):
+class CircuitsPages(Controller):
     """Responds like ``echo`` on the circuits.web server."""
 
     def index(self, *parts) -> str:
@@ -204,11 +206,11 @@
         return self.index()
 
 
-def ask_stock(*pieces: bytes) -> Caller:
+def ask_circuits_server(*pieces: bytes) -> Caller:
     """Send pieces to a new unmodified circuits.web server."""
     server = Server(('127.0.0.1', 0), channel='web')
     EPoll().register(server)
-    StockPages().register(server)
+    CircuitsPages().register(server)
     loop = Loop(server)
     loop.settle()
     caller = Caller.connect(loop, (server.host, server.port))
--- a/tests/http/test_border.py
+++ b/tests/http/test_border.py
@@ -8,8 +8,8 @@
 
 from tests.http.builders import Answer
 from tests.http.builders import answers_in
-from tests.http.builders import ask_stock
-from tests.http.builders import build_border
+from tests.http.builders import ask_circuits_server
+from tests.http.builders import build_server_harness
 from tests.http.builders import request
 
 CHUNKED = 'Transfer-Encoding: chunked'
@@ -20,7 +20,7 @@
 FIELDS = {'code', 'title', 'detail', 'run', 'hint', 'retry_after_ms'}
 
 
-class Stock(enum.Enum):
+class CircuitsResult(enum.Enum):
     """How the unmodified circuits.web server handles the same bytes."""
 
     MIXED = 'a request is lost or answered with data of another'
@@ -36,7 +36,7 @@
     """Packets to send and the expected responses."""
 
     name: str
-    stock: Stock
+    circuits: CircuitsResult
     pieces: list[bytes]
     texts: tuple[str, ...] = ()
     refusal: tuple[int, int] | None = None
@@ -46,19 +46,19 @@
     return request(line, *fields, body=body)
 
 
-def refused(name, stock, piece, refusal=FRAMING) -> Case:
-    return Case(name, stock, [piece], (), refusal)
+def refused(name, circuits, piece, refusal=FRAMING) -> Case:
+    return Case(name, circuits, [piece], (), refusal)
 
 
 def in_bytes(data: bytes) -> list[bytes]:
     return [bytes([value]) for value in data]
 
 
-ACCEPTED = Stock.ACCEPTED
-MIXED = Stock.MIXED
-SILENT = Stock.SILENT
-TRACEBACK = Stock.TRACEBACK
-UNNUMBERED = Stock.UNNUMBERED
+ACCEPTED = CircuitsResult.ACCEPTED
+MIXED = CircuitsResult.MIXED
+SILENT = CircuitsResult.SILENT
+TRACEBACK = CircuitsResult.TRACEBACK
+UNNUMBERED = CircuitsResult.UNNUMBERED
 END = b'0\r\n\r\n'
 
 
@@ -89,7 +89,7 @@
     ),
     Case(
         'request after Connection: close',
-        Stock.SAME,
+        CircuitsResult.SAME,
         [request('GET /a HTTP/1.1', 'Connection: close') + A_THEN_B],
         ('path:/a',),
     ),
@@ -218,31 +218,31 @@
     return tuple(a.body.decode() for a in answers if a.status == 200)
 
 
-def stock_result(case: Case, received: bytes) -> Stock:
+def circuits_result(case: Case, received: bytes) -> CircuitsResult:
     answers = answers_in(received)
     if b'File &quot;' in received:
-        return Stock.TRACEBACK
+        return CircuitsResult.TRACEBACK
     if not answers:
-        return Stock.SILENT
+        return CircuitsResult.SILENT
     if case.texts:
         same = texts_of(answers) == case.texts and not case.refusal
-        return Stock.SAME if same else Stock.MIXED
+        return CircuitsResult.SAME if same else CircuitsResult.MIXED
     if answers[0].status == 200:
-        return Stock.ACCEPTED
-    return Stock.UNNUMBERED
+        return CircuitsResult.ACCEPTED
+    return CircuitsResult.UNNUMBERED
 
 
 @pytest.mark.parametrize('case', BY_NAME)
-def test_border_answers_each_request_or_refuses_it(case):
-    border = build_border()
-    caller = border.ask(*case.pieces)
+def test_server_answers_or_rejects_each_request(case):
+    harness = build_server_harness()
+    caller = harness.ask(*case.pieces)
     answers = answers_in(caller.received)
     assert texts_of(answers) == case.texts
     if case.refusal is not None:
         check_refusal(answers[-1], case.refusal)
         assert caller.closed
     assert len(answers) == len(case.texts) + bool(case.refusal)
-    again = border.ask(request('GET /again HTTP/1.1'))
+    again = harness.ask(request('GET /again HTTP/1.1'))
     assert texts_of(answers_in(again.received)) == ('path:/again',)
 
 
@@ -258,6 +258,6 @@
 
 
 @pytest.mark.parametrize('case', BY_NAME)
-def test_stock_server_does_what_the_table_says(case):
-    caller = ask_stock(*case.pieces)
-    assert stock_result(case, caller.received) is case.stock
+def test_circuits_server_behaves_as_listed(case):
+    caller = ask_circuits_server(*case.pieces)
+    assert circuits_result(case, caller.received) is case.circuits
--- a/tests/http/test_client.py
+++ b/tests/http/test_client.py
@@ -28,7 +28,7 @@
 
 
 @dataclasses.dataclass
-class Side:
+class ClientHarness:
     """A client, its target, and the loop they share."""
 
     loop: Loop
@@ -44,12 +44,14 @@
         self.target.until(lambda: all(one.over for one in listeners))
 
 
-def build_side(limits: ClientLimits = LIMITS, backlog: int = 16) -> Side:
+def build_client_harness(
+    limits: ClientLimits = LIMITS, backlog: int = 16
+) -> ClientHarness:
     loop = Loop()
     target = FakeTarget(loop, backlog)
     client = TargetClient(loop.root.poller, target.address, limits, 'target')
     client.register(loop.root)
-    return Side(loop, target, client)
+    return ClientHarness(loop, target, client)
 
 
 @dataclasses.dataclass(frozen=True)
@@ -84,17 +86,17 @@
 
 
 @pytest.mark.parametrize('case', WHOLES.values(), ids=WHOLES)
-def test_whole_answer_is_handed_over(case):
-    side = build_side()
+def test_complete_response_is_delivered(case):
+    harness = build_client_harness()
     request = dataclasses.replace(GET, method=case.method)
     for number in (1, 2):
-        _, listener = side.ask(request)
-        side.target.asked(number).send(*case.pieces)
-        side.over(listener)
+        _, listener = harness.ask(request)
+        harness.target.asked(number).send(*case.pieces)
+        harness.over(listener)
         assert listener.ended == 1 and not listener.failures
         assert [head[0] for head in listener.heads] == [case.status]
         assert listener.body == case.body
-    assert len(side.target.connections) == (1 if case.reused else 2)
+    assert len(harness.target.connections) == (1 if case.reused else 2)
 
 
 BROKEN = {
@@ -124,75 +126,75 @@
 
 @pytest.mark.parametrize('script', BROKEN.values(), ids=BROKEN)
 @pytest.mark.parametrize('kept', [False, True])
-def test_broken_answer_is_a_failure_of_a_sent_request(script, kept):
-    side = build_side()
+def test_invalid_response_fails_a_sent_request(script, kept):
+    harness = build_client_harness()
     if kept:
-        _, first = side.ask()
-        side.target.asked().send(WHOLE)
-        side.over(first)
-    call, listener = side.ask()
-    connection = side.target.asked(1 + kept)
+        _, first = harness.ask()
+        harness.target.asked().send(WHOLE)
+        harness.over(first)
+    call, listener = harness.ask()
+    connection = harness.target.asked(1 + kept)
     for step in script:
         if isinstance(step, bytes):
             connection.send(step)
         else:
             connection.leave(reset=step == 'reset')
-    side.over(listener)
-    side.target.settle()
+    harness.over(listener)
+    harness.target.settle()
     assert [f.sent for f in listener.failures] == [True]
     assert call.sent and not listener.ended
-    assert not side.client.streams
-    _, again = side.ask()
-    side.target.until(lambda: side.target.open_connections)
-    side.target.open_connections[0].send(WHOLE)
-    side.over(again)
+    assert not harness.client.streams
+    _, again = harness.ask()
+    harness.target.until(lambda: harness.target.open_connections)
+    harness.target.open_connections[0].send(WHOLE)
+    harness.over(again)
     assert again.body == b'abc'
 
 
-def test_answer_without_a_length_is_whole_at_the_close_where_allowed():
-    side = build_side(UNSIZED)
-    _, listener = side.ask()
-    connection = side.target.asked()
+def test_unsized_response_ends_at_eof_if_allowed():
+    harness = build_client_harness(UNSIZED)
+    _, listener = harness.ask()
+    connection = harness.target.asked()
     connection.send(b'HTTP/1.1 200 OK\r\n\r\nabc')
-    side.target.settle()
+    harness.target.settle()
     assert not listener.over
     connection.leave()
-    side.over(listener)
+    harness.over(listener)
     assert listener.ended == 1 and listener.body == b'abc'
 
 
 def test_refused_connection_proves_that_nothing_was_sent():
-    side = build_side()
-    side.target.sock.close()
-    call, listener = side.ask()
+    harness = build_client_harness()
+    harness.target.sock.close()
+    call, listener = harness.ask()
     assert not listener.over
-    side.loop.until(lambda: listener.over)
+    harness.loop.until(lambda: listener.over)
     assert [f.sent for f in listener.failures] == [False]
     assert not call.sent
 
 
 def test_first_write_that_fails_proves_that_nothing_was_sent():
-    side = build_side()
-    _, first = side.ask()
-    side.target.asked().send(WHOLE)
-    side.over(first)
-    side.client.idle[0].sock.shutdown(socket.SHUT_WR)
-    call, listener = side.ask()
+    harness = build_client_harness()
+    _, first = harness.ask()
+    harness.target.asked().send(WHOLE)
+    harness.over(first)
+    harness.client.idle[0].sock.shutdown(socket.SHUT_WR)
+    call, listener = harness.ask()
     assert not listener.over
-    side.loop.until(lambda: listener.over)
+    harness.loop.until(lambda: listener.over)
     assert [f.sent for f in listener.failures] == [False]
     assert not call.sent
 
 
 def test_connect_that_times_out_proves_that_nothing_was_sent():
-    side = build_side(backlog=0)
+    harness = build_client_harness(backlog=0)
     # The kernel completes no further handshake once the backlog is full.
     fill = [socket.socket() for _ in range(4)]
     for sock in fill:
         sock.setblocking(False)
-        sock.connect_ex(tuple(side.target.address))
-    _, listener = side.ask()
-    side.loop.until(lambda: listener.over)
+        sock.connect_ex(tuple(harness.target.address))
+    _, listener = harness.ask()
+    harness.loop.until(lambda: listener.over)
     assert [f.sent for f in listener.failures] == [False]
     for sock in fill:
         sock.close()
@@ -200,35 +202,37 @@
 
 @pytest.mark.parametrize('act', ['stray', 'close', 'reset'])
 @pytest.mark.parametrize('noticed', [True, False])
-def test_spoiled_idle_connection_is_not_used_again(act, noticed):
-    side = build_side()
-    _, first = side.ask()
-    connection = side.target.asked()
+def test_unusable_idle_connection_is_not_reused(act, noticed):
+    harness = build_client_harness()
+    _, first = harness.ask()
+    connection = harness.target.asked()
     connection.send(WHOLE)
-    side.over(first)
+    harness.over(first)
     if act == 'stray':
         connection.sock.send(b'HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n')
     else:
         connection.leave(reset=act == 'reset')
     if noticed:
-        side.target.settle()
-    _, second = side.ask()
-    side.target.until(lambda: len(side.target.connections) == 2)
-    side.target.connections[1].send(WHOLE)
-    side.over(second)
+        harness.target.settle()
+    _, second = harness.ask()
+    harness.target.until(lambda: len(harness.target.connections) == 2)
+    harness.target.connections[1].send(WHOLE)
+    harness.over(second)
     assert second.ended == 1 and second.body == b'abc'
 
 
-def test_answer_before_the_request_is_no_answer():
-    side = build_side()
-    call, listener = side.ask(TargetRequest('POST', '/', [('host', 'a')], 3))
-    side.target.until(lambda: side.target.connections)
-    side.target.connections[0].send(WHOLE)
-    side.target.until(lambda: len(side.target.connections) == 2)
+def test_response_before_the_request_is_ignored():
+    harness = build_client_harness()
+    call, listener = harness.ask(
+        TargetRequest('POST', '/', [('host', 'a')], 3)
+    )
+    harness.target.until(lambda: harness.target.connections)
+    harness.target.connections[0].send(WHOLE)
+    harness.target.until(lambda: len(harness.target.connections) == 2)
     assert not listener.over and not call.sent
     call.send_body(b'xyz', True)
-    side.target.asked().send(WHOLE)
-    side.over(listener)
+    harness.target.asked().send(WHOLE)
+    harness.over(listener)
     assert listener.ended == 1
 
 
@@ -247,23 +251,23 @@
     ],
 )
 def test_body_is_framed_as_declared(length, pieces, wire):
-    side = build_side()
+    harness = build_client_harness()
     fields = [('host', 'a'), ('content-length', '9'), ('expect', 'x')]
-    call, listener = side.ask(TargetRequest('POST', '/p', fields, length))
+    call, listener = harness.ask(TargetRequest('POST', '/p', fields, length))
     for number, piece in enumerate(pieces, 1):
         call.send_body(piece, number == len(pieces))
-    side.target.until(lambda: side.target.connections)
-    connection = side.target.connections[0]
+    harness.target.until(lambda: harness.target.connections)
+    connection = harness.target.connections[0]
     expected = b'POST /p HTTP/1.1\r\nhost: a\r\n' + wire
-    side.target.until(lambda: connection.received == expected)
+    harness.target.until(lambda: connection.received == expected)
     connection.send(WHOLE)
-    side.over(listener)
+    harness.over(listener)
 
 
 @pytest.mark.parametrize('pieces', [[(b'abcd', True)], [(b'ab', True)]])
 def test_body_of_another_length_than_declared_is_an_error(pieces):
-    side = build_side()
-    call, _ = side.ask(TargetRequest('POST', '/', [('host', 'a')], 3))
+    harness = build_client_harness()
+    call, _ = harness.ask(TargetRequest('POST', '/', [('host', 'a')], 3))
     with pytest.raises(ValueError):
         for data, last in pieces:
             call.send_body(data, last)
@@ -279,110 +283,112 @@
         dataclasses.replace(GET, headers=[('x', 'a\r\nb: c')]),
     ],
 )
-def test_request_can_not_forge_another(request_):
-    side = build_side()
+def test_request_injection_is_rejected(request_):
+    harness = build_client_harness()
     with pytest.raises(HeaderError):
-        side.ask(request_)
-    assert not side.client.streams
+        harness.ask(request_)
+    assert not harness.client.streams
 
 
-def test_early_answer_stands_and_its_connection_is_closed():
-    side = build_side()
-    call, listener = side.ask(TargetRequest('POST', '/', [('host', 'a')], 9))
+def test_early_response_counts_and_closes_the_connection():
+    harness = build_client_harness()
+    call, listener = harness.ask(
+        TargetRequest('POST', '/', [('host', 'a')], 9)
+    )
     call.send_body(b'abc', False)
-    side.target.asked().send(WHOLE)
-    side.over(listener)
+    harness.target.asked().send(WHOLE)
+    harness.over(listener)
     call.send_body(b'defghi', True)
-    side.target.settle()
-    assert listener.ended == 1 and not side.client.streams
+    harness.target.settle()
+    assert listener.ended == 1 and not harness.client.streams
 
 
 def test_calls_over_the_connection_limit_wait_for_a_free_one():
-    side = build_side()
-    asked = [side.ask() for _ in range(3)]
-    side.target.asked(2)
-    side.target.settle()
-    assert len(side.target.connections) == 2
+    harness = build_client_harness()
+    asked = [harness.ask() for _ in range(3)]
+    harness.target.asked(2)
+    harness.target.settle()
+    assert len(harness.target.connections) == 2
     asked[2][0].cancel()
-    asked.append(side.ask())
-    side.target.connections[0].send(WHOLE)
-    side.target.until(
-        lambda: side.target.connections[0].received.count(b'G') > 1
+    asked.append(harness.ask())
+    harness.target.connections[0].send(WHOLE)
+    harness.target.until(
+        lambda: harness.target.connections[0].received.count(b'G') > 1
     )
-    side.target.connections[0].send(WHOLE)
-    side.target.connections[1].send(WHOLE)
-    side.over(asked[0][1], asked[1][1], asked[3][1])
-    side.target.settle()
+    harness.target.connections[0].send(WHOLE)
+    harness.target.connections[1].send(WHOLE)
+    harness.over(asked[0][1], asked[1][1], asked[3][1])
+    harness.target.settle()
     assert not asked[2][1].over
-    assert len(side.target.connections) == 2
+    assert len(harness.target.connections) == 2
 
 
 def test_warm_connections_are_opened_early_and_again_when_lost():
-    side = build_side()
-    side.client.warm_up()
-    side.target.until(lambda: len(side.target.connections) == 2)
-    side.target.until(lambda: len(side.client.idle) == 2)
-    _, listener = side.ask()
-    side.target.asked().send(WHOLE)
-    side.over(listener)
-    assert len(side.target.connections) == 2
-    for connection in side.target.connections:
+    harness = build_client_harness()
+    harness.client.warm_up()
+    harness.target.until(lambda: len(harness.target.connections) == 2)
+    harness.target.until(lambda: len(harness.client.idle) == 2)
+    _, listener = harness.ask()
+    harness.target.asked().send(WHOLE)
+    harness.over(listener)
+    assert len(harness.target.connections) == 2
+    for connection in harness.target.connections:
         connection.leave()
-    side.target.until(lambda: len(side.target.open_connections) == 2)
+    harness.target.until(lambda: len(harness.target.open_connections) == 2)
 
 
-def test_cancelled_call_hears_nothing_and_its_connection_is_closed():
-    side = build_side()
-    call, listener = side.ask()
-    connection = side.target.asked()
+def test_cancelled_call_gets_no_callback_and_is_closed():
+    harness = build_client_harness()
+    call, listener = harness.ask()
+    connection = harness.target.asked()
     call.cancel()
-    side.target.until(lambda: connection.closed)
-    side.target.settle()
+    harness.target.until(lambda: connection.closed)
+    harness.target.settle()
     assert not listener.over and not listener.heads
 
 
-def test_call_cancelled_in_its_head_callback_hears_nothing_more():
-    side = build_side()
-    call, listener = side.ask()
+def test_call_cancelled_in_on_head_gets_no_further_callback():
+    harness = build_client_harness()
+    call, listener = harness.ask()
     listener.on_head = lambda *_: call.cancel()
-    side.target.asked().send(WHOLE)
-    side.target.settle()
+    harness.target.asked().send(WHOLE)
+    harness.target.settle()
     assert not listener.over and not listener.body
-    assert not side.client.streams
+    assert not harness.client.streams
 
 
-def test_paused_answer_stays_with_the_target_until_resumed():
-    side = build_side()
+def test_paused_response_is_not_read_until_resumed():
+    harness = build_client_harness()
     size = 20_000_000
-    call, listener = side.ask()
-    connection = side.target.asked()
+    call, listener = harness.ask()
+    connection = harness.target.asked()
     connection.send(b'HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n' % size)
-    side.target.until(lambda: listener.heads)
+    harness.target.until(lambda: listener.heads)
     call.pause()
     data = b'x' * size
     sent = 0
     try:
         while sent < size:
             sent += connection.sock.send(data[sent:])
-            side.loop.step()
+            harness.loop.step()
     except BlockingIOError:
         pass
-    side.target.settle()
+    harness.target.settle()
     assert listener.body == b''
     call.resume()
     connection.send(data[sent:])
-    side.over(listener)
+    harness.over(listener)
     assert len(listener.body) == size
 
 
-def test_caller_sees_what_the_kernel_has_not_taken_and_when_it_has():
-    side = build_side()
+def test_pending_request_bytes_and_draining_are_reported():
+    harness = build_client_harness()
     size = 20_000_000
-    call, listener = side.ask(
+    call, listener = harness.ask(
         TargetRequest('POST', '/', [('host', 'a')], size)
     )
-    side.target.until(lambda: side.client.streams)
+    harness.target.until(lambda: harness.client.streams)
     call.send_body(b'x' * size, True)
     assert call.pending > 0
-    side.target.until(lambda: listener.drained)
+    harness.target.until(lambda: listener.drained)
     assert call.pending == 0
--- a/tests/http/test_lazy_web.py
+++ b/tests/http/test_lazy_web.py
@@ -22,7 +22,7 @@
 
 
 @pytest.mark.parametrize('requests', [1, 3])
-def test_the_very_first_requests_find_their_page(requests):
+def test_first_requests_are_routed(requests):
     """Regression: the first got 404, since no page was routed yet."""
     made = []
 
--- a/tests/http/test_server.py
+++ b/tests/http/test_server.py
@@ -8,10 +8,10 @@
 from cyclamenlift.http.exchange import Exchange
 from cyclamenlift.http.headers import HeaderError
 from tests.http.builders import answers_in
-from tests.http.builders import Border
-from tests.http.builders import build_border
+from tests.http.builders import build_server_harness
 from tests.http.builders import LIMITS
 from tests.http.builders import request
+from tests.http.builders import ServerHarness
 
 POST = 'POST / HTTP/1.1'
 EXPECTING = request(POST, 'Content-Length: 4', 'Expect: 100-continue')
@@ -30,11 +30,11 @@
 
 
 def keep(exchange: Exchange) -> None:
-    """Don't respond; the test does so through ``border.exchanges``."""
+    """Don't respond; the test does so through ``harness.exchanges``."""
 
 
-def build_manual_border(limits=LIMITS) -> Border:
-    return build_border(keep, limits)
+def build_manual_harness(limits=LIMITS) -> ServerHarness:
+    return build_server_harness(keep, limits)
 
 
 def bodies(caller) -> list[bytes]:
@@ -42,46 +42,46 @@
 
 
 def test_pipelined_requests_wait_until_the_one_before_is_answered():
-    border = build_manual_border()
-    caller = border.ask(GET_A + GET_B)
-    assert [e.path for e in border.exchanges] == ['/a']
-    border.exchanges[0].respond(200, [], b'first')
-    border.loop.settle(caller)
-    assert [e.path for e in border.exchanges] == ['/a', '/b']
-    border.exchanges[1].respond(200, [], b'second')
-    border.loop.settle(caller)
+    harness = build_manual_harness()
+    caller = harness.ask(GET_A + GET_B)
+    assert [e.path for e in harness.exchanges] == ['/a']
+    harness.exchanges[0].respond(200, [], b'first')
+    harness.loop.settle(caller)
+    assert [e.path for e in harness.exchanges] == ['/a', '/b']
+    harness.exchanges[1].respond(200, [], b'second')
+    harness.loop.settle(caller)
     assert bodies(caller) == [b'first', b'second']
 
 
 def test_many_pipelined_requests_need_no_deep_stack():
-    border = build_border()
-    caller = border.caller().send(GET_A * 1500)
+    harness = build_server_harness()
+    caller = harness.caller().send(GET_A * 1500)
     caller.until(lambda c: len(answers_in(c.received)) == 1500)
 
 
 def test_continue_is_sent_only_when_the_body_is_asked_for():
-    border = build_manual_border()
-    caller = border.ask(EXPECTING)
+    harness = build_manual_harness()
+    caller = harness.ask(EXPECTING)
     assert caller.received == b''
     got = []
-    border.exchanges[0].read_body(lambda data, last: got.append((data, last)))
-    border.loop.settle(caller)
+    harness.exchanges[0].read_body(lambda data, last: got.append((data, last)))
+    harness.loop.settle(caller)
     assert caller.received == CONTINUE
     caller.send(b'abcd')
-    border.loop.until(lambda: got == [(b'abcd', True)])
+    harness.loop.until(lambda: got == [(b'abcd', True)])
 
 
 def test_continue_is_not_sent_once_the_body_is_coming():
-    border = build_manual_border()
-    caller = border.ask(EXPECTING + b'ab')
-    border.exchanges[0].read_body(lambda data, last: None)
-    border.loop.settle(caller)
+    harness = build_manual_harness()
+    caller = harness.ask(EXPECTING + b'ab')
+    harness.exchanges[0].read_body(lambda data, last: None)
+    harness.loop.settle(caller)
     assert caller.received == b''
 
 
-def test_refusal_reaches_a_caller_that_is_still_sending():
-    border = build_border()
-    caller = border.caller()
+def test_rejection_reaches_a_caller_that_is_still_sending():
+    harness = build_server_harness()
+    caller = harness.caller()
     head = request(POST, f'Content-Length: {len(LARGE)}')
     caller.sock.send(head + LARGE)
     caller.until(lambda c: c.closed)
@@ -89,31 +89,31 @@
     assert [a.status for a in answers_in(caller.received)] == [413]
 
 
-def test_body_that_nobody_reads_stays_with_the_caller():
+def test_unread_body_is_not_buffered():
     limits = dataclasses.replace(LIMITS, max_body_bytes=len(LARGE))
-    border = build_manual_border(limits)
-    caller = border.ask(request(POST, f'Content-Length: {len(LARGE)}'))
+    harness = build_manual_harness(limits)
+    caller = harness.ask(request(POST, f'Content-Length: {len(LARGE)}'))
     assert caller.sock.send(LARGE) > 4 * READ_SIZE
-    border.loop.settle(caller)
-    assert 0 < border.exchanges[0].request.body_bytes <= READ_SIZE
+    harness.loop.settle(caller)
+    assert 0 < harness.exchanges[0].request.body_bytes <= READ_SIZE
 
 
-def test_refusal_before_the_body_asks_for_none_and_closes():
-    border = build_manual_border()
-    caller = border.ask(EXPECTING)
-    border.exchanges[0].respond(503, [], b'full')
+def test_rejection_before_the_body_sends_no_continue_and_closes():
+    harness = build_manual_harness()
+    caller = harness.ask(EXPECTING)
+    harness.exchanges[0].respond(503, [], b'full')
     caller.until(lambda c: c.closed)
     assert CONTINUE not in caller.received
     assert b'Connection: close' in caller.received
 
 
 def test_small_unread_body_is_skipped_and_the_connection_stays():
-    border = build_manual_border()
-    caller = border.ask(request(POST, 'Content-Length: 8', body=b'abcd'))
-    border.exchanges[0].respond(503, [], b'full')
+    harness = build_manual_harness()
+    caller = harness.ask(request(POST, 'Content-Length: 8', body=b'abcd'))
+    harness.exchanges[0].respond(503, [], b'full')
     caller.send(b'efgh' + GET_B)
-    border.loop.until(lambda: len(border.exchanges) == 2)
-    assert border.exchanges[1].path == '/b'
+    harness.loop.until(lambda: len(harness.exchanges) == 2)
+    assert harness.exchanges[1].path == '/b'
 
 
 @pytest.mark.parametrize(
@@ -126,35 +126,35 @@
     ],
     ids=['late head', 'late body', 'no request', 'idle after an answer'],
 )
-def test_slow_or_idle_caller_is_ended(piece, code):
-    border = build_border(limits=SOON)
-    caller = border.caller().send(piece)
+def test_slow_or_idle_connection_is_closed(piece, code):
+    harness = build_server_harness(limits=SOON)
+    caller = harness.caller().send(piece)
     caller.until(lambda c: c.closed)
     assert not caller.reset
     if code is None:
         assert b'Cyclamenlift-Result' not in caller.received
     else:
         assert f'Cyclamenlift-Result: {code}'.encode() in caller.received
-    border.loop.until(lambda: not border.server.streams)
+    harness.loop.until(lambda: not harness.server.streams)
 
 
 def test_steady_drip_of_head_bytes_does_not_extend_the_deadline():
     # A fast loop sends 4,000 bytes before the deadline, so the size limit of
     # the head must be out of reach: only the deadline may end the request.
     limits = dataclasses.replace(SOON, max_header_bytes=1024**2)
-    border = build_border(limits=limits)
-    caller = border.caller().send(b'GET / HTTP/1.1\r\nX: ')
+    harness = build_server_harness(limits=limits)
+    caller = harness.caller().send(b'GET / HTTP/1.1\r\nX: ')
     while not caller.closed:
         caller.send(b'a')
     assert b'408 Request Timeout' in caller.received
 
 
-def test_caller_that_reads_nothing_of_its_answer_is_reset():
-    border = build_manual_border(SOON)
-    caller = border.caller().send(GET_A)
-    border.loop.until(lambda: border.exchanges)
-    border.exchanges[0].respond(200, [], LARGE)
-    border.loop.until(lambda: not border.server.streams)
+def test_caller_that_does_not_read_its_response_is_reset():
+    harness = build_manual_harness(SOON)
+    caller = harness.caller().send(GET_A)
+    harness.loop.until(lambda: harness.exchanges)
+    harness.exchanges[0].respond(200, [], LARGE)
+    harness.loop.until(lambda: not harness.server.streams)
     caller.until(lambda c: c.closed)
     assert len(caller.received) < len(LARGE)
 
@@ -168,12 +168,12 @@
         ('GET', 304, [], None),
     ],
 )
-def test_answer_without_body_sends_none(method, status, fields, length):
+def test_response_without_body_sends_none(method, status, fields, length):
     def take(exchange):
         exchange.respond(status, fields, b'abc')
 
-    border = build_border(take)
-    caller = border.ask(request(f'{method} / HTTP/1.1'))
+    harness = build_server_harness(take)
+    caller = harness.ask(request(f'{method} / HTTP/1.1'))
     assert caller.received.endswith(b'\r\n\r\n')
     assert (b'Content-Length' in caller.received) is (length is not None)
     assert length is None or length in caller.received
@@ -207,64 +207,64 @@
     ],
     ids=['length', 'chunked', 'until close', 'too short', 'too long'],
 )
-def test_streamed_answer_is_whole_or_reset(version, length, sent, whole):
+def test_streamed_response_is_complete_or_reset(version, length, sent, whole):
     def take(exchange):
         exchange.start(200, [], length)
         exchange.send(b'abc')
         exchange.send(b'def')
         exchange.finish()
 
-    border = build_border(take)
-    caller = border.ask(request(f'GET / HTTP/{version}'))
+    harness = build_server_harness(take)
+    caller = harness.ask(request(f'GET / HTTP/{version}'))
     assert caller.reset is not whole
     assert sent is None or caller.received == sent
 
 
 def test_piece_over_the_declared_length_is_not_sent():
-    border = build_manual_border()
-    caller = border.ask(GET_A)
-    border.exchanges[0].start(200, [], 5)
-    border.exchanges[0].send(b'abc')
-    border.exchanges[0].send(b'def')
-    assert border.exchanges[0].done
+    harness = build_manual_harness()
+    caller = harness.ask(GET_A)
+    harness.exchanges[0].start(200, [], 5)
+    harness.exchanges[0].send(b'abc')
+    harness.exchanges[0].send(b'def')
+    assert harness.exchanges[0].done
     caller.until(lambda c: c.closed)
     assert caller.reset
 
 
-def test_aborted_answer_ends_with_a_reset():
-    border = build_manual_border()
-    caller = border.ask(GET_A)
-    border.exchanges[0].start(200, [], None)
-    border.exchanges[0].send(b'abc')
-    border.exchanges[0].abort()
+def test_aborted_response_ends_with_a_reset():
+    harness = build_manual_harness()
+    caller = harness.ask(GET_A)
+    harness.exchanges[0].start(200, [], None)
+    harness.exchanges[0].send(b'abc')
+    harness.exchanges[0].abort()
     caller.until(lambda c: c.closed)
     assert caller.reset
 
 
 @pytest.mark.parametrize('started', [False, True])
-def test_owner_learns_once_that_the_caller_left(started):
-    border = build_manual_border()
-    caller = border.ask(GET_A)
-    exchange = border.exchanges[0]
+def test_disconnect_is_reported_once(started):
+    harness = build_manual_harness()
+    caller = harness.ask(GET_A)
+    exchange = harness.exchanges[0]
     left = []
     exchange.on_disconnect = lambda: left.append(True)
     if started:
         exchange.start(200, [], 9)
     caller.leave()
-    border.loop.until(lambda: left)
+    harness.loop.until(lambda: left)
     exchange.respond(200, [], b'too late')
     exchange.send(b'too late')
     exchange.finish()
-    border.loop.settle()
+    harness.loop.settle()
     assert left == [True]
 
 
-def test_owner_answers_when_a_body_breaks_after_a_part_was_handed_over():
-    border = build_manual_border()
-    caller = border.ask(request(POST, 'Content-Length: 900', body=b'abc'))
+def test_application_responds_to_a_body_error_after_delivery():
+    harness = build_manual_harness()
+    caller = harness.ask(request(POST, 'Content-Length: 900', body=b'abc'))
     got = []
     problems = []
-    exchange = border.exchanges[0]
+    exchange = harness.exchanges[0]
     exchange.on_broken = problems.append
     exchange.read_body(lambda data, last: got.append(data))
     assert got == [b'abc']
@@ -275,11 +275,11 @@
     assert bodies(caller) == [b'not known']
 
 
-def test_broken_body_is_not_answered_in_the_name_of_a_silent_owner():
-    border = build_manual_border()
+def test_body_error_without_a_hook_closes_without_a_response():
+    harness = build_manual_harness()
     chunked = request(POST, 'Transfer-Encoding: chunked')
-    caller = border.ask(chunked + b'3\r\nabc\r\n')
-    exchange = border.exchanges[0]
+    caller = harness.ask(chunked + b'3\r\nabc\r\n')
+    exchange = harness.exchanges[0]
     gone = []
     exchange.on_disconnect = lambda: gone.append(True)
     exchange.read_body(lambda data, last: None)
@@ -288,13 +288,13 @@
     assert gone == [True]
 
 
-def test_paused_body_stays_with_the_caller_until_resumed():
+def test_paused_body_is_not_read_until_resumed():
     limits = dataclasses.replace(LIMITS, max_body_bytes=len(LARGE))
-    border = build_manual_border(limits)
+    harness = build_manual_harness(limits)
     head = request(POST, f'Content-Length: {len(LARGE)}')
-    caller = border.caller().send(head)
-    border.loop.until(lambda: border.exchanges)
-    exchange = border.exchanges[0]
+    caller = harness.caller().send(head)
+    harness.loop.until(lambda: harness.exchanges)
+    exchange = harness.exchanges[0]
     sizes = []
     exchange.read_body(lambda data, last: sizes.append(len(data)))
     exchange.pause()
@@ -302,20 +302,20 @@
     try:
         while sent < len(LARGE):
             sent += caller.sock.send(LARGE[sent:])
-            border.loop.step()
+            harness.loop.step()
     except BlockingIOError:
         pass
-    border.loop.settle()
+    harness.loop.settle()
     assert sum(sizes) == 0
     exchange.resume()
     caller.send(LARGE[sent:])
-    border.loop.until(lambda: sum(sizes) == len(LARGE))
+    harness.loop.until(lambda: sum(sizes) == len(LARGE))
 
 
-def test_owner_sees_what_the_kernel_has_not_taken_and_when_it_has():
-    border = build_manual_border()
-    caller = border.ask(GET_A)
-    exchange = border.exchanges[0]
+def test_pending_response_bytes_and_draining_are_reported():
+    harness = build_manual_harness()
+    caller = harness.ask(GET_A)
+    exchange = harness.exchanges[0]
     drained = []
     exchange.on_drained = lambda: drained.append(True)
     exchange.start(200, [], len(LARGE))
@@ -326,80 +326,80 @@
 
 
 @pytest.mark.parametrize('value', ['a\r\nX: b', 'a\nb', 'a\rb', 'a\0b', '€'])
-def test_header_value_can_not_forge_a_line(value):
-    border = build_manual_border()
-    caller = border.ask(GET_A)
-    exchange = border.exchanges[0]
+def test_header_injection_is_rejected(value):
+    harness = build_manual_harness()
+    caller = harness.ask(GET_A)
+    exchange = harness.exchanges[0]
     with pytest.raises(HeaderError):
         exchange.respond(200, [('X-A', value)], b'')
     with pytest.raises(HeaderError):
         exchange.start(200, [('X-A', value)], None)
     exchange.respond(200, [], b'clean')
-    border.loop.settle(caller)
+    harness.loop.settle(caller)
     assert bodies(caller) == [b'clean']
 
 
-def test_framing_fields_of_an_answer_are_replaced():
+def test_framing_fields_of_a_response_are_replaced():
     fields = [('content-length', '99'), ('transfer-encoding', 'chunked')]
 
     def take(exchange):
         exchange.respond(200, [*fields, ('connection', 'x')], b'abc')
 
-    border = build_border(take)
-    caller = border.ask(GET_A)
+    harness = build_server_harness(take)
+    caller = harness.ask(GET_A)
     assert caller.received == (
         b'HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc'
     )
 
 
-def test_drain_answers_what_is_in_flight_and_ends_the_idle():
-    border = build_manual_border()
-    busy = border.ask(GET_A)
-    idle = border.caller()
-    late = border.caller()
-    border.loop.settle(busy, idle, late)
-    assert border.server.busy == 1
+def test_drain_answers_requests_in_flight_and_closes_idle_ones():
+    harness = build_manual_harness()
+    busy = harness.ask(GET_A)
+    idle = harness.caller()
+    late = harness.caller()
+    harness.loop.settle(busy, idle, late)
+    assert harness.server.busy == 1
     # The loop hasn't accepted this connection yet.
-    fresh = border.caller()
-    border.server.begin_drain()
+    fresh = harness.caller()
+    harness.server.begin_drain()
     with pytest.raises(ConnectionRefusedError):
-        border.caller()
+        harness.caller()
     late.send(GET_B)
     fresh.send(GET_B)
-    border.loop.until(lambda: len(border.exchanges) == 3)
+    harness.loop.until(lambda: len(harness.exchanges) == 3)
     idle.until(lambda c: c.closed)
-    for exchange in border.exchanges:
+    for exchange in harness.exchanges:
         exchange.respond(200, [], b'whole')
     for caller in (busy, late, fresh):
         caller.until(lambda c: c.closed)
         assert bodies(caller) == [b'whole']
         assert b'Connection: close' in caller.received
-    assert border.server.busy == 0
+    assert harness.server.busy == 0
 
 
-def test_connection_over_the_limit_is_told_that_nothing_ran():
-    border = build_border(
+def test_connection_over_the_limit_is_rejected_as_not_run():
+    harness = build_server_harness(
         limits=dataclasses.replace(LIMITS, max_connections=1)
     )
-    first = border.ask(GET_A)
-    second = border.caller()
+    first = harness.ask(GET_A)
+    second = harness.caller()
     second.until(lambda c: c.closed)
     assert b'Cyclamenlift-Result: 2001' in second.received
     first.send(GET_B)
-    border.loop.settle(first)
+    harness.loop.settle(first)
     assert bodies(first) == [b'path:/a', b'path:/b']
 
 
-def test_error_of_the_owner_resets_only_that_connection():
+def test_exception_in_the_application_resets_one_connection():
     def take(exchange):
         if exchange.path == '/boom':
             raise RuntimeError('boom')
         exchange.respond(200, [], b'fine')
 
-    border = build_border(take)
-    caller = border.ask(request('GET /boom HTTP/1.1'))
+    harness = build_server_harness(take)
+    caller = harness.ask(request('GET /boom HTTP/1.1'))
     assert caller.reset and caller.received == b''
-    assert bodies(border.ask(GET_A)) == [b'fine']
+    assert bodies(harness.ask(GET_A)) == [b'fine']
 
 
 @pytest.mark.parametrize(
@@ -411,19 +411,19 @@
         ('1.1', 'X: 1', True),
     ],
 )
-def test_connection_is_kept_as_the_caller_asks(version, field, stays):
-    border = build_border()
-    caller = border.ask(request(f'GET /a HTTP/{version}', field))
+def test_keep_alive_follows_the_request(version, field, stays):
+    harness = build_server_harness()
+    caller = harness.ask(request(f'GET /a HTTP/{version}', field))
     assert bodies(caller) == [b'path:/a']
     assert caller.closed is not stays
 
 
-def test_request_is_described_as_it_came():
-    border = build_manual_border()
-    border.ask(
+def test_exchange_describes_the_request():
+    harness = build_manual_harness()
+    harness.ask(
         request('GET http://a/x?y=1 HTTP/1.1', 'X-B:  1 ', 'x-b: 2', 'X-C: é')
     )
-    exchange = border.exchanges[0]
+    exchange = harness.exchanges[0]
     assert exchange.method == 'GET'
     assert exchange.path == '/x?y=1'
     assert exchange.headers == [
--- a/tests/http/test_splits.py
+++ b/tests/http/test_splits.py
@@ -8,7 +8,7 @@
 from cyclamenlift.http.request_parser import RequestParser
 from cyclamenlift.http.response_parser import ResponseParser
 from tests.http.builders import answers_in
-from tests.http.builders import build_border
+from tests.http.builders import build_server_harness
 from tests.http.builders import LIMITS
 from tests.http.builders import request
 
@@ -54,7 +54,7 @@
 
 @STEADY
 @given(CUTS)
-def test_requests_are_the_same(places):
+def test_parsed_requests_do_not_depend_on_splits(places):
     whole = parsed([STREAM])
     assert len(whole) == 6
     assert parsed(cut(STREAM, places)) == whole
@@ -62,7 +62,7 @@
 
 @STEADY
 @given(CUTS)
-def test_answer_of_the_target_is_the_same(places):
+def test_parsed_response_does_not_depend_on_splits(places):
     parser = ResponseParser(ClientLimits())
     parser.expect_response('GET')
     for piece in cut(ANSWER, places):
@@ -76,9 +76,9 @@
 
 @settings(STEADY, max_examples=25)
 @given(CUTS)
-def test_answers_on_the_wire_are_the_same(places):
-    border = build_border()
-    caller = border.caller()
+def test_sent_responses_do_not_depend_on_splits(places):
+    harness = build_server_harness()
+    caller = harness.caller()
     for piece in cut(STREAM, places):
         caller.send(piece)
     caller.until(lambda c: c.closed)
--- a/tests/http/test_target_answers.py
+++ b/tests/http/test_target_answers.py
@@ -20,14 +20,14 @@
     return found
 
 
-def test_an_answer_to_another_call_is_read_over():
+def test_response_to_another_call_is_skipped():
     found = parser()
     found.feed(answer('other', b'wrong') + answer('mine', b'right'))
     assert found.complete and not found.problem
     assert b''.join(found.chunks) == b'right'
 
 
-def test_it_is_read_over_however_it_is_cut():
+def test_skipping_does_not_depend_on_splits():
     data = answer('other', b'wrong') + answer('mine', b'right')
     for cut in range(1, len(data)):
         found = parser()
@@ -37,20 +37,20 @@
         assert b''.join(found.chunks) == b'right'
 
 
-def test_a_further_answer_after_ours_spoils_the_connection():
+def test_additional_response_is_trailing_data():
     found = parser()
     found.feed(answer('mine') + answer('mine'))
     assert found.complete
     assert found.has_trailing_data
 
 
-def test_an_answer_without_a_name_is_taken():
+def test_response_without_a_call_id_is_accepted():
     found = parser()
     found.feed(b'HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n')
     assert found.complete
 
 
-def test_one_of_another_call_that_ends_with_the_connection_is_refused():
+def test_unsized_response_to_another_call_is_rejected():
     found = parser()
     found.feed(b'HTTP/1.1 200 OK\r\nX-Call: other\r\n\r\nbytes')
     assert found.problem
@@ -61,5 +61,5 @@
     ('value', 'seconds'),
     [('timeout=10', 10), ('max=5, timeout=3', 3), ('timeout=x', None)],
 )
-def test_a_target_states_how_long_it_keeps_a_connection(value, seconds):
+def test_keep_alive_timeout_is_parsed(value, seconds):
     assert keep_alive_seconds([('keep-alive', value)]) == seconds
--- a/tests/http/test_web.py
+++ b/tests/http/test_web.py
@@ -102,7 +102,7 @@
         ('POST /form', ['Origin: http://a'], b'', 200, '[]'),
     ],
 )
-def test_page_answers(line, fields, body, status, expected):
+def test_page_responses(line, fields, body, status, expected):
     site = Site()
     fields = [*fields, f'Content-Length: {len(body)}']
     if body:
@@ -117,7 +117,7 @@
     assert [a.status for a in answers_in(again.received)] == [200]
 
 
-def test_pipelined_pages_come_in_order_also_when_one_is_late():
+def test_pipelined_pages_are_answered_in_order():
     site = Site()
     caller = site.ask(
         request('GET /late HTTP/1.1') + request('GET / HTTP/1.1')
@@ -130,7 +130,7 @@
     assert bodies == [b'late', b'plain']
 
 
-def test_redirect_names_the_place():
+def test_redirect_has_an_absolute_location():
     caller = Site().ask(request('GET /away HTTP/1.1'))
     (answer,) = answers_in(caller.received)
     assert answer.status == 303
@@ -138,7 +138,7 @@
 
 
 @pytest.mark.parametrize('declared', [True, False])
-def test_body_over_the_limit_of_pages_is_refused(declared):
+def test_body_over_the_limit_of_pages_is_rejected(declared):
     if declared:
         pieces = [
             request(
--- a/tests/wire/test_codec.py
+++ b/tests/wire/test_codec.py
@@ -20,7 +20,7 @@
 
 @settings(derandomize=True, max_examples=60)
 @given(st.lists(st.integers(1, 60), max_size=8))
-def test_any_split_of_the_stream_gives_the_same_messages(cuts):
+def test_messages_do_not_depend_on_splits(cuts):
     data = b''.join(encode_frame(m) for m in MESSAGES)
     reader = FrameReader()
     found = []
@@ -41,12 +41,12 @@
     ],
     ids=['over the limit', 'no thrift', 'empty union', 'cut struct'],
 )
-def test_bytes_that_are_no_frame_are_refused(data):
+def test_invalid_frames_are_rejected(data):
     with pytest.raises(FrameError):
         FrameReader().feed(data)
 
 
-def test_two_messages_in_one_frame_are_refused():
+def test_two_messages_in_one_frame_are_rejected():
     frame = Frame(cancel=Cancel(1), credit=Credit(1, 1))
     body = encode_compact(frame)
     with pytest.raises(FrameError):
@@ -54,7 +54,7 @@
 
 
 @pytest.mark.parametrize('kind', FIELD_BY_TYPE, ids=lambda kind: kind.__name__)
-def test_a_frame_is_the_union_that_the_wire_file_describes(kind):
+def test_frame_equals_the_encoded_union(kind):
     message = kind()
     union = encode_compact(Frame(**{FIELD_BY_TYPE[kind]: message}))
     data = encode_frame(message)
@@ -72,14 +72,14 @@
     ],
     ids=['no stop', 'bytes after the stop', 'unknown field', 'no struct'],
 )
-def test_a_frame_that_is_not_one_whole_message_is_refused(body):
+def test_incomplete_or_trailing_message_is_rejected(body):
     with pytest.raises(FrameError):
         FrameReader().feed(LENGTH.pack(len(body)) + body)
 
 
 @settings(derandomize=True, max_examples=300)
 @given(st.binary(max_size=64))
-def test_random_bytes_never_raise_anything_else(data):
+def test_random_bytes_raise_only_frame_errors(data):
     try:
         FrameReader().feed(LENGTH.pack(len(data)) + data)
     except FrameError:
--- a/tests/wire/test_network.py
+++ b/tests/wire/test_network.py
@@ -19,8 +19,8 @@
 HELLO = encode_frame(Hello('x', 'bole', 1, 'c'))
 
 
-class Bed:
-    """Two networks on one loop; ``taken`` holds the IDs the second got."""
+class NetworkPair:
+    """Two networks on one loop; ``received`` holds the IDs the second got."""
 
     def __init__(self):
         self.loop = build_root()
@@ -28,7 +28,7 @@
         self.first = self.make('first')
         self.second = self.make('second')
         self.address = self.second.listen(LOCAL)
-        self.taken = []
+        self.received = []
         self.second.subscribe(Cancel, self.take)
 
     def make(self, name: str) -> PeerNetwork:
@@ -38,7 +38,7 @@
     def take(self, _link, message) -> None:
         if message.call_id == 13:
             raise ValueError('a value that the receiver rejects')
-        self.taken.append(message.call_id)
+        self.received.append(message.call_id)
 
     def run_until(self, condition) -> None:
         for _ in range(ROUNDS):
@@ -47,7 +47,7 @@
             self.loop.tick(0.01)
         raise AssertionError('timed out waiting for the condition')
 
-    def stranger(self, data: bytes) -> socket.socket:
+    def foreign_peer(self, data: bytes) -> socket.socket:
         sock = socket.create_connection(tuple(self.address))
         sock.setblocking(False)
         sock.sendall(data)
@@ -65,11 +65,11 @@
 
 
 @pytest.fixture
-def bed():
-    made = Bed()
-    yield made
-    made.first.close_all()
-    made.second.close_all()
+def pair():
+    networks = NetworkPair()
+    yield networks
+    networks.first.close_all()
+    networks.second.close_all()
 
 
 @pytest.mark.parametrize(
@@ -95,66 +95,66 @@
         'a value that fails its receiver',
     ],
 )
-def test_bad_peer_costs_its_own_connection_only(bed, data):
-    bed.first.send(bed.address, Cancel(1))
-    bed.run_until(lambda: bed.taken == [1])
-    sock = bed.stranger(data)
-    bed.run_until(lambda: bed.was_closed(sock))
-    assert bed.second.rejected_frames == 1
-    bed.first.send(bed.address, Cancel(2))
-    bed.run_until(lambda: bed.taken == [1, 2])
+def test_faulty_peer_loses_only_its_own_connection(pair, data):
+    pair.first.send(pair.address, Cancel(1))
+    pair.run_until(lambda: pair.received == [1])
+    sock = pair.foreign_peer(data)
+    pair.run_until(lambda: pair.was_closed(sock))
+    assert pair.second.rejected_frames == 1
+    pair.first.send(pair.address, Cancel(2))
+    pair.run_until(lambda: pair.received == [1, 2])
     sock.close()
 
 
-def test_messages_before_the_connection_is_up_arrive_in_order(bed):
-    link = bed.first.link_to(bed.address)
+def test_messages_sent_while_connecting_arrive_in_order(pair):
+    link = pair.first.link_to(pair.address)
     for number in range(100, 130):
         link.send(Cancel(number))
     assert not link.was_established
-    bed.run_until(lambda: len(bed.taken) == 30)
-    assert bed.taken == list(range(100, 130))
+    pair.run_until(lambda: len(pair.received) == 30)
+    assert pair.received == list(range(100, 130))
     assert link.hello.instance == 'second'
 
 
-def test_link_that_never_came_up_says_so_when_it_is_lost(bed):
+def test_lost_link_tells_that_it_was_never_established(pair):
     lost = []
-    bed.first.subscribe_lost(lost.append)
+    pair.first.subscribe_lost(lost.append)
     with socket.create_server(('127.0.0.1', 0)) as server:
         address = Address(*server.getsockname())
-    bed.first.send(address, Cancel(1))
-    bed.run_until(lambda: lost)
+    pair.first.send(address, Cancel(1))
+    pair.run_until(lambda: lost)
     assert not lost[0].was_established
     assert not lost[0].send(Cancel(2))
 
 
-def test_lost_link_is_reported_once_and_opened_again(bed):
+def test_lost_link_is_reported_once_and_reopened(pair):
     lost = []
-    bed.first.subscribe_lost(lost.append)
-    bed.first.send(bed.address, Cancel(1))
-    bed.run_until(lambda: bed.taken == [1])
-    for stream in list(bed.second.streams.values()):
+    pair.first.subscribe_lost(lost.append)
+    pair.first.send(pair.address, Cancel(1))
+    pair.run_until(lambda: pair.received == [1])
+    for stream in list(pair.second.streams.values()):
         stream.context.close()
-    bed.run_until(lambda: lost)
-    bed.first.send(bed.address, Cancel(2))
-    bed.run_until(lambda: bed.taken == [1, 2])
+    pair.run_until(lambda: lost)
+    pair.first.send(pair.address, Cancel(2))
+    pair.run_until(lambda: pair.received == [1, 2])
     assert len(lost) == 1 and lost[0].was_established
 
 
-def test_frame_withdrawn_before_the_connection_is_up_is_never_sent(bed):
-    link = bed.first.link_to(bed.address)
+def test_frame_withdrawn_while_connecting_is_never_sent(pair):
+    link = pair.first.link_to(pair.address)
     frames = {number: link.post(Cancel(number)) for number in range(5)}
     assert link.is_unsent(frames[2])
     assert link.withdraw(frames[2])
     assert not link.withdraw(frames[2])
-    bed.run_until(lambda: len(bed.taken) == 4)
-    assert bed.taken == [0, 1, 3, 4]
+    pair.run_until(lambda: len(pair.received) == 4)
+    assert pair.received == [0, 1, 3, 4]
     assert not link.is_unsent(frames[3])
     assert not link.withdraw(frames[3])
 
 
-def test_frame_behind_a_full_way_is_withdrawn_but_none_that_has_begun(bed):
-    link = bed.first.link_to(bed.address)
-    bed.run_until(lambda: link.was_established and link.hello)
+def test_queued_frame_is_withdrawn_but_not_a_partly_sent_one(pair):
+    link = pair.first.link_to(pair.address)
+    pair.run_until(lambda: link.was_established and link.hello)
     large = link.post(BodyChunk(1, bytes(8 * 1024 * 1024), True))
     behind = link.post(Cancel(7))
     last = link.post(Cancel(8))
@@ -165,7 +165,7 @@
     assert link.pending == sum(map(len, link.stream.outbound))
 
 
-def unanswered(bed) -> tuple[socket.socket, list[socket.socket]]:
+def unresponsive_listener(pair) -> tuple[socket.socket, list[socket.socket]]:
     """Return a listener with a full backlog and the sockets that fill it.
 
     To a connecting peer it looks like a machine that has lost power.
@@ -181,14 +181,14 @@
     return listener, fillers
 
 
-def test_a_peer_that_answers_nothing_is_given_up_later_each_time(bed):
-    listener, fillers = unanswered(bed)
+def test_connect_timeout_doubles_for_an_unresponsive_peer(pair):
+    listener, fillers = unresponsive_listener(pair)
     address = Address(*listener.getsockname())
     waits = []
     for _ in range(4):
         begun = time.monotonic()
-        link = bed.first.link_to(address)
-        bed.run_until(lambda link=link: link.closed)
+        link = pair.first.link_to(address)
+        pair.run_until(lambda link=link: link.closed)
         waits.append(time.monotonic() - begun)
         assert not link.was_established
     assert [round(w, 1) for w in waits] == [0.2, 0.4, 0.8, 1.0]
@@ -197,22 +197,22 @@
         filler.close()
 
 
-def test_a_connection_that_comes_up_begins_anew_with_the_short_wait(bed):
-    bed.first.connect_timeouts[bed.address] = 1.0
-    link = bed.first.link_to(bed.address)
-    bed.run_until(lambda: link.was_established)
-    assert bed.address not in bed.first.connect_timeouts
+def test_established_connection_resets_the_connect_timeout(pair):
+    pair.first.connect_timeouts[pair.address] = 1.0
+    link = pair.first.link_to(pair.address)
+    pair.run_until(lambda: link.was_established)
+    assert pair.address not in pair.first.connect_timeouts
 
 
-def test_a_connection_is_begun_anew_for_a_peer_that_is_there_now(bed):
-    listener, fillers = unanswered(bed)
+def test_abort_connecting_closes_only_unestablished_links(pair):
+    listener, fillers = unresponsive_listener(pair)
     address = Address(*listener.getsockname())
-    stuck = bed.first.link_to(address)
-    bed.first.abort_connecting(address)
+    stuck = pair.first.link_to(address)
+    pair.first.abort_connecting(address)
     assert stuck.closed
-    link = bed.first.link_to(bed.address)
-    bed.run_until(lambda: link.was_established)
-    bed.first.abort_connecting(bed.address)
+    link = pair.first.link_to(pair.address)
+    pair.run_until(lambda: link.was_established)
+    pair.first.abort_connecting(pair.address)
     assert not link.closed
     listener.close()
     for filler in fillers:
