--- a/cyclamenlift/calls/tasks.py
+++ b/cyclamenlift/calls/tasks.py
@@ -286,7 +286,7 @@
     def forwarded_headers(self, exchange: Exchange) -> list[Header]:
         """Return the caller's headers that the target should see."""
         dialect = exchange.dialect
-        dropped = NOT_FORWARDED | dialect.own_fields
+        dropped = NOT_FORWARDED | dialect.reserved_fields
         headers = end_to_end(exchange.headers, dropped)
         if dialect.caller_service and self.own_service:
             headers.append((dialect.caller_service, self.own_service))
--- a/cyclamenlift/core/packing.py
+++ b/cyclamenlift/core/compression.py
@@ -11,30 +11,30 @@
 LEVEL = 6
 
 
-def pack(data: bytes) -> bytes:
+def compress(data: bytes) -> bytes:
     """Return ``data`` compressed.
 
-    >>> unpack(pack(b'route ' * 100), 600) == b'route ' * 100
+    >>> decompress(compress(b'route ' * 100), 600) == b'route ' * 100
     True
     """
     return zlib.compress(data, LEVEL)
 
 
-def unpack(data: bytes, limit: int) -> bytes:
+def decompress(data: bytes, limit: int) -> bytes:
     """Return decompressed data; ValueError if invalid or over ``limit``.
 
-    >>> unpack(pack(b'abc'), 2)
+    >>> decompress(compress(b'abc'), 2)
     Traceback (most recent call last):
     ...
-    ValueError: over 2 bytes when unpacked
+    ValueError: over 2 bytes when decompressed
     """
     reader = zlib.decompressobj()
     try:
         found = reader.decompress(data, limit + 1)
     except zlib.error as error:
-        raise ValueError(f'not packed: {error}') from error
+        raise ValueError(f'invalid compressed data: {error}') from error
     if len(found) > limit:
-        raise ValueError(f'over {limit} bytes when unpacked')
+        raise ValueError(f'over {limit} bytes when decompressed')
     if not reader.eof or reader.unused_data:
-        raise ValueError('not packed whole')
+        raise ValueError('truncated or trailing compressed data')
     return found
--- a/cyclamenlift/core/metrics.py
+++ b/cyclamenlift/core/metrics.py
@@ -206,7 +206,7 @@
 
     # -- the call path ----------------------------------------------------
 
-    def call_finished(
+    def record_call(
         self,
         service: str,
         code: int,
--- a/cyclamenlift/events/adoption.py
+++ b/cyclamenlift/events/adoption.py
@@ -19,7 +19,7 @@
 from returns.result import Success
 
 from cyclamenlift.core.codes import ResultCode
-from cyclamenlift.core.packing import unpack
+from cyclamenlift.core.compression import decompress
 from cyclamenlift.core.problems import Problem
 from cyclamenlift.events.changes import apply_change
 from cyclamenlift.events.history import DocumentHistory
@@ -157,7 +157,7 @@
         it can't be read.
         """
         if offer.document:
-            data = unpack(offer.document, MAX_CANONICAL_BYTES)
+            data = decompress(offer.document, MAX_CANONICAL_BYTES)
             document_from_bytes(data)
             return [Step(offer.version, lines_from_canonical(data))]
         steps: list[Step] = []
--- a/cyclamenlift/events/changes.py
+++ b/cyclamenlift/events/changes.py
@@ -17,8 +17,8 @@
 
 import hashlib
 
-from cyclamenlift.core.packing import pack
-from cyclamenlift.core.packing import unpack
+from cyclamenlift.core.compression import compress
+from cyclamenlift.core.compression import decompress
 from cyclamenlift.models.document import MAX_CANONICAL_BYTES
 from cyclamenlift.models.lines import Lines
 
@@ -50,7 +50,7 @@
             parts.append(NEW + line)
     if count:
         parts.append(b'=%d %d' % (start, count))
-    return pack(b'\n'.join(parts))
+    return compress(b'\n'.join(parts))
 
 
 def apply_change(base: Lines, packed: bytes) -> Lines:
@@ -58,7 +58,7 @@
 
     ValueError if it can't be read, or was made from another base.
     """
-    digest, *parts = unpack(packed, MAX_CANONICAL_BYTES).split(b'\n')
+    digest, *parts = decompress(packed, MAX_CANONICAL_BYTES).split(b'\n')
     lines: list[bytes] = []
     for part in parts:
         if part[:1] == NEW:
--- a/cyclamenlift/events/commands.py
+++ b/cyclamenlift/events/commands.py
@@ -7,7 +7,7 @@
 from returns.result import Result
 
 from cyclamenlift.core.codes import ResultCode
-from cyclamenlift.core.packing import pack
+from cyclamenlift.core.compression import compress
 from cyclamenlift.core.problems import one_line
 from cyclamenlift.core.problems import Problem
 from cyclamenlift.events.border import Publication
@@ -96,7 +96,7 @@
         base_version=change.base_version,
         operator_name=change.operator_name,
         chosen_version=change.chosen_version,
-        packed_document=pack(document),
+        packed_document=compress(document),
     )
 
     def finish(result: Result[bytes, Problem]) -> None:
--- a/cyclamenlift/events/state.py
+++ b/cyclamenlift/events/state.py
@@ -14,8 +14,8 @@
 import pydantic
 
 from cyclamenlift.core.codes import ResultCode
-from cyclamenlift.core.packing import pack
-from cyclamenlift.core.packing import unpack
+from cyclamenlift.core.compression import compress
+from cyclamenlift.core.compression import decompress
 from cyclamenlift.models.document import document_from_bytes
 from cyclamenlift.models.document import EventDocument
 from cyclamenlift.models.document import MAX_CANONICAL_BYTES
@@ -224,7 +224,7 @@
         """Put an accepted document in force."""
         self.version = record.version
         self.versions.append(record)
-        self.documents[record.version] = pack(document)
+        self.documents[record.version] = compress(document)
         while len(self.documents) > DOCUMENTS_KEPT:
             del self.documents[next(iter(self.documents))]
         self.rules = rules_from_document(parsed, record.version)
@@ -240,7 +240,7 @@
     def document(self, version: int = 0) -> bytes | None:
         """Return the bytes of ``version`` (0: in force), None if gone."""
         packed = self.documents.get(version or self.version)
-        return unpack(packed, MAX_CANONICAL_BYTES) if packed else None
+        return decompress(packed, MAX_CANONICAL_BYTES) if packed else None
 
     def packed_document(self) -> bytes:
         """Return the packed bytes in force, empty for none."""
@@ -277,7 +277,7 @@
         self.versions = collections.deque(state.versions, maxlen=VERSIONS_KEPT)
         self.changes = {c.change_id: c for c in state.changes}
         self.documents = {
-            k.version: k.document if k.packed else pack(k.document)
+            k.version: k.document if k.packed else compress(k.document)
             for k in state.documents
         }
         current = self.document()
--- a/cyclamenlift/events/tasks.py
+++ b/cyclamenlift/events/tasks.py
@@ -10,7 +10,7 @@
 import structlog
 
 from cyclamenlift.core.clock import MILLISECONDS
-from cyclamenlift.core.packing import pack
+from cyclamenlift.core.compression import compress
 from cyclamenlift.core.problems import Problem
 from cyclamenlift.core.scheduler import Root
 from cyclamenlift.core.streams import Address
@@ -306,7 +306,9 @@
         if request.takes_changes:
             answer.changes = history.since(request.known_version or 0)
         else:
-            answer.packed_document = pack(canonical_from_lines(history.lines))
+            answer.packed_document = compress(
+                canonical_from_lines(history.lines)
+            )
         if not self.share.take(given_bytes(answer), self.now()):
             answer.changes = []
             answer.packed_document = b''
@@ -348,4 +350,4 @@
     """Return the packed document of an answer, empty if it has none."""
     if answer.packed_document:
         return answer.packed_document
-    return pack(answer.document) if answer.document else b''
+    return compress(answer.document) if answer.document else b''
--- a/cyclamenlift/gate/health.py
+++ b/cyclamenlift/gate/health.py
@@ -54,7 +54,7 @@
         A target that announces itself is ready by its own word; until the
         document names its page there is nothing to ask.
         """
-        if not self.path() and not self.gate.dialect.incarnation_asked:
+        if not self.path() and not self.gate.dialect.required_incarnation:
             self.gate.set_target_state(TargetState.READY)
             return
         self.gate.announcements.doubt_hooks.append(self.ask)
--- a/cyclamenlift/gate/tasks.py
+++ b/cyclamenlift/gate/tasks.py
@@ -253,7 +253,7 @@
 
     def awaits_target(self) -> bool:
         """Tell whether no call may go in before its target is known."""
-        return bool(self.dialect.incarnation_asked) and self.is_unknown()
+        return bool(self.dialect.required_incarnation) and self.is_unknown()
 
     def call_headers(self, call: GateCall) -> list[tuple[str, str]]:
         """Return the headers that tell the target depth and time left."""
@@ -264,8 +264,8 @@
             headers.append((dialect.depth, str(call.start.depth)))
         headers.append((dialect.call_id, call.start.trace_id))
         incarnation = self.registration.incarnation
-        if dialect.incarnation_asked and incarnation:
-            headers.append((dialect.incarnation_asked, incarnation))
+        if dialect.required_incarnation and incarnation:
+            headers.append((dialect.required_incarnation, incarnation))
         return headers
 
     # -- messages ---------------------------------------------------------
--- a/cyclamenlift/http/dialects.py
+++ b/cyclamenlift/http/dialects.py
@@ -20,7 +20,7 @@
     the number of nested calls above this one. ``caller_service`` is the
     service of the instance where the call entered. ``client_account`` is
     the account that a caller acts for; it only distinguishes requests.
-    ``incarnation_asked`` is the only incarnation of the target that may run
+    ``required_incarnation`` is the only incarnation of the target that may run
     the call, ``incarnation`` the one that responds. ``proof`` is present in
     every response made by a target; ``not_run`` states that the target
     didn't run the call; ``load`` holds the load that the target reports.
@@ -33,7 +33,7 @@
     depth: str = ''
     caller_service: str = ''
     client_account: str = ''
-    incarnation_asked: str = ''
+    required_incarnation: str = ''
     incarnation: str = ''
     proof: str = ''
     not_run: str = ''
@@ -43,14 +43,14 @@
     fractional_retry: bool = False
 
     @property
-    def own_fields(self) -> frozenset[str]:
+    def reserved_fields(self) -> frozenset[str]:
         """Fields set by entry and gate; those of a caller are removed."""
         names = (
             self.call_id,
             self.time_left_ms,
             self.depth,
             self.caller_service,
-            self.incarnation_asked,
+            self.required_incarnation,
         )
         return frozenset(name for name in names if name)
 
--- a/cyclamenlift/platform/dialect.py
+++ b/cyclamenlift/platform/dialect.py
@@ -15,7 +15,7 @@
         # Names a service, not a caller: the one on the entry's machine.
         caller_service='caller-service',
         # The incarnation that may run it, not merely the one preferred.
-        incarnation_asked='target-instance',
+        required_incarnation='target-instance',
         incarnation='instance-id',
         proof='response-stamp',
         not_run='not-executed',
--- a/cyclamenlift/runtime/machine.py
+++ b/cyclamenlift/runtime/machine.py
@@ -9,7 +9,7 @@
 
 import pydantic
 
-from cyclamenlift.core.packing import unpack
+from cyclamenlift.core.compression import decompress
 from cyclamenlift.events.state import EventSnapshot
 from cyclamenlift.events.state import EventStore
 from cyclamenlift.ledger.messages import apply_claim
@@ -110,5 +110,5 @@
 def document_of(command: PublishCommand) -> bytes:
     """Return the document of a change; ValueError if it can't be unpacked."""
     if command.packed_document:
-        return unpack(command.packed_document, MAX_CANONICAL_BYTES)
+        return decompress(command.packed_document, MAX_CANONICAL_BYTES)
     return command.document or b''
--- a/cyclamenlift/runtime/observing.py
+++ b/cyclamenlift/runtime/observing.py
@@ -36,7 +36,7 @@
         added = None
         if call.service_seconds is not None:
             added = seconds - call.service_seconds
-        self.metrics.call_finished(call.service, int(code), seconds, added)
+        self.metrics.record_call(call.service, int(code), seconds, added)
         if counts_for_objective(code):
             good = is_good(code, seconds, call.request.rule)
             good = good and call.status < SERVER_ERROR
--- a/tests/core/test_metrics.py
+++ b/tests/core/test_metrics.py
@@ -49,7 +49,7 @@
     metrics, name, service, attribute, expected
 ):
     for call in CALLS:
-        metrics.call_finished(*call)
+        metrics.record_call(*call)
     text = metrics.render_prometheus().decode()
     found = value_of(
         text, f'cyclamenlift_{name}{{', f'service="{service}"', attribute
@@ -59,7 +59,7 @@
 
 def test_latencies_are_counted_in_cumulative_buckets(metrics):
     for call in CALLS:
-        metrics.call_finished(*call)
+        metrics.record_call(*call)
     text = metrics.render_prometheus().decode()
     name = 'cyclamenlift_call_latency_seconds'
     for bound, count in (('0.01', 1), ('0.025', 3), ('+Inf', 3)):
@@ -80,7 +80,7 @@
 
 def test_instances_have_separate_registries(metrics):
     other = Metrics('two', 'yeka')
-    other.call_finished('price', ResultCode.ANSWERED, 0.1)
+    other.record_call('price', ResultCode.ANSWERED, 0.1)
     assert 'service="price"' not in metrics.render_prometheus().decode()
     other.close()
 
--- a/tests/events/builders.py
+++ b/tests/events/builders.py
@@ -6,7 +6,7 @@
 from returns.result import Success
 
 from cyclamenlift.core.codes import ResultCode
-from cyclamenlift.core.packing import pack
+from cyclamenlift.core.compression import compress
 from cyclamenlift.core.problems import Problem
 from cyclamenlift.core.scheduler import build_root
 from cyclamenlift.core.streams import Address
@@ -35,7 +35,7 @@
 
 def offer(version, source='p', majority=False, data=None) -> Offer:
     body = document(f'v{version}') if data is None else data
-    return Offer(source, version, pack(body) if body else b'', majority)
+    return Offer(source, version, compress(body) if body else b'', majority)
 
 
 class FakeReplica:
@@ -108,7 +108,7 @@
     def give(self, address, version, committed=False, data=None) -> None:
         """Let the peer at ``address`` answer with a version."""
         body = document(f'v{version}') if data is None else data
-        packed = pack(body) if body else b''
+        packed = compress(body) if body else b''
         answer = DocumentAnswer(1, version, b'', committed, packed)
         self.network.deliver(address, answer)
 
--- a/tests/events/fleet.py
+++ b/tests/events/fleet.py
@@ -9,7 +9,7 @@
 import json
 import random
 
-from cyclamenlift.core.packing import pack
+from cyclamenlift.core.compression import compress
 from cyclamenlift.core.scheduler import build_root
 from cyclamenlift.core.streams import Address
 from cyclamenlift.events.server import DocumentServer
@@ -339,7 +339,7 @@
         )
 
     def packed_size(self) -> int:
-        return len(pack(canonical(self.routes)))
+        return len(compress(canonical(self.routes)))
 
     def document_bytes(self) -> collections.Counter:
         """Return the bytes of document answers by sender."""
--- a/tests/events/test_changes.py
+++ b/tests/events/test_changes.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from cyclamenlift.core.packing import pack
+from cyclamenlift.core.compression import compress
 from cyclamenlift.events.changes import apply_change
 from cyclamenlift.events.changes import digest_of_lines
 from cyclamenlift.events.changes import make_change
@@ -67,7 +67,7 @@
     ],
 )
 def test_a_change_that_can_not_be_read_is_refused(parts):
-    packed = pack(b'\n'.join([digest_of_lines(LINES), *parts]))
+    packed = compress(b'\n'.join([digest_of_lines(LINES), *parts]))
     with pytest.raises(ValueError):
         apply_change(LINES, packed)
 
--- a/tests/events/test_tasks.py
+++ b/tests/events/test_tasks.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from cyclamenlift.core.packing import pack
+from cyclamenlift.core.compression import compress
 from cyclamenlift.core.streams import Address
 from cyclamenlift.events.giving import MOST_OCCUPIED_SECONDS
 from cyclamenlift.events.pulling import MOST_PULL_SECONDS
@@ -234,7 +234,7 @@
         bed.pass_time(0.05)
         request = bed.network.sent[-1][1] if bed.network.sent else None
     answer = DocumentAnswer(
-        request.request_id, 6, b'', False, pack(document('v6'))
+        request.request_id, 6, b'', False, compress(document('v6'))
     )
     bed.network.deliver(FIRST, answer)
     assert bed.asked() == []
--- a/tests/runtime/builders.py
+++ b/tests/runtime/builders.py
@@ -421,7 +421,7 @@
     return Dialect(
         call_id='x-call',
         time_left_ms='x-left',
-        incarnation_asked='x-asked',
+        required_incarnation='x-asked',
         incarnation='x-name',
         proof='x-proof',
         not_run='x-not-run',
