--- a/cyclamenlift/http/closing.py
+++ b/cyclamenlift/http/closing.py
@@ -91,7 +91,7 @@
             self.deadline.set_after(self.server.limits.send_seconds)
 
     def reset(self) -> None:
-        """Reset the connection, so that the response isn't taken as whole."""
+        """Reset the connection, so that no partial response is accepted."""
         self.deadline.cancel()
         if not self.stream.open:
             return
--- a/cyclamenlift/http/connection.py
+++ b/cyclamenlift/http/connection.py
@@ -317,7 +317,7 @@
         self.fail_body(exchange, problem)
 
     def reset(self) -> None:
-        """Reset the connection, so that the response isn't taken as whole."""
+        """Reset the connection, so that no partial response is accepted."""
         self.active = None
         self.abandon_pipelined()
         super().reset()
--- a/cyclamenlift/http/lazy_web.py
+++ b/cyclamenlift/http/lazy_web.py
@@ -49,7 +49,7 @@
         until these events have been handled, since no path is routed before.
         """
         if self.bridge is None:
-            self.bridge = self.make_bridge()
+            self.bridge = self.create_bridge()
             self.queued = []
             self.fire(pages_ready(), self.channel)
         if self.queued is not None:
@@ -63,7 +63,7 @@
         for exchange in queued:
             self.bridge.take(exchange)
 
-    def make_bridge(self):
+    def create_bridge(self):
         from cyclamenlift.http.web import WebBridge
 
         bridge = WebBridge(self.address, f'{self.channel}-web')
--- a/cyclamenlift/http/pages.py
+++ b/cyclamenlift/http/pages.py
@@ -35,21 +35,21 @@
     """A response that a controller provides later, once."""
 
     def __init__(self):
-        self.answer: WebResponse | None = None
+        self.response: WebResponse | None = None
         self.hook: Callable[[WebResponse], None] | None = None
 
-    def resolve(self, answer: WebResponse) -> None:
+    def resolve(self, response: WebResponse) -> None:
         """Set the response; a second one is ignored."""
-        if self.answer is None:
-            self.answer = answer
+        if self.response is None:
+            self.response = response
             if self.hook is not None:
-                self.hook(answer)
+                self.hook(response)
 
     def then(self, hook: Callable[[WebResponse], None]) -> None:
         """Call ``hook`` with the response, immediately if it is set."""
         self.hook = hook
-        if self.answer is not None:
-            hook(self.answer)
+        if self.response is not None:
+            hook(self.response)
 
 
 def parse_query(request: 'Request') -> dict[str, str]:
@@ -87,7 +87,7 @@
     )
 
 
-def give(exchange: Exchange, answer: WebResponse) -> None:
+def send_response(exchange: Exchange, response: WebResponse) -> None:
     """Send a controller's response."""
-    headers = [('Content-Type', answer.content_type), *answer.headers]
-    exchange.respond(answer.status, headers, answer.body)
+    headers = [('Content-Type', response.content_type), *response.headers]
+    exchange.respond(response.status, headers, response.body)
--- a/cyclamenlift/http/response_parser.py
+++ b/cyclamenlift/http/response_parser.py
@@ -21,10 +21,10 @@
 class ResponseParser:
     """Parses the responses of one connection, one after the other.
 
-    After ``feed``, ``head_ready`` tells whether the final head has been
-    parsed, ``chunks`` holds new body bytes, ``complete`` tells whether the
-    whole response has been parsed, ``problem`` describes invalid input, and
-    ``has_trailing_data`` tells whether bytes followed a complete response.
+    After ``feed``, ``head_ready`` is set if the final head has been parsed,
+    ``chunks`` holds new body bytes, ``complete`` is set if the response has
+    been parsed to its end, ``problem`` describes invalid input, and
+    ``has_trailing_data`` is set if bytes followed a complete response.
     Call ``expect_response`` before each response.
     """
 
--- a/cyclamenlift/http/web.py
+++ b/cyclamenlift/http/web.py
@@ -30,8 +30,8 @@
 from cyclamenlift.http.headers import find_header
 from cyclamenlift.http.limits import HttpLimits
 from cyclamenlift.http.pages import Deferred
-from cyclamenlift.http.pages import give
 from cyclamenlift.http.pages import HTML
+from cyclamenlift.http.pages import send_response
 from cyclamenlift.http.pages import WebResponse
 from cyclamenlift.http.server import HttpServer
 
@@ -140,9 +140,9 @@
         found = opened.value.getValue()
         request = opened.args[0]
         if isinstance(found, Deferred):
-            found.then(lambda answer: give(request.exchange, answer))
+            found.then(lambda answer: send_response(request.exchange, answer))
         elif isinstance(found, WebResponse):
-            give(request.exchange, found)
+            send_response(request.exchange, found)
         else:
             super()._on_request_success(opened, value)
 
--- a/tests/console/builders.py
+++ b/tests/console/builders.py
@@ -20,11 +20,11 @@
 from cyclamenlift.replication.queries import InstanceStatus
 from cyclamenlift.replication.queries import ReplicaStatus
 from cyclamenlift.replication.queries import Role
-from tests.http.builders import Answer
-from tests.http.builders import answers_in
 from tests.http.builders import Caller
 from tests.http.builders import Loop
 from tests.http.builders import LOOPBACK
+from tests.http.builders import parse_responses
+from tests.http.builders import ReceivedResponse
 from tests.http.builders import request
 
 DOCUMENT = {
@@ -156,25 +156,25 @@
         pages = ConsolePages(self.port)
         self.server = WebServer(self.loop.root, LOOPBACK, [pages])
 
-    def ask(self, data: bytes) -> Answer:
+    def ask(self, data: bytes) -> ReceivedResponse:
         caller = Caller.connect(self.loop, self.server.address)
         caller.send(data)
         self.loop.settle(caller)
         self.port.release()
-        caller.until(lambda c: answers_in(c.received))
-        return answers_in(caller.received)[0]
+        caller.until(lambda c: parse_responses(c.received))
+        return parse_responses(caller.received)[0]
 
-    def get(self, path: str) -> Answer:
+    def get(self, path: str) -> ReceivedResponse:
         return self.ask(request(f'GET {path} HTTP/1.1'))
 
-    def post(self, path: str, fields: dict, *headers: str) -> Answer:
+    def post(self, path: str, fields: dict, *headers: str) -> ReceivedResponse:
         body = urlencode(fields).encode()
         length = f'Content-Length: {len(body)}'
         line = f'POST {path} HTTP/1.1'
         return self.ask(request(line, length, *headers, body=body))
 
 
-def fields_of(page: Answer) -> dict[str, str]:
+def fields_of(page: ReceivedResponse) -> dict[str, str]:
     """Return the fields of a page's form, as a browser would send them."""
     text = page.body.decode()
     fields = {}
--- a/tests/http/builders.py
+++ b/tests/http/builders.py
@@ -120,7 +120,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Answer:
+class ReceivedResponse:
     """One response as received by a caller."""
 
     status: int
@@ -128,14 +128,14 @@
     body: bytes
 
 
-def answers_in(data: bytes) -> list[Answer]:
+def parse_responses(data: bytes) -> list[ReceivedResponse]:
     """Split received bytes into responses by ``Content-Length``."""
     answers = []
     while match := HEAD.match(data):
         length = LENGTH.search(match[2])
         end = match.end() + (int(length[1]) if length else 0)
         answers.append(
-            Answer(int(match[1]), match[2], data[match.end() : end])
+            ReceivedResponse(int(match[1]), match[2], data[match.end() : end])
         )
         data = data[end:]
     return answers
@@ -266,7 +266,7 @@
     def open_connections(self) -> list[Caller]:
         return [c for c in self.connections if not c.closed]
 
-    def asked(self, count: int = 1) -> Caller:
+    def wait_for_requests(self, count: int = 1) -> Caller:
         """Wait for ``count`` requests; return the newest connection used."""
 
         def requests() -> int:
--- a/tests/http/test_border.py
+++ b/tests/http/test_border.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from tests.http.builders import Answer
-from tests.http.builders import answers_in
 from tests.http.builders import ask_circuits_server
 from tests.http.builders import build_server_harness
+from tests.http.builders import parse_responses
+from tests.http.builders import ReceivedResponse
 from tests.http.builders import request
 
 CHUNKED = 'Transfer-Encoding: chunked'
@@ -214,12 +214,12 @@
 BY_NAME = [pytest.param(case, id=case.name) for case in CASES]
 
 
-def texts_of(answers: list[Answer]) -> tuple[str, ...]:
+def texts_of(answers: list[ReceivedResponse]) -> tuple[str, ...]:
     return tuple(a.body.decode() for a in answers if a.status == 200)
 
 
 def circuits_result(case: Case, received: bytes) -> CircuitsResult:
-    answers = answers_in(received)
+    answers = parse_responses(received)
     if b'File &quot;' in received:
         return CircuitsResult.TRACEBACK
     if not answers:
@@ -236,17 +236,17 @@
 def test_server_answers_or_rejects_each_request(case):
     harness = build_server_harness()
     caller = harness.ask(*case.pieces)
-    answers = answers_in(caller.received)
+    answers = parse_responses(caller.received)
     assert texts_of(answers) == case.texts
     if case.refusal is not None:
         check_refusal(answers[-1], case.refusal)
         assert caller.closed
     assert len(answers) == len(case.texts) + bool(case.refusal)
     again = harness.ask(request('GET /again HTTP/1.1'))
-    assert texts_of(answers_in(again.received)) == ('path:/again',)
+    assert texts_of(parse_responses(again.received)) == ('path:/again',)
 
 
-def check_refusal(answer: Answer, refusal: tuple[int, int]) -> None:
+def check_refusal(answer: ReceivedResponse, refusal: tuple[int, int]) -> None:
     status, code = refusal
     value = json.loads(answer.body)
     assert (answer.status, value['code']) == (status, code)
--- a/tests/http/test_client.py
+++ b/tests/http/test_client.py
@@ -91,7 +91,7 @@
     request = dataclasses.replace(GET, method=case.method)
     for number in (1, 2):
         _, listener = harness.ask(request)
-        harness.target.asked(number).send(*case.pieces)
+        harness.target.wait_for_requests(number).send(*case.pieces)
         harness.over(listener)
         assert listener.ended == 1 and not listener.failures
         assert [head[0] for head in listener.heads] == [case.status]
@@ -130,10 +130,10 @@
     harness = build_client_harness()
     if kept:
         _, first = harness.ask()
-        harness.target.asked().send(WHOLE)
+        harness.target.wait_for_requests().send(WHOLE)
         harness.over(first)
     call, listener = harness.ask()
-    connection = harness.target.asked(1 + kept)
+    connection = harness.target.wait_for_requests(1 + kept)
     for step in script:
         if isinstance(step, bytes):
             connection.send(step)
@@ -154,7 +154,7 @@
 def test_unsized_response_ends_at_eof_if_allowed():
     harness = build_client_harness(UNSIZED)
     _, listener = harness.ask()
-    connection = harness.target.asked()
+    connection = harness.target.wait_for_requests()
     connection.send(b'HTTP/1.1 200 OK\r\n\r\nabc')
     harness.target.settle()
     assert not listener.over
@@ -176,7 +176,7 @@
 def test_first_write_that_fails_proves_that_nothing_was_sent():
     harness = build_client_harness()
     _, first = harness.ask()
-    harness.target.asked().send(WHOLE)
+    harness.target.wait_for_requests().send(WHOLE)
     harness.over(first)
     harness.client.idle[0].sock.shutdown(socket.SHUT_WR)
     call, listener = harness.ask()
@@ -205,7 +205,7 @@
 def test_unusable_idle_connection_is_not_reused(act, noticed):
     harness = build_client_harness()
     _, first = harness.ask()
-    connection = harness.target.asked()
+    connection = harness.target.wait_for_requests()
     connection.send(WHOLE)
     harness.over(first)
     if act == 'stray':
@@ -231,7 +231,7 @@
     harness.target.until(lambda: len(harness.target.connections) == 2)
     assert not listener.over and not call.sent
     call.send_body(b'xyz', True)
-    harness.target.asked().send(WHOLE)
+    harness.target.wait_for_requests().send(WHOLE)
     harness.over(listener)
     assert listener.ended == 1
 
@@ -296,7 +296,7 @@
         TargetRequest('POST', '/', [('host', 'a')], 9)
     )
     call.send_body(b'abc', False)
-    harness.target.asked().send(WHOLE)
+    harness.target.wait_for_requests().send(WHOLE)
     harness.over(listener)
     call.send_body(b'defghi', True)
     harness.target.settle()
@@ -306,7 +306,7 @@
 def test_calls_over_the_connection_limit_wait_for_a_free_one():
     harness = build_client_harness()
     asked = [harness.ask() for _ in range(3)]
-    harness.target.asked(2)
+    harness.target.wait_for_requests(2)
     harness.target.settle()
     assert len(harness.target.connections) == 2
     asked[2][0].cancel()
@@ -329,7 +329,7 @@
     harness.target.until(lambda: len(harness.target.connections) == 2)
     harness.target.until(lambda: len(harness.client.idle) == 2)
     _, listener = harness.ask()
-    harness.target.asked().send(WHOLE)
+    harness.target.wait_for_requests().send(WHOLE)
     harness.over(listener)
     assert len(harness.target.connections) == 2
     for connection in harness.target.connections:
@@ -340,7 +340,7 @@
 def test_cancelled_call_gets_no_callback_and_is_closed():
     harness = build_client_harness()
     call, listener = harness.ask()
-    connection = harness.target.asked()
+    connection = harness.target.wait_for_requests()
     call.cancel()
     harness.target.until(lambda: connection.closed)
     harness.target.settle()
@@ -351,7 +351,7 @@
     harness = build_client_harness()
     call, listener = harness.ask()
     listener.on_head = lambda *_: call.cancel()
-    harness.target.asked().send(WHOLE)
+    harness.target.wait_for_requests().send(WHOLE)
     harness.target.settle()
     assert not listener.over and not listener.body
     assert not harness.client.streams
@@ -361,7 +361,7 @@
     harness = build_client_harness()
     size = 20_000_000
     call, listener = harness.ask()
-    connection = harness.target.asked()
+    connection = harness.target.wait_for_requests()
     connection.send(b'HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n' % size)
     harness.target.until(lambda: listener.heads)
     call.pause()
--- a/tests/http/test_server.py
+++ b/tests/http/test_server.py
@@ -7,9 +7,9 @@
 from cyclamenlift.core.streams import READ_SIZE
 from cyclamenlift.http.exchange import Exchange
 from cyclamenlift.http.headers import HeaderError
-from tests.http.builders import answers_in
 from tests.http.builders import build_server_harness
 from tests.http.builders import LIMITS
+from tests.http.builders import parse_responses
 from tests.http.builders import request
 from tests.http.builders import ServerHarness
 
@@ -38,7 +38,7 @@
 
 
 def bodies(caller) -> list[bytes]:
-    return [answer.body for answer in answers_in(caller.received)]
+    return [answer.body for answer in parse_responses(caller.received)]
 
 
 def test_pipelined_requests_wait_until_the_one_before_is_answered():
@@ -56,7 +56,7 @@
 def test_many_pipelined_requests_need_no_deep_stack():
     harness = build_server_harness()
     caller = harness.caller().send(GET_A * 1500)
-    caller.until(lambda c: len(answers_in(c.received)) == 1500)
+    caller.until(lambda c: len(parse_responses(c.received)) == 1500)
 
 
 def test_continue_is_sent_only_when_the_body_is_asked_for():
@@ -86,7 +86,7 @@
     caller.sock.send(head + LARGE)
     caller.until(lambda c: c.closed)
     assert not caller.reset
-    assert [a.status for a in answers_in(caller.received)] == [413]
+    assert [a.status for a in parse_responses(caller.received)] == [413]
 
 
 def test_unread_body_is_not_buffered():
--- a/tests/http/test_splits.py
+++ b/tests/http/test_splits.py
@@ -7,9 +7,9 @@
 from cyclamenlift.http.limits import ClientLimits
 from cyclamenlift.http.request_parser import RequestParser
 from cyclamenlift.http.response_parser import ResponseParser
-from tests.http.builders import answers_in
 from tests.http.builders import build_server_harness
 from tests.http.builders import LIMITS
+from tests.http.builders import parse_responses
 from tests.http.builders import request
 
 STREAM = b''.join(
@@ -82,7 +82,7 @@
     for piece in cut(STREAM, places):
         caller.send(piece)
     caller.until(lambda c: c.closed)
-    bodies = [a.body for a in answers_in(caller.received)]
+    bodies = [a.body for a in parse_responses(caller.received)]
     assert not caller.reset
     assert bodies == [
         b'path:/a?b=c',
--- a/tests/http/test_web.py
+++ b/tests/http/test_web.py
@@ -17,10 +17,10 @@
 from cyclamenlift.http.pages import WebResponse
 from cyclamenlift.http.web import MAX_BODY_BYTES
 from cyclamenlift.http.web import WebServer
-from tests.http.builders import answers_in
 from tests.http.builders import Caller
 from tests.http.builders import Loop
 from tests.http.builders import LOOPBACK
+from tests.http.builders import parse_responses
 from tests.http.builders import request
 
 
@@ -108,13 +108,13 @@
     if body:
         fields.append('Content-Type: application/x-www-form-urlencoded')
     caller = site.ask(request(f'{line} HTTP/1.1', *fields, body=body))
-    (answer,) = answers_in(caller.received)
+    (answer,) = parse_responses(caller.received)
     assert answer.status == status
     assert expected in answer.body.decode()
     assert b'secret' not in caller.received
     assert b'Traceback' not in caller.received
     again = site.ask(request('GET / HTTP/1.1'))
-    assert [a.status for a in answers_in(again.received)] == [200]
+    assert [a.status for a in parse_responses(again.received)] == [200]
 
 
 def test_pipelined_pages_are_answered_in_order():
@@ -126,13 +126,13 @@
     site.pages.deferred.resolve(WebResponse(b'late'))
     site.pages.deferred.resolve(WebResponse(b'twice'))
     site.loop.settle(caller)
-    bodies = [answer.body for answer in answers_in(caller.received)]
+    bodies = [answer.body for answer in parse_responses(caller.received)]
     assert bodies == [b'late', b'plain']
 
 
 def test_redirect_has_an_absolute_location():
     caller = Site().ask(request('GET /away HTTP/1.1'))
-    (answer,) = answers_in(caller.received)
+    (answer,) = parse_responses(caller.received)
     assert answer.status == 303
     assert b'Location: http://a/query' in answer.head
 
@@ -153,6 +153,6 @@
         ]
     caller = Site().ask(*pieces)
     caller.until(lambda c: c.closed)
-    (answer,) = answers_in(caller.received)
+    (answer,) = parse_responses(caller.received)
     assert answer.status == 413
     assert json.loads(answer.body)['run'] == 'no'
--- a/tests/wire/test_network.py
+++ b/tests/wire/test_network.py
@@ -91,7 +91,7 @@
         'another cluster',
         'another version',
         'no thrift after the hello',
-        'a message that nobody takes',
+        'a message without a receiver',
         'a value that fails its receiver',
     ],
 )
