--- a/cyclamenlift/calls/attempt.py
+++ b/cyclamenlift/calls/attempt.py
@@ -81,7 +81,9 @@
 
     def was_never_sent(self) -> bool:
         """Return whether the gate cannot have received any of this try."""
-        return not self.link.was_up or self.link.holds(self.start_frame)
+        return not self.link.was_established or self.link.is_unsent(
+            self.start_frame
+        )
 
     def withdraw(self) -> bool:
         """Remove unsent frames; True proves that none has been sent."""
--- a/cyclamenlift/core/latency.py
+++ b/cyclamenlift/core/latency.py
@@ -1,4 +1,4 @@
-"""A histogram of latencies that is cheap to add to."""
+"""A latency histogram with cheap recording."""
 
 from typing import TYPE_CHECKING
 
@@ -8,56 +8,56 @@
     from hdrh.histogram import HdrHistogram
 
 SIGNIFICANT_DIGITS = 2
-# An HDR histogram of two digits keeps the first eight bits of a value.
-KEPT_BITS = 8
+# An HDR histogram of two digits keeps the eight most significant bits.
+PRECISION_BITS = 8
 
 
 class LatencyHistogram:
-    """Counts latencies, in microseconds, for one HDR histogram.
+    """Records latencies, in microseconds, in an HDR histogram.
 
-    An HDR histogram takes several microseconds for each value. So a value
-    is first counted in a dictionary, under the lowest value that shares its
-    place in the histogram, and all are handed over when somebody reads. The
-    result is the same, and the dictionary has at most as many keys as the
-    histogram has places.
+    Recording into an HDR histogram takes several microseconds. So a value is
+    first counted in a dictionary, keyed by the lowest value of its histogram
+    bucket, and the counts are merged when the histogram is read. The result
+    is the same, and the dictionary has at most as many keys as the histogram
+    has buckets.
 
     >>> latency = LatencyHistogram(60.0)
-    >>> latency.note(0.010)
+    >>> latency.record(0.010)
     >>> latency.read().get_value_at_percentile(50)
     10047
     """
 
-    __slots__ = ('fresh', 'histogram', 'longest')
+    __slots__ = ('unmerged', 'histogram', 'max_value')
 
-    def __init__(self, longest_seconds: float):
-        self.longest = int(longest_seconds * MICROSECONDS)
+    def __init__(self, max_seconds: float):
+        self.max_value = int(max_seconds * MICROSECONDS)
         self.histogram: HdrHistogram | None = None
-        self.fresh: dict[int, int] = {}
+        self.unmerged: dict[int, int] = {}
 
-    def note(self, seconds: float) -> None:
-        """Count one latency; below zero counts as none."""
+    def record(self, seconds: float) -> None:
+        """Record one latency; negative values count as zero."""
         value = int(seconds * MICROSECONDS) + 1 if seconds > 0.0 else 1
-        surplus = value.bit_length() - KEPT_BITS
+        surplus = value.bit_length() - PRECISION_BITS
         if surplus > 0:
             value = value >> surplus << surplus
-        self.fresh[value] = self.fresh.get(value, 0) + 1
+        self.unmerged[value] = self.unmerged.get(value, 0) + 1
 
     def read(self) -> 'HdrHistogram':
-        """Return the histogram of all that was noted."""
+        """Return the histogram of all recorded values."""
         if self.histogram is None:
-            self.histogram = self.make()
-        for value, count in self.fresh.items():
+            self.histogram = self.create_histogram()
+        for value, count in self.unmerged.items():
             self.histogram.record_value(value, count)
-        self.fresh.clear()
+        self.unmerged.clear()
         return self.histogram
 
-    def counts_up_to(self, bounds: tuple[float, ...]) -> list[int]:
-        """Return how many latencies lie at or below each bound, seconds.
+    def cumulative_counts(self, bounds: tuple[float, ...]) -> list[int]:
+        """Return the cumulative counts up to each bound in seconds.
 
         >>> latency = LatencyHistogram(60.0)
-        >>> latency.note(0.010)
-        >>> latency.note(0.200)
-        >>> latency.counts_up_to((0.1, 1.0))
+        >>> latency.record(0.010)
+        >>> latency.record(0.200)
+        >>> latency.cumulative_counts((0.1, 1.0))
         [1, 2]
         """
         counts = [0] * len(bounds)
@@ -68,8 +68,8 @@
                     counts[position] += item.count_added_in_this_iter_step
         return counts
 
-    def make(self) -> 'HdrHistogram':
-        """Load the library with the first reader: few processes have one."""
+    def create_histogram(self) -> 'HdrHistogram':
+        """Import the library on first use: few processes need it."""
         from hdrh.histogram import HdrHistogram
 
-        return HdrHistogram(1, self.longest, SIGNIFICANT_DIGITS)
+        return HdrHistogram(1, self.max_value, SIGNIFICANT_DIGITS)
--- a/cyclamenlift/core/log_sink.py
+++ b/cyclamenlift/core/log_sink.py
@@ -1,9 +1,10 @@
-"""Writes log lines to a descriptor without ever waiting for its reader.
+"""Non-blocking output of log lines.
 
-A reader of logs may stall, and a process that waits for it stops serving.
-A pipe that polls as writable takes at least ``PIPE_BUF`` bytes, so pieces of
-that size never block. What does not go out is kept up to a limit; beyond it
-lines are left out and counted, and the count is written when there is room.
+If the log reader stalls, a blocking write would stop the process from
+serving. A pipe that polls as writable accepts at least ``PIPE_BUF`` bytes,
+so writes of that size never block. Unwritten lines are buffered up to a
+limit; further lines are dropped and counted, and the count is logged when
+the buffer has drained.
 """
 
 from collections import deque
@@ -11,86 +12,86 @@
 import os
 import select
 
-# What a pipe that is ready for writing takes at once, in bytes (POSIX says
-# 512 at least, this system has 4096).
-PIECE_BYTES = select.PIPE_BUF
-# Lines that are kept for a reader that stalls, in bytes: some seconds of a
-# busy process, little against its memory.
-KEPT_BYTES = 128 * 1024
+# Bytes that a writable pipe accepts at once (POSIX requires 512 or
+# more, Linux has 4096).
+MAX_WRITE_BYTES = select.PIPE_BUF
+# Size of the buffer for a stalled reader, in bytes: some seconds of output
+# of a busy process, small compared to its memory.
+MAX_BUFFERED_BYTES = 128 * 1024
 STANDARD_OUTPUT = 1
 
 
 class LogSink:
-    """The one way out of log lines; ``msg`` is what structlog calls."""
+    """Output of all log lines; structlog calls ``msg``."""
 
     def __init__(self, descriptor: int = STANDARD_OUTPUT):
         self.descriptor = descriptor
         self.poll = select.poll()
         self.poll.register(descriptor, select.POLLOUT)
-        self.waiting: deque[bytes] = deque()
-        self.size = 0
-        self.left_out = 0
+        self.buffer: deque[bytes] = deque()
+        self.buffered_bytes = 0
+        self.dropped = 0
 
     def msg(self, line: str) -> None:
-        """Write a line now, keep it, or leave it out."""
+        """Write, buffer or drop a line."""
         data = line.encode() + b'\n'
-        if self.size + len(data) > KEPT_BYTES:
-            self.left_out += 1
+        if self.buffered_bytes + len(data) > MAX_BUFFERED_BYTES:
+            self.dropped += 1
         else:
-            self.waiting.append(data)
-            self.size += len(data)
+            self.buffer.append(data)
+            self.buffered_bytes += len(data)
         self.flush()
 
     log = debug = info = warning = warn = error = critical = msg
     exception = fatal = msg
 
     def flush(self) -> None:
-        """Write what the reader takes now."""
-        while self.waiting and self.is_writable():
-            piece = self.next_piece()
+        """Write buffered data as far as possible without blocking."""
+        while self.buffer and self.is_writable():
+            piece = self.next_chunk()
             try:
                 written = os.write(self.descriptor, piece)
             except OSError:
-                # Nobody reads any more; there is no place to say so.
-                self.forget()
+                # The reader is gone, so the error can't be logged either.
+                self.discard_buffer()
                 return
-            self.size -= written
+            self.buffered_bytes -= written
             if written < len(piece):
-                self.waiting.appendleft(piece[written:])
-        if self.left_out and not self.waiting:
-            self.tell_left_out()
+                self.buffer.appendleft(piece[written:])
+        if self.dropped and not self.buffer:
+            self.report_dropped()
 
     def is_writable(self) -> bool:
         ready = self.poll.poll(0)
         return bool(ready) and bool(ready[0][1] & select.POLLOUT)
 
-    def next_piece(self) -> bytes:
-        """Take lines that fit into one write, or a part of a long one."""
-        piece = self.waiting.popleft()
-        while self.waiting and len(piece) + len(self.waiting[0]) <= (
-            PIECE_BYTES
+    def next_chunk(self) -> bytes:
+        """Remove and return lines that fit one write, or part of a line."""
+        piece = self.buffer.popleft()
+        while self.buffer and len(piece) + len(self.buffer[0]) <= (
+            MAX_WRITE_BYTES
         ):
-            piece += self.waiting.popleft()
-        if len(piece) > PIECE_BYTES:
-            self.waiting.appendleft(piece[PIECE_BYTES:])
-            piece = piece[:PIECE_BYTES]
+            piece += self.buffer.popleft()
+        if len(piece) > MAX_WRITE_BYTES:
+            self.buffer.appendleft(piece[MAX_WRITE_BYTES:])
+            piece = piece[:MAX_WRITE_BYTES]
         return piece
 
-    def tell_left_out(self) -> None:
-        count, self.left_out = self.left_out, 0
+    def report_dropped(self) -> None:
+        count, self.dropped = self.dropped, 0
         line = {'event': 'log_lines_left_out', 'count': count}
         data = json.dumps(line).encode() + b'\n'
-        self.waiting.append(data)
-        self.size += len(data)
+        self.buffer.append(data)
+        self.buffered_bytes += len(data)
 
-    def forget(self) -> None:
-        self.waiting.clear()
-        self.size = 0
+    def discard_buffer(self) -> None:
+        self.buffer.clear()
+        self.buffered_bytes = 0
 
 
 SINK = LogSink()
 
 
 def make_sink(*_arguments) -> LogSink:
-    """Return the sink of this process, as structlog's factory."""
+    """Logger factory for structlog; returns the sink of the process."""
     return SINK
--- a/cyclamenlift/core/logs.py
+++ b/cyclamenlift/core/logs.py
@@ -1,10 +1,10 @@
-"""Structured logs: JSON for machines or a console form for people."""
+"""Structured logging in JSON or console format."""
 
 import logging
 
 import structlog
 
-from cyclamenlift.core.log_budget import LineBudget
+from cyclamenlift.core.log_rate_limit import LogRateLimiter
 from cyclamenlift.core.log_sink import make_sink
 from cyclamenlift.core.registry import Registry
 
@@ -22,15 +22,14 @@
 
 
 def configure_logs(log_format: str, level: str, instance: str) -> None:
-    """Send logs to standard output, each line with its ``instance``.
+    """Log to standard output, with ``instance`` in each line.
 
-    Lines of one event are bounded by a budget a second, and writing never
-    waits for the reader.
+    The rate of lines is limited for each event, and writing never blocks.
     """
     structlog.reset_defaults()
     structlog.configure(
         processors=[
-            LineBudget(),
+            LogRateLimiter(),
             structlog.contextvars.merge_contextvars,
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt='iso', utc=True),
--- a/cyclamenlift/core/metrics.py
+++ b/cyclamenlift/core/metrics.py
@@ -1,9 +1,9 @@
-"""Metrics of one daemon, by OpenTelemetry, cheap on the call path.
+"""OpenTelemetry metrics of one daemon, with cheap recording.
 
 Adding to an OpenTelemetry counter costs several microseconds, too much for
-each of a call's steps. The call path therefore only adds to plain numbers
-and HDR histograms; observable instruments read them when ``/metrics`` is
-asked for. ``METRICS`` is the one list of names, units and meanings.
+each step of a call. So the call path only updates plain numbers and HDR
+histograms; observable instruments read them when ``/metrics`` is scraped.
+``METRICS`` is the complete list of names, units and descriptions.
 """
 
 from collections.abc import Callable
@@ -14,13 +14,13 @@
 from cyclamenlift.core.clock import MICROSECONDS
 from cyclamenlift.core.latency import LatencyHistogram
 
-LONGEST_SECONDS = 600.0
+MAX_LATENCY_SECONDS = 600.0
 QUANTILES = (0.5, 0.99, 0.999)
 THOUSAND = 1000
 
 
-class Kind(enum.Enum):
-    """Whether a value only grows or goes up and down."""
+class MetricKind(enum.Enum):
+    """Whether a value only increases or may also decrease."""
 
     COUNTER = 'counter'
     GAUGE = 'gauge'
@@ -28,7 +28,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reading:
-    """One value of a metric, with the attributes that tell it apart."""
+    """One value of a metric and its attributes."""
 
     value: float
     attributes: dict[str, str] | None = None
@@ -39,10 +39,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MetricInfo:
-    """Name, unit and meaning of one metric."""
+    """Name, unit and description of one metric."""
 
     name: str
-    kind: Kind
+    kind: MetricKind
     unit: str
     description: str
     attributes: tuple[str, ...] = ()
@@ -51,110 +51,110 @@
 METRICS = (
     MetricInfo(
         'cyclamenlift.calls',
-        Kind.COUNTER,
+        MetricKind.COUNTER,
         '{call}',
-        'calls that ended at this entry',
+        'finished calls that entered at this instance',
         ('service', 'result'),
     ),
     MetricInfo(
         'cyclamenlift.calls.refused',
-        Kind.COUNTER,
+        MetricKind.COUNTER,
         '{call}',
-        'calls that this entry proved not run, by result code',
+        'calls that provably did not run, by result code',
         ('service', 'code'),
     ),
     MetricInfo(
         'cyclamenlift.call.duration',
-        Kind.GAUGE,
+        MetricKind.GAUGE,
         's',
-        'time from the request head to the end of a call, since the start',
+        'time from the request head to the end of a call, since start-up',
         ('service', 'quantile'),
     ),
     MetricInfo(
         'cyclamenlift.call.added',
-        Kind.GAUGE,
+        MetricKind.GAUGE,
         's',
-        "time of answered calls without the target's own, since the start",
+        "time of answered calls without the target's time, since start-up",
         ('service', 'quantile'),
     ),
     MetricInfo(
         'cyclamenlift.calls.open',
-        Kind.GAUGE,
+        MetricKind.GAUGE,
         '{call}',
-        'calls that entered here and are not yet answered',
+        'unfinished calls that entered at this instance',
     ),
     MetricInfo(
         'cyclamenlift.gate.refused',
-        Kind.COUNTER,
+        MetricKind.COUNTER,
         '{call}',
-        'calls that this gate refused',
+        'calls refused by this gate',
     ),
     MetricInfo(
         'cyclamenlift.gate.probes',
-        Kind.COUNTER,
+        MetricKind.COUNTER,
         '{probe}',
-        'load probes that this gate answered',
+        'load probes answered by this gate',
     ),
     MetricInfo(
         'cyclamenlift.gate.in_flight',
-        Kind.GAUGE,
+        MetricKind.GAUGE,
         '{call}',
-        'calls that the local target runs now',
+        'calls currently running at the local target',
     ),
     MetricInfo(
         'cyclamenlift.gate.queued',
-        Kind.GAUGE,
+        MetricKind.GAUGE,
         '{call}',
-        'calls that wait at this gate',
+        'calls queued at this gate',
     ),
     MetricInfo(
         'cyclamenlift.gossip.sent',
-        Kind.COUNTER,
+        MetricKind.COUNTER,
         'By',
-        'payload of membership packets sent',
+        'payload of sent membership packets',
     ),
     MetricInfo(
         'cyclamenlift.gossip.received',
-        Kind.COUNTER,
+        MetricKind.COUNTER,
         'By',
-        'payload of membership packets received',
+        'payload of received membership packets',
     ),
     MetricInfo(
         'cyclamenlift.gossip.refused',
-        Kind.COUNTER,
+        MetricKind.COUNTER,
         '{packet}',
-        'membership packets of strangers or malformed ones',
+        'membership packets that are malformed or of another cluster',
     ),
     MetricInfo(
         'cyclamenlift.members',
-        Kind.GAUGE,
+        MetricKind.GAUGE,
         '{instance}',
-        'members that are alive or suspected',
+        'members that are alive or suspect',
     ),
     MetricInfo(
         'cyclamenlift.targets.ended',
-        Kind.COUNTER,
+        MetricKind.COUNTER,
         '{end}',
-        'times that the local target ended while it ran calls',
+        'terminations of the local target while it ran calls',
     ),
     MetricInfo(
         'cyclamenlift.requests.quarantined',
-        Kind.GAUGE,
+        MetricKind.GAUGE,
         '{request}',
-        'requests that are kept from targets now',
+        'requests currently in quarantine',
     ),
     MetricInfo(
         'cyclamenlift.config.version',
-        Kind.GAUGE,
+        MetricKind.GAUGE,
         '{version}',
-        'version of the event document in force here, 0 for none',
+        'version of the active event document, 0 for none',
     ),
 )
 INFO = {info.name: info for info in METRICS}
 
 
 class ResultClass(enum.Enum):
-    """What a result code means for the caller: its thousands."""
+    """Classes of result codes, by their thousands digit."""
 
     ANSWERED = 1
     NOT_RUN = 2
@@ -176,58 +176,60 @@
     return ResultClass(thousands if thousands in CLASS_VALUES else 0)
 
 
-def make_histogram() -> LatencyHistogram:
-    return LatencyHistogram(LONGEST_SECONDS)
+def create_histogram() -> LatencyHistogram:
+    return LatencyHistogram(MAX_LATENCY_SECONDS)
 
 
 @dataclasses.dataclass(slots=True)
-class CallFigures:
-    """What is counted of one service's calls."""
+class CallStatistics:
+    """Counters and latencies of the calls of one service."""
 
     codes: dict[int, int] = dataclasses.field(default_factory=dict)
     duration: LatencyHistogram = dataclasses.field(
-        default_factory=make_histogram
+        default_factory=create_histogram
+    )
+    added: LatencyHistogram = dataclasses.field(
+        default_factory=create_histogram
     )
-    added: LatencyHistogram = dataclasses.field(default_factory=make_histogram)
 
 
 class Metrics:
-    """The metrics of one process, with a registry of their own."""
+    """The metrics of one process, with their own registry."""
 
     def __init__(self, instance: str, data_centre: str) -> None:
         self.instance = instance
         self.data_centre = data_centre
-        self.calls: dict[str, CallFigures] = {}
+        self.calls: dict[str, CallStatistics] = {}
         self.observed: list[tuple[MetricInfo, Read]] = []
         self.exporter = None
         self.watch_calls()
 
     # -- the call path ----------------------------------------------------
 
-    def call_finished(
+    def record_call(
         self,
         service: str,
         code: int,
         seconds: float,
         added_seconds: float | None = None,
     ) -> None:
-        """Count one call; ``added_seconds`` if an answer told the rest."""
-        figures = self.calls.get(service)
-        if figures is None:
-            figures = self.calls[service] = CallFigures()
-        figures.codes[code] = figures.codes.get(code, 0) + 1
-        figures.duration.note(seconds)
+        """Record a call; ``added_seconds`` if the target's time is known."""
+        statistics = self.calls.get(service)
+        if statistics is None:
+            statistics = self.calls[service] = CallStatistics()
+        statistics.codes[code] = statistics.codes.get(code, 0) + 1
+        statistics.duration.record(seconds)
         if added_seconds is not None:
-            figures.added.note(added_seconds)
+            statistics.added.record(added_seconds)
 
     # -- collection -------------------------------------------------------
 
     def watch(self, name: str, read: Callable[[], float]) -> None:
-        """Report ``read()`` as the metric ``name`` at each collection."""
+        """Report ``read()`` as the metric ``name`` on each scrape."""
         self.observe(INFO[name], lambda: [Reading(read())])
 
     def observe(self, info: MetricInfo, read: Read) -> None:
-        """Report what ``read`` returns as the metric of ``info``."""
+        """Report the readings that ``read`` returns as the metric ``info``."""
         self.observed.append((info, read))
         if self.exporter is not None:
             self.exporter.observe(info, read)
@@ -237,18 +239,18 @@
         self.observe(INFO['cyclamenlift.calls.refused'], self.calls_refused)
         self.observe(
             INFO['cyclamenlift.call.duration'],
-            lambda: self.quantiles(lambda figures: figures.duration),
+            lambda: self.quantiles(lambda statistics: statistics.duration),
         )
         self.observe(
             INFO['cyclamenlift.call.added'],
-            lambda: self.quantiles(lambda figures: figures.added),
+            lambda: self.quantiles(lambda statistics: statistics.added),
         )
 
     def calls_by_class(self) -> list[Reading]:
         result = []
-        for service, figures in self.calls.items():
+        for service, statistics in self.calls.items():
             counts = dict.fromkeys(ResultClass, 0)
-            for code, count in figures.codes.items():
+            for code, count in statistics.codes.items():
                 counts[result_class(code)] += count
             for kind, count in counts.items():
                 attributes = {'service': service, 'result': kind.name.lower()}
@@ -258,17 +260,17 @@
     def calls_refused(self) -> list[Reading]:
         return [
             Reading(count, {'service': service, 'code': str(int(code))})
-            for service, figures in self.calls.items()
-            for code, count in figures.codes.items()
+            for service, statistics in self.calls.items()
+            for code, count in statistics.codes.items()
             if result_class(code) is ResultClass.NOT_RUN
         ]
 
     def quantiles(
-        self, choose: Callable[[CallFigures], LatencyHistogram]
+        self, select: Callable[[CallStatistics], LatencyHistogram]
     ) -> list[Reading]:
         result = []
-        for service, figures in self.calls.items():
-            histogram = choose(figures).read()
+        for service, statistics in self.calls.items():
+            histogram = select(statistics).read()
             if not histogram.get_total_count():
                 continue
             for quantile in QUANTILES:
@@ -278,17 +280,17 @@
         return result
 
     def durations(self) -> dict[str, LatencyHistogram]:
-        """Return the latencies of finished calls by service."""
+        """Return the latency histograms of finished calls by service."""
         return {name: f.duration for name, f in self.calls.items()}
 
     def render_prometheus(self) -> bytes:
-        """Return all metrics in the text form of Prometheus."""
+        """Return all metrics in the Prometheus text format."""
         if self.exporter is None:
-            self.exporter = self.make_exporter()
+            self.exporter = self.create_exporter()
         return self.exporter.render()
 
-    def make_exporter(self):
-        """Load the libraries that export, with the first collection."""
+    def create_exporter(self):
+        """Import the exporter libraries on the first scrape."""
         from cyclamenlift.core.exporting import Exporter
 
         exporter = Exporter(self.instance, self.data_centre, self.durations)
@@ -297,6 +299,6 @@
         return exporter
 
     def close(self) -> None:
-        """Stop the collection; the process is about to end."""
+        """Shut down the exporter at the end of the process."""
         if self.exporter is not None:
             self.exporter.close()
--- a/cyclamenlift/core/poller.py
+++ b/cyclamenlift/core/poller.py
@@ -1,10 +1,11 @@
-"""An epoll poller that serves its sockets without events.
-
-A stock poller fires one event for each ready socket and returns to the
-manager, which costs two events and a round of the manager for each piece of
-input. This poller calls the owner of a ready socket at once, runs the timers
-that are due, and polls again; it returns to circuits only when an event
-waits there. What is not a ``DirectOwner`` still gets the stock events.
+"""An epoll poller that calls the owners of sockets without events.
+
+The pollers of circuits fire one event for each ready socket and return to
+the manager, which costs two events and an iteration of the manager for each
+piece of input. This poller calls the owner of a ready socket directly, runs
+the timers that are due, and polls again; it returns to circuits only when an
+event is queued there. Owners that don't implement ``DirectOwner`` still get
+the events of circuits.
 """
 
 import contextlib
@@ -22,25 +23,25 @@
 
 LOG = structlog.get_logger('poller')
 LOST = select.EPOLLHUP | select.EPOLLERR
-CONTROL_BYTES = 4096
+WAKEUP_READ_BYTES = 4096
 
 
 @runtime_checkable
 class DirectOwner(Protocol):
-    """A component that takes the readiness of its sockets by call."""
+    """A component that is notified of socket readiness by method calls."""
 
     def on_poll_read(self, sock) -> None:
-        """Take input that waits at ``sock``."""
+        """Called when ``sock`` is readable."""
 
     def on_poll_write(self, sock) -> None:
-        """Go on sending on ``sock``."""
+        """Called when ``sock`` is writable."""
 
     def on_poll_lost(self, sock) -> None:
-        """Take note that the other side of ``sock`` is gone."""
+        """Called when the peer of ``sock`` is gone."""
 
 
-class Watched:
-    """A socket, its owner and what it waits for."""
+class Registration:
+    """A registered socket, its owner and its event mask."""
 
     __slots__ = ('direct', 'mask', 'owner', 'sock')
 
@@ -52,7 +53,7 @@
 
 
 class DirectPoller(BasePoller):
-    """Owns the epoll descriptor of the process."""
+    """Poller that owns the epoll descriptor of the process."""
 
     channel = 'poller'
 
@@ -60,65 +61,69 @@
         super().__init__(channel='poller')
         self.scheduler = scheduler
         self.epoll = select.epoll()
-        self.by_sock: dict[object, Watched] = {}
-        self.by_number: dict[int, Watched] = {}
+        self.by_sock: dict[object, Registration] = {}
+        self.by_descriptor: dict[int, Registration] = {}
         os.set_blocking(self._ctrl_recv, False)
         os.set_blocking(self._ctrl_send, False)
         self.epoll.register(self._ctrl_recv, select.EPOLLIN)
 
-    # -- what owners ask for ----------------------------------------------
+    # -- interface for owners ----------------------------------------------
 
     def addReader(self, source, fd) -> None:  # noqa: N802
-        self.change(source, fd, add=select.EPOLLIN)
+        self.update_mask(source, fd, add=select.EPOLLIN)
 
     def addWriter(self, source, fd) -> None:  # noqa: N802
-        self.change(source, fd, add=select.EPOLLOUT)
+        self.update_mask(source, fd, add=select.EPOLLOUT)
 
     def removeReader(self, fd) -> None:  # noqa: N802
-        self.change(None, fd, remove=select.EPOLLIN)
+        self.update_mask(None, fd, remove=select.EPOLLIN)
 
     def removeWriter(self, fd) -> None:  # noqa: N802
-        self.change(None, fd, remove=select.EPOLLOUT)
+        self.update_mask(None, fd, remove=select.EPOLLOUT)
 
     def isReading(self, fd) -> bool:  # noqa: N802
-        watched = self.by_sock.get(fd)
-        return watched is not None and bool(watched.mask & select.EPOLLIN)
+        registration = self.by_sock.get(fd)
+        return registration is not None and bool(
+            registration.mask & select.EPOLLIN
+        )
 
     def isWriting(self, fd) -> bool:  # noqa: N802
-        watched = self.by_sock.get(fd)
-        return watched is not None and bool(watched.mask & select.EPOLLOUT)
+        registration = self.by_sock.get(fd)
+        return registration is not None and bool(
+            registration.mask & select.EPOLLOUT
+        )
 
     def discard(self, fd) -> None:
-        """Forget a socket; call it before the socket is closed."""
-        watched = self.by_sock.pop(fd, None)
-        if watched is None:
+        """Unregister a socket. Must be called before it is closed."""
+        registration = self.by_sock.pop(fd, None)
+        if registration is None:
             return
-        number = fd.fileno()
-        if self.by_number.get(number) is watched:
-            del self.by_number[number]
+        descriptor = fd.fileno()
+        if self.by_descriptor.get(descriptor) is registration:
+            del self.by_descriptor[descriptor]
             with contextlib.suppress(OSError):
-                self.epoll.unregister(number)
+                self.epoll.unregister(descriptor)
 
-    def change(self, source, fd, add: int = 0, remove: int = 0) -> None:
-        """Change what ``fd`` waits for; waiting for nothing forgets it."""
-        watched = self.by_sock.get(fd)
-        if watched is None:
+    def update_mask(self, source, fd, add: int = 0, remove: int = 0) -> None:
+        """Update the event mask of ``fd``; an empty mask unregisters it."""
+        registration = self.by_sock.get(fd)
+        if registration is None:
             if not add:
                 return
-            watched = Watched(fd, source)
-            watched.mask = add
-            self.by_sock[fd] = watched
-            self.by_number[fd.fileno()] = watched
+            registration = Registration(fd, source)
+            registration.mask = add
+            self.by_sock[fd] = registration
+            self.by_descriptor[fd.fileno()] = registration
             self.epoll.register(fd.fileno(), add)
             return
-        watched.mask = (watched.mask | add) & ~remove
-        if watched.mask:
-            self.epoll.modify(fd.fileno(), watched.mask)
+        registration.mask = (registration.mask | add) & ~remove
+        if registration.mask:
+            self.epoll.modify(fd.fileno(), registration.mask)
         else:
             self.discard(fd)
 
     def resume(self) -> None:
-        """Wake the poller: another thread has fired an event."""
+        """Wake the poller after another thread has fired an event."""
         with contextlib.suppress(BlockingIOError):
             os.write(self._ctrl_send, b'\0')
 
@@ -130,16 +135,16 @@
         root = self.root
         while True:
             ready = self.poll(event)
-            for number, mask in ready:
-                self.serve(number, mask)
+            for descriptor, mask in ready:
+                self.handle_ready(descriptor, mask)
             if not root.running or len(root._queue) or root._tasks:
                 return
             if event.time_left >= 0:
-                # Somebody asked for a bounded round: it has passed.
+                # The manager asked for a bounded wait, which is over.
                 return
 
     def poll(self, event) -> list[tuple[int, int]]:
-        """Wait for sockets, at most until the next timer is due."""
+        """Wait for ready sockets, at most until the next timer is due."""
         timeout = event.time_left
         due = self.scheduler.run_due()
         if len(self.root._queue):
@@ -148,49 +153,53 @@
             timeout = due
         return self.epoll.poll(timeout)
 
-    def serve(self, number: int, mask: int) -> None:
-        """Hand one ready socket to its owner."""
-        watched = self.by_number.get(number)
-        if watched is None:
-            if number == self._ctrl_recv:
-                self.clear_wake_up()
+    def handle_ready(self, descriptor: int, mask: int) -> None:
+        """Notify the owner of one ready socket."""
+        registration = self.by_descriptor.get(descriptor)
+        if registration is None:
+            if descriptor == self._ctrl_recv:
+                self.drain_wakeups()
             return
-        if not watched.direct:
-            self.fire_stock(watched, mask)
+        if not registration.direct:
+            self.fire_circuits_events(registration, mask)
             return
         try:
-            self.call_owner(watched, mask)
+            self.notify_owner(registration, mask)
         except Exception:
-            # An error while serving one socket must cost that socket only.
-            LOG.exception('socket_failed', owner=str(watched.owner.channel))
-            watched.owner.on_poll_lost(watched.sock)
-
-    def clear_wake_up(self) -> None:
-        """Take out the bytes that ``resume`` has written."""
+            # An error of one socket must not affect the other sockets.
+            LOG.exception(
+                'socket_failed', owner=str(registration.owner.channel)
+            )
+            registration.owner.on_poll_lost(registration.sock)
+
+    def drain_wakeups(self) -> None:
+        """Read the bytes that ``resume`` has written."""
         with contextlib.suppress(BlockingIOError):
-            os.read(self._ctrl_recv, CONTROL_BYTES)
+            os.read(self._ctrl_recv, WAKEUP_READ_BYTES)
 
-    def call_owner(self, watched: Watched, mask: int) -> None:
-        owner = watched.owner
+    def notify_owner(self, registration: Registration, mask: int) -> None:
+        owner = registration.owner
         if mask == select.EPOLLIN:
-            owner.on_poll_read(watched.sock)
+            owner.on_poll_read(registration.sock)
             return
         if mask & LOST and not mask & select.EPOLLIN:
-            owner.on_poll_lost(watched.sock)
+            owner.on_poll_lost(registration.sock)
             return
         if mask & select.EPOLLIN:
-            owner.on_poll_read(watched.sock)
+            owner.on_poll_read(registration.sock)
         if mask & select.EPOLLOUT:
-            owner.on_poll_write(watched.sock)
+            owner.on_poll_write(registration.sock)
 
-    def fire_stock(self, watched: Watched, mask: int) -> None:
-        """Fire what a stock poller would fire."""
-        channel = watched.owner.channel
+    def fire_circuits_events(
+        self, registration: Registration, mask: int
+    ) -> None:
+        """Fire the events that a poller of circuits would fire."""
+        channel = registration.owner.channel
         if mask & LOST and not mask & select.EPOLLIN:
-            self.discard(watched.sock)
-            self.fire(_disconnect(watched.sock), channel)
+            self.discard(registration.sock)
+            self.fire(_disconnect(registration.sock), channel)
             return
         if mask & select.EPOLLIN:
-            self.fire(_read(watched.sock), channel)
+            self.fire(_read(registration.sock), channel)
         if mask & select.EPOLLOUT:
-            self.fire(_write(watched.sock), channel)
+            self.fire(_write(registration.sock), channel)
--- a/cyclamenlift/core/streams.py
+++ b/cyclamenlift/core/streams.py
@@ -1,11 +1,11 @@
-"""Stream sockets that send at once.
-
-A stock circuits write is an event, then a round of the poller, then a
-second event: too much for a call path of 1.1 ms. A ``StreamOwner`` owns its
-sockets, is called by the poller when they are ready, writes at once and
-asks the poller for writes only when the kernel's buffer is full. One
-component owns one kind of connection; it subclasses ``StreamOwner`` and
-overrides the ``on_*`` hooks.
+"""TCP connections with immediate writes.
+
+A write in circuits is an event, an iteration of the poller and a second
+event: too much for a call path of 1.1 ms. A ``StreamOwner`` owns its
+sockets, is called by the poller when they are ready, writes immediately and
+waits for writability only when the kernel's buffer is full. Each component
+that owns a kind of connection subclasses ``StreamOwner`` and overrides the
+``on_*`` hooks.
 """
 
 import collections
@@ -18,22 +18,22 @@
 from cyclamenlift.core.clock import MILLISECONDS
 
 READ_SIZE = 65536
-# Bytes that are offered to the kernel in one call: about what it takes at
-# once; what it leaves is offered again.
+# Bytes passed to the kernel in one call: about what it accepts at once. The
+# rest is passed again later.
 SEND_SIZE = 65536
 LISTEN_BACKLOG = 1024
 IN_PROGRESS = (errno.EINPROGRESS, errno.EWOULDBLOCK)
 
 
 class Address(NamedTuple):
-    """An IP number and a port."""
+    """An IP address and a port."""
 
     host: str
     port: int
 
     @classmethod
     def parse(cls, text: str) -> 'Address':
-        """Read ``host:port``; raise ValueError when it is neither.
+        """Parse ``host:port``; raise ValueError if it is invalid.
 
         >>> Address.parse('127.0.0.1:80')
         Address(host='127.0.0.1', port=80)
@@ -50,9 +50,9 @@
 
 
 class Stream:
-    """One connected (or connecting) socket of a ``StreamOwner``.
+    """A connected or connecting socket of a ``StreamOwner``.
 
-    ``context`` is the owner's own state for this connection.
+    ``context`` holds the owner's state of this connection.
     """
 
     __slots__ = (
@@ -83,7 +83,7 @@
         self.closing = False
 
     def write(self, data: bytes) -> None:
-        """Send now what the kernel takes, keep the rest in order."""
+        """Send what the kernel accepts and queue the rest in order."""
         if not self.open or self.closing:
             return
         if self.connected and not self.pending:
@@ -91,32 +91,32 @@
         if data and self.open:
             self.outbound.append(data)
             self.pending += len(data)
-            self.want_write()
+            self.start_writing()
 
     def send_now(self, data: bytes) -> bytes:
-        """Return the part that the kernel did not take."""
+        """Send data; return the part that the kernel didn't accept."""
         try:
             sent = self.sock.send(data)
         except (BlockingIOError, InterruptedError):
             return data
         except OSError as error:
-            self.owner.lose(self, error)
+            self.owner.close_failed(self, error)
             return b''
         return data[sent:] if sent < len(data) else b''
 
     def flush(self) -> None:
-        """Send what is pending, as far as the kernel takes it."""
+        """Send pending data as far as the kernel accepts it."""
         while self.outbound and self.open:
-            data = self.next_bytes()
+            data = self.next_buffer()
             rest = self.send_now(data)
             if not self.open:
                 return
-            self.note_sent(len(data) - len(rest))
+            self.consume_sent(len(data) - len(rest))
             if rest:
                 return
 
-    def next_bytes(self) -> bytes:
-        """Return the next pending pieces as one, about ``SEND_SIZE``."""
+    def next_buffer(self) -> bytes:
+        """Return the next pending pieces joined to about ``SEND_SIZE``."""
         pieces = []
         size = 0
         for piece in self.outbound:
@@ -126,8 +126,8 @@
                 break
         return b''.join(pieces)
 
-    def note_sent(self, size: int) -> None:
-        """Take ``size`` bytes off the front; whole pieces stay as given."""
+    def consume_sent(self, size: int) -> None:
+        """Remove ``size`` sent bytes; unsent pieces keep their identity."""
         self.pending -= size
         while size:
             piece = self.outbound.popleft()
@@ -136,12 +136,12 @@
                 return
             size -= len(piece)
 
-    def holds(self, data: bytes) -> bool:
-        """Tell whether no byte of this very object has been sent."""
+    def is_unsent(self, data: bytes) -> bool:
+        """Return whether this very object is queued and entirely unsent."""
         return any(piece is data for piece in self.outbound)
 
     def withdraw(self, data: bytes) -> bool:
-        """Take back an object given to ``write``; True if none of it left.
+        """Unqueue an object passed to ``write``; True if it was unsent.
 
         It must be the same object: equal bytes may be another message.
         """
@@ -152,18 +152,18 @@
                 return True
         return False
 
-    def want_write(self) -> None:
+    def start_writing(self) -> None:
         if not self.writing and self.open:
             self.writing = True
             self.owner.poller.addWriter(self.owner, self.sock)
 
-    def stop_write(self) -> None:
+    def stop_writing(self) -> None:
         if self.writing:
             self.writing = False
             self.owner.poller.removeWriter(self.sock)
 
     def pause_reading(self) -> None:
-        """Leave further input in the kernel: back-pressure."""
+        """Stop reading input (back-pressure)."""
         if self.reading:
             self.reading = False
             self.owner.poller.removeReader(self.sock)
@@ -174,11 +174,11 @@
             self.owner.poller.addReader(self.owner, self.sock)
 
     def close(self) -> None:
-        """Close at once; ``on_lost`` is not called."""
-        self.owner.forget(self)
+        """Close immediately without calling ``on_lost``."""
+        self.owner.close_stream(self)
 
     def close_after_write(self) -> None:
-        """Close as soon as everything pending has gone out."""
+        """Close as soon as all pending data has been sent."""
         if not self.pending:
             self.close()
             return
@@ -186,16 +186,16 @@
 
 
 class StreamOwner(BaseComponent):
-    """Owns listening and connected sockets of one kind.
+    """Component that owns listening and connected sockets of one kind.
 
     Subclasses override ``on_accepted``, ``on_connected``, ``on_data``,
-    ``on_drained`` and ``on_lost``; each runs inside one event.
+    ``on_drained`` and ``on_lost``; each is called synchronously.
     """
 
     channel = 'streams'
-    # After how many whole seconds without a sign of life of the other
-    # side's kernel a connection counts as lost; 0: when the kernel says so.
-    silence_seconds = 0
+    # Whole seconds without an acknowledgement by the peer's kernel after
+    # which a connection counts as lost; 0: the kernel's default.
+    peer_timeout_seconds = 0
 
     def __init__(self, poller, channel: str):
         super().__init__(channel=channel)
@@ -203,29 +203,29 @@
         self.listeners: set[socket.socket] = set()
         self.streams: dict[socket.socket, Stream] = {}
 
-    # -- override points --------------------------------------------------
+    # -- hooks for subclasses ----------------------------------------------
 
     def on_accepted(self, stream: Stream) -> None:
-        """Run when a peer connected to one of our listeners."""
+        """Called when a listener has accepted a connection."""
 
     def on_connected(self, stream: Stream) -> None:
-        """Run when a connection that we opened is established."""
+        """Called when an outgoing connection is established."""
 
     def on_data(self, stream: Stream, data: bytes) -> None:
-        """Run for each piece of input."""
+        """Called for each piece of input."""
 
     def on_drained(self, stream: Stream) -> None:
-        """Run when all pending output has gone to the kernel."""
+        """Called when all pending output was written to the kernel."""
 
     def on_lost(self, stream: Stream, error: OSError | None) -> None:
-        """Run when the other side closed (``error`` None) or it failed."""
+        """Called when the peer closed (``error`` None) or on failure."""
 
     # -- commands ---------------------------------------------------------
 
     def listen(self, address: Address) -> Address:
-        """Listen on ``address`` (port 0 lets the system choose).
+        """Listen on ``address`` (port 0: chosen by the system).
 
-        Return the address that is bound; raise OSError if it is taken.
+        Returns the bound address; raises OSError if it is in use.
         """
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -249,7 +249,7 @@
     def connect_to(self, address: Address, source: str = '') -> Stream:
         """Open a connection; ``on_connected`` or ``on_lost`` follows.
 
-        ``source`` is the local IP number to connect from, if it matters.
+        ``source`` is the local IP address to connect from, if not empty.
         """
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setblocking(False)
@@ -264,36 +264,41 @@
             status = error.errno or errno.EINVAL
         if status and status not in IN_PROGRESS:
             failure = OSError(status, errno.errorcode.get(status, ''))
-            self.fire_later(stream, failure)
+            self.fail_later(stream, failure)
             return stream
-        stream.want_write()
+        stream.start_writing()
         return stream
 
     def set_options(self, sock: socket.socket) -> None:
-        """Send small pieces at once; notice a silent end if asked to."""
+        """Disable Nagle's algorithm; enable keepalive if configured."""
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        if not self.silence_seconds:
+        if not self.peer_timeout_seconds:
             return
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
         for option, value in (
             (socket.TCP_KEEPIDLE, 1),
             (socket.TCP_KEEPINTVL, 1),
-            (socket.TCP_KEEPCNT, self.silence_seconds),
-            (socket.TCP_USER_TIMEOUT, self.silence_seconds * MILLISECONDS),
+            (socket.TCP_KEEPCNT, self.peer_timeout_seconds),
+            (
+                socket.TCP_USER_TIMEOUT,
+                self.peer_timeout_seconds * MILLISECONDS,
+            ),
         ):
             sock.setsockopt(socket.IPPROTO_TCP, option, value)
 
-    def fire_later(self, stream: Stream, error: OSError) -> None:
-        """Report a failure at the next round, never inside the caller."""
-        self.root.scheduler.after(0.0, lambda: self.lose(stream, error))
+    def fail_later(self, stream: Stream, error: OSError) -> None:
+        """Report a failure in the next iteration, never synchronously."""
+        self.root.scheduler.after(
+            0.0, lambda: self.close_failed(stream, error)
+        )
 
-    def lose(self, stream: Stream, error: OSError | None) -> None:
-        """Close a failed stream and tell the subclass, once."""
+    def close_failed(self, stream: Stream, error: OSError | None) -> None:
+        """Close a failed stream and call ``on_lost`` once."""
         if stream.open:
-            self.forget(stream)
+            self.close_stream(stream)
             self.on_lost(stream, error)
 
-    def forget(self, stream: Stream) -> None:
+    def close_stream(self, stream: Stream) -> None:
         if not stream.open:
             return
         stream.open = False
@@ -311,7 +316,7 @@
         for stream in list(self.streams.values()):
             stream.close()
 
-    # -- from the poller ----------------------------------------------------
+    # -- notifications of the poller -----------------------------------------
 
     def on_poll_read(self, sock) -> None:
         stream = self.streams.get(sock)
@@ -329,7 +334,7 @@
             return
         stream.flush()
         if stream.open and not stream.pending:
-            stream.stop_write()
+            stream.stop_writing()
             if stream.closing:
                 stream.close()
             else:
@@ -340,7 +345,7 @@
         if stream is None:
             return
         status = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
-        self.lose(stream, OSError(status, 'lost') if status else None)
+        self.close_failed(stream, OSError(status, 'lost') if status else None)
 
     def read_from(self, stream: Stream) -> None:
         try:
@@ -348,10 +353,10 @@
         except (BlockingIOError, InterruptedError):
             return
         except OSError as error:
-            self.lose(stream, error)
+            self.close_failed(stream, error)
             return
         if not data:
-            self.lose(stream, None)
+            self.close_failed(stream, None)
         elif not stream.closing:
             self.on_data(stream, data)
 
@@ -372,12 +377,14 @@
     def finish_connect(self, stream: Stream) -> None:
         status = stream.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         if status:
-            self.lose(stream, OSError(status, errno.errorcode.get(status)))
+            self.close_failed(
+                stream, OSError(status, errno.errorcode.get(status))
+            )
             return
         stream.connected = True
-        stream.stop_write()
+        stream.stop_writing()
         stream.resume_reading()
         self.on_connected(stream)
         stream.flush()
         if stream.open and stream.pending:
-            stream.want_write()
+            stream.start_writing()
--- a/cyclamenlift/gate/health.py
+++ b/cyclamenlift/gate/health.py
@@ -55,7 +55,7 @@
         A target that announces itself reports its own readiness; until the
         document configures its page there is nothing to poll.
         """
-        if not self.path() and not self.gate.dialect.incarnation_asked:
+        if not self.path() and not self.gate.dialect.required_incarnation:
             self.gate.set_target_state(TargetState.READY)
             return
         self.gate.announcements.doubt_hooks.append(self.poll)
--- a/cyclamenlift/gate/presence.py
+++ b/cyclamenlift/gate/presence.py
@@ -93,7 +93,7 @@
 
     def recheck(self) -> None:
         if self.rechecking:
-            self.gate.client.look(self.gate.now())
+            self.gate.client.probe_listener(self.gate.now())
             self.gate.scheduler.after(RECHECK_SECONDS, self.end_recheck)
 
     def end_recheck(self) -> None:
@@ -106,5 +106,5 @@
         """Try to connect repeatedly until the target is present."""
         if not self.absent:
             return
-        self.gate.client.look(self.gate.now())
+        self.gate.client.probe_listener(self.gate.now())
         self.schedule_connect()
--- a/cyclamenlift/gate/tasks.py
+++ b/cyclamenlift/gate/tasks.py
@@ -5,9 +5,9 @@
 
 import structlog
 
-from cyclamenlift.core.clock import machine_seconds
 from cyclamenlift.core.clock import MICROSECONDS
 from cyclamenlift.core.clock import MILLISECONDS
+from cyclamenlift.core.clock import seconds_since_boot
 from cyclamenlift.core.codes import ResultCode
 from cyclamenlift.core.streams import Address
 from cyclamenlift.gate.admission_control import AdmissionController
@@ -215,7 +215,7 @@
 
     def current_lag(self, link) -> float:
         """Return the current lag of calls on a link, in seconds."""
-        return self.lag_tracker.lag(link.number, machine_seconds())
+        return self.lag_tracker.lag(link.number, seconds_since_boot())
 
     def bytes_due(self) -> int:
         """Return the bytes of request bodies that are still to arrive."""
@@ -254,7 +254,8 @@
     def awaits_target(self) -> bool:
         """Tell whether calls must wait until the target is identified."""
         return (
-            bool(self.dialect.incarnation_asked) and self.is_target_unknown()
+            bool(self.dialect.required_incarnation)
+            and self.is_target_unknown()
         )
 
     def call_headers(self, call: GateCall) -> list[tuple[str, str]]:
@@ -266,8 +267,8 @@
             headers.append((dialect.depth, str(call.start.depth)))
         headers.append((dialect.call_id, call.start.trace_id))
         incarnation = self.registration.incarnation
-        if dialect.incarnation_asked and incarnation:
-            headers.append((dialect.incarnation_asked, incarnation))
+        if dialect.required_incarnation and incarnation:
+            headers.append((dialect.required_incarnation, incarnation))
         return headers
 
     # -- messages ---------------------------------------------------------
@@ -312,7 +313,9 @@
         if not start.sent_at_us:
             return 0.0
         sent_at = start.sent_at_us / MICROSECONDS
-        return self.lag_tracker.note(link.number, sent_at, machine_seconds())
+        return self.lag_tracker.note(
+            link.number, sent_at, seconds_since_boot()
+        )
 
     def on_body_chunk(self, link, chunk: BodyChunk) -> None:
         call = self.calls.get((link.number, chunk.call_id))
--- a/cyclamenlift/gate/termination.py
+++ b/cyclamenlift/gate/termination.py
@@ -66,7 +66,7 @@
     def watch(self, client: 'TargetClient') -> None:
         """Observe from a client's connections whether the target listens."""
         client.refused_hooks.append(self.note_connection_refused)
-        client.found_hooks.append(self.note_connected)
+        client.probe_hooks.append(self.note_connected)
 
     @property
     def has_unreported(self) -> bool:
@@ -83,7 +83,7 @@
             self.timer = scheduler.after(
                 REPORT_DELAY_SECONDS, self.report_broken
             )
-            self.gate.client.look(now + REPORT_DELAY_SECONDS)
+            self.gate.client.probe_listener(now + REPORT_DELAY_SECONDS)
 
     def note_cancelled(self, call: 'GateCall') -> None:
         """Record a call that was cancelled while the target ran it.
--- a/cyclamenlift/http/ending.py
+++ b/cyclamenlift/http/closing.py
@@ -1,4 +1,4 @@
-"""How a connection of a caller ends: after an answer, late, or broken."""
+"""Closing of a caller's connection: lingering close, timeout, reset."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 from cyclamenlift.core.streams import Stream
 from cyclamenlift.http.deadline import MovingDeadline
 from cyclamenlift.http.exchange import CLOSE
-from cyclamenlift.http.response import answer_head
 from cyclamenlift.http.response import problem_body
 from cyclamenlift.http.response import problem_headers
 from cyclamenlift.http.response import problem_status
+from cyclamenlift.http.response import response_head
 
 if TYPE_CHECKING:
     from cyclamenlift.http.server import HttpServer
@@ -21,33 +21,33 @@
 RESET_ON_CLOSE = struct.pack('ii', 1, 0)
 
 
-class EndingConnection:
-    """The part of a caller's connection that closes it.
+class ClosingConnection:
+    """Base of a caller's connection that implements closing.
 
-    ``lingering`` is set once the last answer was written: what still comes
-    in is dropped until the caller closes too or ``linger_seconds`` pass.
+    ``lingering`` is set once the last response was written: further input
+    is discarded until the caller closes too or ``linger_seconds`` pass.
     """
 
-    __slots__ = ('deadline', 'lingering', 'pending_seen', 'server', 'stream')
+    __slots__ = ('deadline', 'lingering', 'last_pending', 'server', 'stream')
 
     def __init__(self, server: HttpServer, stream: Stream):
         self.server = server
         self.stream = stream
         self.lingering = False
-        self.pending_seen = 0
+        self.last_pending = 0
         self.deadline = MovingDeadline(server.root.scheduler, self.expire)
 
     def expire(self) -> None:
-        """End the connection, since its time is up."""
+        """Handle the expired deadline of the connection."""
         raise NotImplementedError
 
     def refuse(self, problem: Problem) -> None:
-        """Answer a request that has no exchange, then close."""
+        """Send an error response without an exchange, then close."""
         if self.lingering or not self.stream.open:
             return
         body = problem_body(problem)
         framing = [CLOSE, ('Content-Length', str(len(body)))]
-        head = answer_head(
+        head = response_head(
             problem_status(problem),
             problem_headers(problem, self.server.dialect),
             framing,
@@ -56,10 +56,10 @@
         self.linger()
 
     def linger(self) -> None:
-        """Close after everything went out, reading on for a while.
+        """Close after all output was sent, while still reading input.
 
         Closing with unread input would make the kernel send a reset, which
-        can destroy the answer before the caller has read it.
+        can destroy the response before the caller has read it.
         """
         if self.lingering or not self.stream.open:
             return
@@ -69,29 +69,29 @@
         if self.stream.pending:
             self.deadline.set_after(limits.send_seconds)
         else:
-            self.end_output()
+            self.shut_down_output()
 
-    def end_output(self) -> None:
-        """Tell the caller that nothing more comes."""
+    def shut_down_output(self) -> None:
+        """Shut down the sending side of the connection."""
         self.deadline.set_after(self.server.limits.linger_seconds)
         try:
             self.stream.sock.shutdown(socket.SHUT_WR)
         except OSError:
             self.stream.close()
 
-    def expire_output(self) -> None:
-        """Give a slow reader more time as long as it takes something."""
+    def check_send_progress(self) -> None:
+        """Extend the deadline of a slow reader while it makes progress."""
         pending = self.stream.pending
         if not pending:
             self.stream.close()
-        elif self.pending_seen and pending >= self.pending_seen:
+        elif self.last_pending and pending >= self.last_pending:
             self.reset()
         else:
-            self.pending_seen = pending
+            self.last_pending = pending
             self.deadline.set_after(self.server.limits.send_seconds)
 
     def reset(self) -> None:
-        """Close with a reset: the answer must not look whole."""
+        """Reset the connection, so that no partial response is accepted."""
         self.deadline.cancel()
         if not self.stream.open:
             return
--- a/cyclamenlift/http/connection.py
+++ b/cyclamenlift/http/connection.py
@@ -1,4 +1,4 @@
-"""One connection of a caller: requests in order, deadlines, its end."""
+"""Server side of a caller's connection: request order and deadlines."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from cyclamenlift.core.codes import ResultCode
 from cyclamenlift.core.problems import Problem
 from cyclamenlift.core.streams import Stream
-from cyclamenlift.http.ending import EndingConnection
-from cyclamenlift.http.exchange import AnswerState
+from cyclamenlift.http.closing import ClosingConnection
 from cyclamenlift.http.exchange import CLOSE
 from cyclamenlift.http.exchange import Exchange
 from cyclamenlift.http.exchange import KEEP_ALIVE
+from cyclamenlift.http.exchange import ResponseState
 from cyclamenlift.http.headers import Headers
 from cyclamenlift.http.request_parser import RequestParser
 from cyclamenlift.http.response import CONTINUE
@@ -21,24 +21,24 @@
     from cyclamenlift.http.request_parser import IncomingRequest
     from cyclamenlift.http.server import HttpServer
 
-MAX_UNREAD_BODY = 64 * 1024
+MAX_SKIPPED_BODY = 64 * 1024
 MAX_PENDING = 256 * 1024
 NO_FIELDS: Headers = []
 SAFE_METHODS = frozenset(('GET', 'HEAD'))
 
 
-class CallerConnection(EndingConnection):
-    """Takes the requests of one connection one after the other.
+class CallerConnection(ClosingConnection):
+    """Processes the requests of one connection in order.
 
-    Requests that come early stay in the parser's queue and the socket is
-    read no further until the one before has its answer. Safe ones without
-    a body may be taken ahead of their turn; their answers wait for it.
+    Pipelined requests stay in the parser's queue, and reading is paused
+    until the previous request has been answered. Safe requests without a
+    body may be processed in parallel; their responses are sent in order.
     """
 
     __slots__ = (
         'active',
         'advancing',
-        'ahead',
+        'pipelined',
         'body_seconds_left',
         'head_deadline_set',
         'parser',
@@ -48,7 +48,7 @@
         super().__init__(server, stream)
         self.parser = RequestParser(server.limits)
         self.active: Exchange | None = None
-        self.ahead: deque[Exchange] = deque()
+        self.pipelined: deque[Exchange] = deque()
         self.advancing = False
         self.head_deadline_set = False
         self.body_seconds_left: float | None = None
@@ -56,7 +56,7 @@
 
     @property
     def busy(self) -> bool:
-        """Whether a request is being read, answered or sent out."""
+        """Whether a request is being read or a response is being sent."""
         if self.lingering:
             return bool(self.stream.pending)
         return bool(
@@ -69,14 +69,14 @@
     # -- input ------------------------------------------------------------
 
     def feed(self, data: bytes) -> None:
-        """Take input of the caller."""
+        """Process input from the caller."""
         if self.lingering:
             return
         self.parser.feed(data)
         self.advance()
 
     def advance(self) -> None:
-        """Hand over bodies and requests as far as order allows."""
+        """Process bodies and requests as far as the order allows."""
         if self.advancing:
             return
         self.advancing = True
@@ -86,38 +86,38 @@
         finally:
             self.advancing = False
         if self.stream.open and not self.lingering:
-            self.settle()
+            self.update_reading()
 
     def step(self) -> bool:
-        """Do the next thing; return whether there may be another."""
+        """Perform one step; return whether another may be possible."""
         exchange = self.active
         if exchange is None:
-            return self.step_to_next()
+            return self.advance_to_next()
         if exchange.done:
-            return self.step_over(exchange)
+            return self.skip_body(exchange)
         if self.parser.problem is not None and not exchange.request.complete:
-            self.break_body(exchange, self.parser.problem)
+            self.fail_body(exchange, self.parser.problem)
             return False
         exchange.deliver_body()
         return self.active is not exchange
 
-    def step_to_next(self) -> bool:
-        """Take the next request, unless too much output is waiting."""
-        if self.ahead:
-            self.active = self.ahead.popleft()
-            self.active.take_turn()
+    def advance_to_next(self) -> bool:
+        """Start the next request unless too much output is pending."""
+        if self.pipelined:
+            self.active = self.pipelined.popleft()
+            self.active.send_deferred()
             return True
         if self.parser.queue:
             if self.stream.pending > MAX_PENDING:
                 return False
-            self.take_next()
+            self.start_next()
             return True
         if self.parser.problem is not None:
             self.refuse(self.parser.problem)
         return False
 
-    def step_over(self, exchange: Exchange) -> bool:
-        """Skip the rest of a body whose request is answered already."""
+    def skip_body(self, exchange: Exchange) -> bool:
+        """Skip the rest of the body of an answered request."""
         exchange.request.chunks.clear()
         if exchange.request.complete:
             self.next_request()
@@ -126,8 +126,8 @@
             self.linger()
         return False
 
-    def take_next(self) -> None:
-        """Give the next request to the application."""
+    def start_next(self) -> None:
+        """Pass the next request to the application."""
         request = self.parser.queue.popleft()
         self.deadline.clear()
         self.head_deadline_set = False
@@ -135,36 +135,36 @@
         self.active = Exchange(self, request, now)
         self.server.take(self.active)
 
-    def take_ahead(self) -> None:
-        """Take requests that need not wait for the answers before them."""
-        most = self.server.limits.max_pipelined - 1
-        last = self.ahead[-1] if self.ahead else self.active
+    def start_pipelined(self) -> None:
+        """Start requests that needn't wait for earlier responses."""
+        limit = self.server.limits.max_pipelined - 1
+        last = self.pipelined[-1] if self.pipelined else self.active
         while (
             self.parser.queue
-            and len(self.ahead) < most
+            and len(self.pipelined) < limit
             and last.request.complete
             and last.request.keep_alive
-            and is_plain(self.parser.queue[0])
+            and is_pipelinable(self.parser.queue[0])
         ):
             request = self.parser.queue.popleft()
             last = Exchange(self, request, self.server.now(), early=True)
-            self.ahead.append(last)
+            self.pipelined.append(last)
             self.server.take(last)
             if not self.stream.open:
                 return
 
-    def drop_ahead(self) -> None:
-        """Let go of requests whose answers will never be sent."""
-        while self.ahead:
-            exchange = self.ahead.popleft()
-            exchange.state = AnswerState.DONE
-            if exchange.on_gone is not None:
-                exchange.on_gone()
+    def abandon_pipelined(self) -> None:
+        """Abandon pipelined requests whose responses can't be sent."""
+        while self.pipelined:
+            exchange = self.pipelined.popleft()
+            exchange.state = ResponseState.DONE
+            if exchange.on_disconnect is not None:
+                exchange.on_disconnect()
 
-    def settle(self) -> None:
-        """After all steps: choose whether to read on, and until when."""
+    def update_reading(self) -> None:
+        """Update reading and the deadline after all possible steps."""
         if self.active is not None and not self.active.done:
-            self.take_ahead()
+            self.start_pipelined()
         if not self.stream.open or self.lingering:
             return
         exchange = self.active
@@ -172,43 +172,43 @@
             if self.parser.in_head and not self.head_deadline_set:
                 self.head_deadline_set = True
                 self.deadline.set_after(self.server.limits.head_seconds)
-            self.read_on(not self.parser.queue)
+            self.set_reading(not self.parser.queue)
             return
         request = exchange.request
         if request.complete:
             if not exchange.done:
                 self.deadline.clear()
-            self.read_on(not self.parser.queue)
+            self.set_reading(not self.parser.queue)
         else:
-            self.read_on(not request.chunks and not exchange.paused)
+            self.set_reading(not request.chunks and not exchange.paused)
 
-    def read_on(self, wanted: bool) -> None:
+    def set_reading(self, wanted: bool) -> None:
         if wanted:
             self.stream.resume_reading()
         else:
             self.stream.pause_reading()
 
-    # -- bodies -----------------------------------------------------------
+    # -- request bodies ---------------------------------------------------
 
     def await_body(self, exchange: Exchange) -> None:
-        """Let the caller send its body, within the deadline for it."""
+        """Start receiving the body and its deadline."""
         if exchange.request.expects_continue:
             exchange.request.expects_continue = False
             if not exchange.request.body_bytes:
                 self.stream.write(CONTINUE)
         self.deadline.set_after(self.server.limits.body_seconds)
-        self.read_on(not exchange.paused)
+        self.set_reading(not exchange.paused)
 
     def pause_body(self, exchange: Exchange) -> None:
-        """Stop reading; the caller's time for the body stands still."""
+        """Stop reading and suspend the deadline of the body."""
         if self.active is not exchange or exchange.request.complete:
             return
-        self.body_seconds_left = self.deadline.left()
+        self.body_seconds_left = self.deadline.remaining()
         self.deadline.clear()
         self.stream.pause_reading()
 
     def resume_body(self, exchange: Exchange) -> None:
-        """Read on after ``pause_body``."""
+        """Resume reading and the deadline of the body."""
         if self.active is not exchange or self.lingering:
             return
         if self.body_seconds_left and not exchange.request.complete:
@@ -216,11 +216,11 @@
         self.body_seconds_left = None
         self.advance()
 
-    def break_body(self, exchange: Exchange, problem: Problem) -> None:
-        """End a request whose body is bad or late.
+    def fail_body(self, exchange: Exchange, problem: Problem) -> None:
+        """End a request whose body is invalid or late.
 
-        Once a part was handed over, only the owner knows whether something
-        ran, so the problem is not answered here in its name.
+        After a part of the body was delivered, only the application knows
+        whether the request ran, so no error response is sent here.
         """
         self.parser.stopped = True
         self.deadline.clear()
@@ -228,50 +228,53 @@
         exchange.on_body = None
         hook = exchange.on_broken
         exchange.on_broken = None
-        if hook is not None and exchange.state is AnswerState.NONE:
+        if hook is not None and exchange.state is ResponseState.NONE:
             hook(problem)
             return
         answerable = (
-            exchange.state is AnswerState.NONE and not exchange.handed_over
+            exchange.state is ResponseState.NONE
+            and not exchange.body_delivered
         )
-        exchange.state = AnswerState.DONE
+        exchange.state = ResponseState.DONE
         self.active = None
         if answerable:
             self.refuse(problem)
         else:
             self.reset()
-        if exchange.on_gone is not None:
-            exchange.on_gone()
+        if exchange.on_disconnect is not None:
+            exchange.on_disconnect()
 
-    # -- answers ----------------------------------------------------------
+    # -- responses --------------------------------------------------------
 
-    def closing_fields(self, exchange: Exchange) -> Headers:
-        """Return the ``Connection`` field that the answer needs."""
+    def connection_fields(self, exchange: Exchange) -> Headers:
+        """Return the ``Connection`` field of the response, if needed."""
         request = exchange.request
-        if not request.complete and not self.ends_soon(exchange):
+        if not request.complete and not self.is_remainder_small(exchange):
             request.keep_alive = False
-        if not request.keep_alive or (self.server.closing and not self.ahead):
+        if not request.keep_alive or (
+            self.server.closing and not self.pipelined
+        ):
             request.keep_alive = False
             return [CLOSE]
         if not request.minor_version:
             return [KEEP_ALIVE]
         return NO_FIELDS
 
-    def ends_soon(self, exchange: Exchange) -> bool:
-        """Tell whether the rest of the body is small enough to skip."""
+    def is_remainder_small(self, exchange: Exchange) -> bool:
+        """Return whether the rest of the body is small enough to skip."""
         request = exchange.request
         if request.expects_continue or request.body_length is None:
             return False
-        return request.body_length - request.body_bytes <= MAX_UNREAD_BODY
+        return request.body_length - request.body_bytes <= MAX_SKIPPED_BODY
 
-    def answered(self, exchange: Exchange) -> None:
-        """Go on after the answer to ``exchange`` was written."""
+    def response_sent(self, exchange: Exchange) -> None:
+        """Proceed after the response to ``exchange`` was written."""
         if not self.stream.open:
             return
         exchange.on_body = None
         if not exchange.request.keep_alive:
             self.active = None
-            self.drop_ahead()
+            self.abandon_pipelined()
             self.linger()
             return
         if not exchange.request.complete:
@@ -282,7 +285,7 @@
         self.next_request()
 
     def next_request(self) -> None:
-        """Make room for the next request of this connection."""
+        """Prepare for the next request of this connection."""
         self.active = None
         limits = self.server.limits
         if self.stream.pending:
@@ -291,16 +294,16 @@
             self.deadline.set_after(limits.idle_seconds)
         self.advance()
 
-    # -- deadlines and the end --------------------------------------------
+    # -- deadlines and closing --------------------------------------------
 
     def expire(self) -> None:
-        """End the connection, since its time is up."""
+        """Handle the expired deadline of the connection."""
         if self.stream.pending or self.lingering:
-            self.expire_output()
+            self.check_send_progress()
         elif self.active is not None and not self.active.request.complete:
             self.expire_body(self.active)
         elif self.parser.in_head:
-            detail = 'the head of the request is late'
+            detail = 'the request head was not received in time'
             self.refuse(Problem(ResultCode.REQUEST_TIMEOUT, detail))
         else:
             self.linger()
@@ -309,28 +312,28 @@
         if exchange.done:
             self.linger()
             return
-        detail = 'the body of the request is late'
+        detail = 'the request body was not received in time'
         problem = Problem(ResultCode.REQUEST_TIMEOUT, detail)
-        self.break_body(exchange, problem)
+        self.fail_body(exchange, problem)
 
     def reset(self) -> None:
-        """Close with a reset: the answer must not look whole."""
+        """Reset the connection, so that no partial response is accepted."""
         self.active = None
-        self.drop_ahead()
+        self.abandon_pipelined()
         super().reset()
 
     def fail(self) -> None:
-        """Reset after an error of the application."""
+        """Reset the connection after an exception in the application."""
         self.lost()
         self.reset()
 
-    # -- reports of the stream --------------------------------------------
+    # -- events of the stream ---------------------------------------------
 
     def drained(self) -> None:
-        """Run when the kernel has taken all output."""
-        self.pending_seen = 0
+        """Called when all output has been written to the kernel."""
+        self.last_pending = 0
         if self.lingering:
-            self.end_output()
+            self.shut_down_output()
             return
         exchange = self.active
         if exchange is None:
@@ -341,21 +344,21 @@
             exchange.on_drained()
 
     def lost(self) -> None:
-        """Run when the caller has closed or the connection failed."""
+        """Called when the caller closed the connection or it failed."""
         exchange = self.active
         self.active = None
         self.parser.stopped = True
         self.parser.queue.clear()
         self.deadline.cancel()
-        self.drop_ahead()
+        self.abandon_pipelined()
         if exchange is None or exchange.done:
             return
-        exchange.state = AnswerState.DONE
+        exchange.state = ResponseState.DONE
         exchange.on_body = None
-        if exchange.on_gone is not None:
-            exchange.on_gone()
+        if exchange.on_disconnect is not None:
+            exchange.on_disconnect()
 
 
-def is_plain(request: IncomingRequest) -> bool:
-    """Tell whether a request may be worked on ahead of its turn."""
+def is_pipelinable(request: IncomingRequest) -> bool:
+    """Return whether a request may be processed before its turn."""
     return request.complete and request.method in SAFE_METHODS
--- a/cyclamenlift/http/exchange.py
+++ b/cyclamenlift/http/exchange.py
@@ -1,4 +1,4 @@
-"""One request of a caller and the answer to it."""
+"""A request of a caller and its response."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from cyclamenlift.http.dialects import Dialect
 from cyclamenlift.http.headers import Headers
 from cyclamenlift.http.request_parser import IncomingRequest
-from cyclamenlift.http.response import answer_head
-from cyclamenlift.http.response import has_no_body
+from cyclamenlift.http.response import forbids_body
 from cyclamenlift.http.response import LAST_CHUNK
 from cyclamenlift.http.response import problem_body
 from cyclamenlift.http.response import problem_headers
 from cyclamenlift.http.response import problem_status
+from cyclamenlift.http.response import response_head
 
 if TYPE_CHECKING:
     from cyclamenlift.http.connection import CallerConnection
@@ -27,8 +27,8 @@
 CHUNKED = ('Transfer-Encoding', 'chunked')
 
 
-class AnswerState(enum.Enum):
-    """How far the answer to a request is."""
+class ResponseState(enum.Enum):
+    """Progress of the response to a request."""
 
     NONE = 'none'
     STREAMING = 'streaming'
@@ -36,36 +36,37 @@
 
 
 class Exchange:
-    """A request of a caller, read and answered through this object.
+    """A request of a caller and the means to respond to it.
 
     ``method``, ``path`` (with the query), ``headers`` (lower-case names, in
     order), ``body_length`` (None: chunked, 0: no body), ``remote`` and
     ``received_at`` (monotonic seconds) describe the request.
 
-    Hooks that the owner of the exchange may set, each called once at most:
-    ``on_gone()`` when the caller left before the answer was whole, and
-    ``on_broken(problem)`` when the body turned out bad after a part of it
-    was handed over; only the owner knows whether something ran, so it
-    answers. Without that hook such a connection is closed unanswered.
-    ``on_drained()`` runs each time the kernel has taken all bytes.
+    The application may set hooks, each called at most once:
+    ``on_disconnect()`` when the caller disconnects before the response is
+    complete, and ``on_broken(problem)`` when the body turns out invalid
+    after a part of it was delivered. Only the application knows whether the
+    request ran, so that hook must respond; without it the connection is
+    closed without a response. ``on_drained()`` is called each time all
+    output has been written to the kernel.
 
-    An answer to a caller who has left is dropped without an error.
+    A response to a disconnected caller is dropped without an error.
     """
 
     __slots__ = (
         'body_length',
         'chunked',
         'connection',
-        'first_fields',
-        'handed_over',
+        'first_values',
+        'body_delivered',
         'headers',
-        'held',
-        'left',
+        'deferred',
+        'remaining',
         'method',
         'on_body',
         'on_broken',
         'on_drained',
-        'on_gone',
+        'on_disconnect',
         'path',
         'paused',
         'received_at',
@@ -87,52 +88,52 @@
         self.method: str = request.method
         self.path: str = request.path
         self.headers: Headers = request.headers
-        # Reversed, so that of fields with one name the first one stays.
-        self.first_fields = dict(reversed(request.headers))
+        # Reversed, so that the first of several equal names wins.
+        self.first_values = dict(reversed(request.headers))
         self.body_length: int | None = request.body_length
         self.remote: Address = connection.stream.remote
         self.received_at = received_at
-        self.on_gone: Callable[[], None] | None = None
+        self.on_disconnect: Callable[[], None] | None = None
         self.on_broken: Callable[[Problem], None] | None = None
         self.on_drained: Callable[[], None] | None = None
         self.on_body: OnBody | None = None
         self.paused = False
-        self.handed_over = False
-        self.state = AnswerState.NONE
-        self.left: int | None = None
+        self.body_delivered = False
+        self.state = ResponseState.NONE
+        self.remaining: int | None = None
         self.chunked = False
         self.without_body = False
-        # What was answered before its turn came; None once it has come.
-        self.held: list[Callable[[], None]] | None = [] if early else None
+        # Output deferred until earlier responses are sent; None if none is.
+        self.deferred: list[Callable[[], None]] | None = [] if early else None
 
     # -- queries ----------------------------------------------------------
 
     def header(self, name: str) -> str | None:
         """Return the first field of this lower-case name."""
-        return self.first_fields.get(name)
+        return self.first_values.get(name)
 
     @property
     def dialect(self) -> Dialect:
-        """The dialect of the border that the request came through."""
+        """The dialect of the server that received the request."""
         return self.connection.server.dialect
 
     @property
     def pending(self) -> int:
-        """Bytes of the answer that the kernel has not taken."""
+        """Bytes of the response not yet written to the kernel."""
         return self.connection.stream.pending
 
     @property
     def done(self) -> bool:
-        """Whether the answer is complete or the caller is gone."""
-        return self.state is AnswerState.DONE
+        """Whether the response is complete or the caller disconnected."""
+        return self.state is ResponseState.DONE
 
-    # -- the body of the request ------------------------------------------
+    # -- request body -----------------------------------------------------
 
     def read_body(self, on_body: OnBody) -> None:
-        """Hand over the body as it comes, as ``on_body(data, last)``.
+        """Deliver the body incrementally to ``on_body(data, last)``.
 
-        The first pieces may be handed over before this returns. Asks the
-        caller to go on if it waits for that.
+        The first pieces may be delivered before this returns. Sends ``100
+        Continue`` if the caller waits for it.
         """
         if self.done:
             return
@@ -142,7 +143,7 @@
         self.deliver_body()
 
     def deliver_body(self) -> None:
-        """Hand over what has arrived, unless paused."""
+        """Deliver the received part of the body unless paused."""
         request = self.request
         if self.on_body is None or self.paused or self.done:
             return
@@ -154,65 +155,65 @@
         on_body = self.on_body
         if last:
             self.on_body = None
-        self.handed_over = self.handed_over or bool(data)
+        self.body_delivered = self.body_delivered or bool(data)
         on_body(data, last)
 
     def pause(self) -> None:
-        """Leave the rest of the body with the caller: back-pressure."""
+        """Stop reading the body (back-pressure)."""
         if not self.paused:
             self.paused = True
             self.connection.pause_body(self)
 
     def resume(self) -> None:
-        """Go on after ``pause``."""
+        """Resume reading the body after ``pause``."""
         if self.paused:
             self.paused = False
             self.deliver_body()
             self.connection.resume_body(self)
 
-    # -- the answer -------------------------------------------------------
+    # -- response ---------------------------------------------------------
 
-    def take_turn(self) -> None:
-        """Send what was answered while earlier answers were due."""
-        held = self.held or []
-        self.held = None
-        for send in held:
+    def send_deferred(self) -> None:
+        """Send the output deferred until earlier responses were sent."""
+        deferred = self.deferred or []
+        self.deferred = None
+        for send in deferred:
             send()
 
-    def hold(self, send: Callable[[], None]) -> bool:
-        """Keep a piece of the answer until its turn; False if it is now."""
-        if self.held is None:
+    def defer(self, send: Callable[[], None]) -> bool:
+        """Defer output until earlier responses are sent; False if they are."""
+        if self.deferred is None:
             return False
         if not self.done:
-            self.held.append(send)
+            self.deferred.append(send)
         return True
 
     def respond(self, status: int, headers: Headers, body: bytes) -> None:
-        """Send the whole answer in one write.
+        """Send a complete response in one write.
 
-        Framing fields in ``headers`` are replaced by the right ones; to a
-        HEAD request a given ``Content-Length`` is kept. Raises HeaderError,
-        with nothing sent, when a field holds a line break.
+        Framing fields in ``headers`` are replaced by correct ones; for a
+        HEAD request a given ``Content-Length`` is kept. Raises HeaderError
+        and sends nothing when a field contains a line break.
         """
-        if self.state is not AnswerState.NONE:
+        if self.state is not ResponseState.NONE:
             return
-        if self.hold(lambda: self.respond(status, headers, body)):
+        if self.defer(lambda: self.respond(status, headers, body)):
             return
-        framing = self.connection.closing_fields(self)
-        if has_no_body(self.method, status):
-            framing = framing + self.stated_length(status, headers, body)
+        framing = self.connection.connection_fields(self)
+        if forbids_body(self.method, status):
+            framing = framing + self.length_fields(status, headers, body)
             body = b''
         else:
             framing = framing + [('Content-Length', str(len(body)))]
-        data = answer_head(status, headers, framing) + body
-        self.state = AnswerState.DONE
+        data = response_head(status, headers, framing) + body
+        self.state = ResponseState.DONE
         self.connection.stream.write(data)
-        self.connection.answered(self)
+        self.connection.response_sent(self)
 
-    def stated_length(
+    def length_fields(
         self, status: int, headers: Headers, body: bytes
     ) -> Headers:
-        """Return the length field of an answer that carries no body."""
+        """Return the ``Content-Length`` of a response without a body."""
         for name, value in headers:
             if name.lower() == 'content-length':
                 return [('Content-Length', value)] if status != 204 else []
@@ -221,7 +222,7 @@
         return []
 
     def respond_problem(self, problem: Problem) -> None:
-        """Answer with the numbered error and its JSON body."""
+        """Respond with a numbered error and its JSON body."""
         self.respond(
             problem_status(problem),
             problem_headers(problem, self.dialect),
@@ -229,19 +230,19 @@
         )
 
     def start(self, status: int, headers: Headers, length: int | None) -> None:
-        """Begin a streamed answer of ``length`` bytes (None: unknown).
+        """Start a streamed response of ``length`` bytes (None: unknown).
 
-        Without a length it is chunked; to a caller of HTTP/1.0 it ends
-        with the connection. Raises HeaderError as ``respond`` does.
+        Without a length it is chunked; for HTTP/1.0 it ends with the
+        connection. Raises HeaderError as ``respond`` does.
         """
-        if self.state is not AnswerState.NONE:
+        if self.state is not ResponseState.NONE:
             return
-        if self.hold(lambda: self.start(status, headers, length)):
+        if self.defer(lambda: self.start(status, headers, length)):
             return
-        self.without_body = has_no_body(self.method, status)
-        framing = self.connection.closing_fields(self)
+        self.without_body = forbids_body(self.method, status)
+        framing = self.connection.connection_fields(self)
         if self.without_body:
-            framing = framing + self.stated_length(status, headers, b'')
+            framing = framing + self.length_fields(status, headers, b'')
         elif length is not None:
             framing = framing + [('Content-Length', str(length))]
         elif self.request.minor_version:
@@ -250,25 +251,25 @@
         else:
             self.request.keep_alive = False
             framing = [CLOSE]
-        data = answer_head(status, headers, framing)
-        self.left = length
-        self.state = AnswerState.STREAMING
+        data = response_head(status, headers, framing)
+        self.remaining = length
+        self.state = ResponseState.STREAMING
         self.connection.stream.write(data)
 
     def send(self, data: bytes) -> None:
-        """Send a piece of a streamed answer.
+        """Send a piece of a streamed response.
 
-        More bytes than the declared length abort the answer.
+        Exceeding the declared length aborts the response.
         """
-        if self.hold(lambda: self.send(data)):
+        if self.defer(lambda: self.send(data)):
             return
-        if self.state is not AnswerState.STREAMING or not data:
+        if self.state is not ResponseState.STREAMING or not data:
             return
         if self.without_body:
             return
-        if self.left is not None:
-            self.left -= len(data)
-            if self.left < 0:
+        if self.remaining is not None:
+            self.remaining -= len(data)
+            if self.remaining < 0:
                 self.abort()
                 return
         if self.chunked:
@@ -276,23 +277,23 @@
         self.connection.stream.write(data)
 
     def finish(self) -> None:
-        """End a streamed answer; one that is too short is aborted."""
-        if self.hold(self.finish):
+        """Finish a streamed response; abort it if it is too short."""
+        if self.defer(self.finish):
             return
-        if self.state is not AnswerState.STREAMING:
+        if self.state is not ResponseState.STREAMING:
             return
-        if self.left and not self.without_body:
+        if self.remaining and not self.without_body:
             self.abort()
             return
-        self.state = AnswerState.DONE
+        self.state = ResponseState.DONE
         if self.chunked:
             self.connection.stream.write(LAST_CHUNK)
-        self.connection.answered(self)
+        self.connection.response_sent(self)
 
     def abort(self) -> None:
-        """Reset the connection, so that a part can't pass for the whole."""
-        if self.hold(self.abort):
+        """Reset the connection, so that a partial response isn't accepted."""
+        if self.defer(self.abort):
             return
-        if self.state is not AnswerState.DONE:
-            self.state = AnswerState.DONE
+        if self.state is not ResponseState.DONE:
+            self.state = ResponseState.DONE
             self.connection.reset()
--- a/cyclamenlift/http/json_requests.py
+++ b/cyclamenlift/http/json_requests.py
@@ -1,4 +1,4 @@
-"""Small requests: read whole, then answered as JSON."""
+"""Helpers for small requests with JSON responses."""
 
 from collections.abc import Callable
 import json
@@ -10,46 +10,46 @@
 JSON_TYPE = ('Content-Type', 'application/json')
 
 
-def read_whole(
-    exchange: Exchange, most: int, done: Callable[[bytes], None]
+def read_body(
+    exchange: Exchange, max_size: int, done: Callable[[bytes], None]
 ) -> None:
-    """Gather a body of at most ``most`` bytes, then call ``done`` once."""
+    """Read a body of at most ``max_size`` bytes, then call ``done`` once."""
     parts: list[bytes] = []
 
     def on_body(data: bytes, last: bool) -> None:
         parts.append(data)
-        if sum(map(len, parts)) > most:
-            refuse_size(exchange, most)
+        if sum(map(len, parts)) > max_size:
+            refuse_size(exchange, max_size)
         elif last:
             done(b''.join(parts))
 
     exchange.on_broken = exchange.respond_problem
-    if (exchange.body_length or 0) > most:
-        refuse_size(exchange, most)
+    if (exchange.body_length or 0) > max_size:
+        refuse_size(exchange, max_size)
     else:
         exchange.read_body(on_body)
 
 
-def refuse_size(exchange: Exchange, most: int) -> None:
-    detail = f'over {most} bytes'
+def refuse_size(exchange: Exchange, max_size: int) -> None:
+    detail = f'over {max_size} bytes'
     exchange.respond_problem(Problem(ResultCode.BODY_TOO_LARGE, detail))
 
 
-def answer(
+def send_json(
     exchange: Exchange,
     status: int,
     value: object = None,
     headers: tuple[tuple[str, str], ...] = (),
 ) -> None:
-    """Answer with a status and a JSON value, ``{}`` by default."""
+    """Respond with a status and a JSON value, ``{}`` by default."""
     body = json.dumps({} if value is None else value).encode()
     exchange.respond(status, [JSON_TYPE, *headers], body)
 
 
-def refuse(exchange: Exchange, status: int, problem: Problem) -> None:
-    """Answer with a status of its own and our numbered error."""
+def reject(exchange: Exchange, status: int, problem: Problem) -> None:
+    """Respond with an explicit status and a numbered error."""
     value = {
         'error': problem.line(),
         'code': int(problem.code),
     }
-    answer(exchange, status, value)
+    send_json(exchange, status, value)
--- a/cyclamenlift/http/lazy_web.py
+++ b/cyclamenlift/http/lazy_web.py
@@ -1,7 +1,7 @@
-"""An address with pages whose code is loaded with the first request.
+"""Web server that imports ``circuits.web`` on the first request.
 
-Pages are for people and collectors of metrics. Many daemons run for hours
-without a request for one, and ``circuits.web`` takes some megabytes.
+Its pages serve operators and metric collectors. Many daemons run for hours
+without such a request, and ``circuits.web`` takes some megabytes of memory.
 """
 
 from collections.abc import Callable
@@ -18,11 +18,11 @@
 
 
 class pages_ready(Event):  # noqa: N801 (circuits names handlers so)
-    """Fired behind the registration of the pages, so it comes after."""
+    """Queued behind the registration events of the controllers."""
 
 
 class LazyWebServer(BaseComponent):
-    """Listens at once; ``make_controllers`` runs with the first request."""
+    """Listens immediately; creates its controllers on the first request."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
         super().__init__(channel=channel)
         self.make_controllers = make_controllers
         self.bridge = None
-        self.early: list[Exchange] | None = None
+        self.queued: list[Exchange] | None = None
         self.register(root)
         self.http = HttpServer(
             root.poller, limits or HttpLimits(), self.take, f'{channel}-http'
@@ -43,27 +43,27 @@
         self.address = self.http.listen(address)
 
     def take(self, exchange: Exchange) -> None:
-        """Take one request for a page.
+        """Handle one request.
 
-        Controllers are registered by events, so the first requests wait
-        until these have been handled: before that no page has a path.
+        Controllers are registered by events. The first requests are queued
+        until these events have been handled, since no path is routed before.
         """
         if self.bridge is None:
-            self.bridge = self.make_bridge()
-            self.early = []
+            self.bridge = self.create_bridge()
+            self.queued = []
             self.fire(pages_ready(), self.channel)
-        if self.early is not None:
-            self.early.append(exchange)
+        if self.queued is not None:
+            self.queued.append(exchange)
             return
         self.bridge.take(exchange)
 
     @handler('pages_ready')
     def _on_pages_ready(self) -> None:
-        early, self.early = self.early or [], None
-        for exchange in early:
+        queued, self.queued = self.queued or [], None
+        for exchange in queued:
             self.bridge.take(exchange)
 
-    def make_bridge(self):
+    def create_bridge(self):
         from cyclamenlift.http.web import WebBridge
 
         bridge = WebBridge(self.address, f'{self.channel}-web')
@@ -73,7 +73,7 @@
         return bridge
 
     def begin_drain(self) -> None:
-        """Take no new connections; requests in flight are answered."""
+        """Accept no new connections; finish the requests in flight."""
         self.http.begin_drain()
 
     @property
--- a/cyclamenlift/http/pages.py
+++ b/cyclamenlift/http/pages.py
@@ -1,4 +1,4 @@
-"""What controllers get and give: forms, queries and answers."""
+"""Query and form parsing and responses for ``circuits.web`` controllers."""
 
 from collections.abc import Callable
 import dataclasses
@@ -22,8 +22,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class WebAnswer:
-    """What a controller answers."""
+class WebResponse:
+    """Response returned by a controller."""
 
     body: bytes
     status: int = 200
@@ -32,35 +32,35 @@
 
 
 class Deferred:
-    """An answer that a controller gives later, once."""
+    """A response that a controller provides later, once."""
 
     def __init__(self):
-        self.answer: WebAnswer | None = None
-        self.hook: Callable[[WebAnswer], None] | None = None
+        self.response: WebResponse | None = None
+        self.hook: Callable[[WebResponse], None] | None = None
 
-    def resolve(self, answer: WebAnswer) -> None:
-        """Give the answer; a second one is dropped."""
-        if self.answer is None:
-            self.answer = answer
+    def resolve(self, response: WebResponse) -> None:
+        """Set the response; a second one is ignored."""
+        if self.response is None:
+            self.response = response
             if self.hook is not None:
-                self.hook(answer)
+                self.hook(response)
 
-    def then(self, hook: Callable[[WebAnswer], None]) -> None:
-        """Run ``hook`` with the answer, at once if it is there."""
+    def then(self, hook: Callable[[WebResponse], None]) -> None:
+        """Call ``hook`` with the response, immediately if it is set."""
         self.hook = hook
-        if self.answer is not None:
-            hook(self.answer)
+        if self.response is not None:
+            hook(self.response)
 
 
-def query_of(request: 'Request') -> dict[str, str]:
-    """Return the fields of the query; the last one of a name counts."""
+def parse_query(request: 'Request') -> dict[str, str]:
+    """Return the query parameters; the last of equal names wins."""
     return dict(parse_qsl(request.query, max_num_fields=MAX_FORM_FIELDS))
 
 
-def form_of(request: 'Request') -> Headers:
-    """Return the fields of an URL-encoded form, in order.
+def parse_form(request: 'Request') -> Headers:
+    """Return the fields of a URL-encoded form, in order.
 
-    Raises ValueError when the body is no such form.
+    Raises ValueError when the body isn't a valid form.
     """
     return parse_qsl(
         request.content.decode('utf-8'),
@@ -69,17 +69,17 @@
     )
 
 
-def json_answer(value, status: int = 200, headers=()) -> WebAnswer:
-    """Return a JSON answer."""
+def json_response(value, status: int = 200, headers=()) -> WebResponse:
+    """Return a JSON response."""
     body = json.dumps(value, indent=2).encode() + b'\n'
-    return WebAnswer(body, status, JSON, tuple(headers))
+    return WebResponse(body, status, JSON, tuple(headers))
 
 
-def problem_answer(problem: Problem) -> WebAnswer:
-    """Return the JSON answer that reports a problem."""
+def problem_response(problem: Problem) -> WebResponse:
+    """Return the JSON response that reports a problem."""
     fields = dict(problem_headers(problem))
     kind = fields.pop('Content-Type')
-    return WebAnswer(
+    return WebResponse(
         problem_body(problem),
         problem_status(problem),
         kind,
@@ -87,7 +87,7 @@
     )
 
 
-def give(exchange: Exchange, answer: WebAnswer) -> None:
-    """Send a controller's answer."""
-    headers = [('Content-Type', answer.content_type), *answer.headers]
-    exchange.respond(answer.status, headers, answer.body)
+def send_response(exchange: Exchange, response: WebResponse) -> None:
+    """Send a controller's response."""
+    headers = [('Content-Type', response.content_type), *response.headers]
+    exchange.respond(response.status, headers, response.body)
--- a/cyclamenlift/http/web.py
+++ b/cyclamenlift/http/web.py
@@ -1,10 +1,10 @@
-"""Pages of the daemons: ``circuits.web`` controllers behind our border.
+"""Runs ``circuits.web`` controllers behind the strict HTTP server.
 
-The strict server frames the requests; requests, responses, dispatch and
-controllers are those of ``circuits.web``. Its own parser is left out, and
-so is its reading of forms into keyword arguments: a form field named like
-an argument of a handler would break the handler. Controllers read their
-input with ``query_of`` and ``form_of``.
+``HttpServer`` parses the requests; request objects, responses, dispatch and
+controllers are those of ``circuits.web``. Its parser isn't used, nor is its
+mapping of form fields to keyword arguments: a form field named like an
+argument of a handler would break the handler. Controllers read their input
+with ``parse_query`` and ``parse_form``.
 """
 
 from collections.abc import Iterable
@@ -30,22 +30,22 @@
 from cyclamenlift.http.headers import find_header
 from cyclamenlift.http.limits import HttpLimits
 from cyclamenlift.http.pages import Deferred
-from cyclamenlift.http.pages import give
 from cyclamenlift.http.pages import HTML
-from cyclamenlift.http.pages import WebAnswer
+from cyclamenlift.http.pages import send_response
+from cyclamenlift.http.pages import WebResponse
 from cyclamenlift.http.server import HttpServer
 
 LOG = structlog.get_logger('web')
 SAFE_METHODS = ('GET', 'HEAD', 'OPTIONS')
-MAX_PAGE_BODY = 2 * 1024 * 1024
-PROBLEM_OF_STATUS = {
+MAX_BODY_BYTES = 2 * 1024 * 1024
+CODE_BY_STATUS = {
     404: ResultCode.NOT_FOUND,
     405: ResultCode.METHOD_NOT_ALLOWED,
 }
 
 
-class BorderAddress(NamedTuple):
-    """What ``circuits.web`` wants to know about its server."""
+class ServerAddress(NamedTuple):
+    """Server attributes that ``circuits.web`` reads."""
 
     host: str
     port: int
@@ -54,38 +54,38 @@
 
 
 class WebBridge(HTTP):
-    """Turns exchanges into ``circuits.web`` requests and back.
+    """Converts between exchanges and ``circuits.web`` requests.
 
-    It stands where ``circuits.web`` has its HTTP protocol component and
-    keeps that component's handling of what controllers return.
+    Replaces the HTTP protocol component of ``circuits.web`` and inherits
+    its handling of the values that controllers return.
     """
 
     def __init__(self, address: Address, channel: str):
-        super().__init__(BorderAddress(*address), channel=channel)
+        super().__init__(ServerAddress(*address), channel=channel)
         self.dispatcher = Dispatcher(channel=channel).register(self)
 
     # -- requests ---------------------------------------------------------
 
     def take(self, exchange: Exchange) -> None:
-        """Gather the body of a request within the limit, then open it."""
+        """Read the body within the limit, then dispatch the request."""
         parts: list[bytes] = []
 
         def on_body(data: bytes, last: bool) -> None:
             parts.append(data)
-            if sum(map(len, parts)) > MAX_PAGE_BODY:
+            if sum(map(len, parts)) > MAX_BODY_BYTES:
                 refuse_size(exchange)
             elif last:
-                self.open_request(exchange, b''.join(parts))
+                self.dispatch_request(exchange, b''.join(parts))
 
-        # Nothing runs before the whole body is in.
+        # Nothing runs before the whole body has been read.
         exchange.on_broken = exchange.respond_problem
-        if (exchange.body_length or 0) > MAX_PAGE_BODY:
+        if (exchange.body_length or 0) > MAX_BODY_BYTES:
             refuse_size(exchange)
         else:
             exchange.read_body(on_body)
 
-    def open_request(self, exchange: Exchange, body: bytes) -> None:
-        """Fire the request event, if a page is there for the path."""
+    def dispatch_request(self, exchange: Exchange, body: bytes) -> None:
+        """Fire the request event if a controller serves the path."""
         try:
             request = self.build_request(exchange, body)
         except ValueError as error:
@@ -93,7 +93,7 @@
             exchange.respond_problem(Problem(ResultCode.BAD_REQUEST, detail))
             return
         if not is_same_origin(exchange):
-            detail = 'Origin: a page of another place sent this'
+            detail = 'Origin: cross-origin request'
             exchange.respond_problem(Problem(ResultCode.BAD_REQUEST, detail))
             return
         if not self.has_page(request):
@@ -123,26 +123,26 @@
         return request
 
     def has_page(self, request: Request) -> bool:
-        """Tell whether an exposed method answers the path.
+        """Return whether an exposed method serves the path.
 
-        Controllers have other handlers too, of circuits itself.
+        Controllers also have internal handlers of circuits.
         """
         handlers = find_handlers(request, self.dispatcher.paths)[0]
         return bool(handlers) and all(hasattr(h, 'args') for h in handlers)
 
-    # -- answers ----------------------------------------------------------
+    # -- responses --------------------------------------------------------
 
-    # circuits hands the current event to a parameter called ``event`` and
-    # keeps the handlers of a base class unless they are overridden so.
+    # circuits passes the current event to a parameter named ``event`` and
+    # keeps the handlers of a base class without ``override=True``.
 
     @handler('request_success', override=True)
     def _on_request_success(self, opened, value) -> None:
         found = opened.value.getValue()
         request = opened.args[0]
         if isinstance(found, Deferred):
-            found.then(lambda answer: give(request.exchange, answer))
-        elif isinstance(found, WebAnswer):
-            give(request.exchange, found)
+            found.then(lambda answer: send_response(request.exchange, answer))
+        elif isinstance(found, WebResponse):
+            send_response(request.exchange, found)
         else:
             super()._on_request_success(opened, value)
 
@@ -166,34 +166,34 @@
             return
         if event.error is not None:
             LOG.error('page_failed', path=request.path, error=event.traceback)
-        kind = PROBLEM_OF_STATUS.get(status)
+        kind = CODE_BY_STATUS.get(status)
         if kind is None:
             kind = ResultCode.BAD_REQUEST
             if status >= 500:
                 kind = ResultCode.PAGE_FAILED
         request.exchange.respond_problem(Problem(kind))
 
-    # -- parts of the protocol component that the border replaces ----------
+    # -- disabled handlers of the protocol component ------------------------
 
     @handler('ready', override=True)
     def _on_ready(self, *args) -> None:
-        """Nothing to note: the address was given."""
+        """Ignore: the address was passed to the constructor."""
 
     @handler('read', override=True)
     def _on_read(self, *args) -> None:
-        """Nothing to read: the strict server parses."""
+        """Ignore: ``HttpServer`` parses the input."""
 
     @handler('stream', override=True)
     def _on_stream(self, *args) -> None:
-        """Nothing to stream: answers are whole."""
+        """Ignore: responses are sent as a whole."""
 
     @handler('disconnect', override=True)
     def _on_disconnect(self, *args) -> None:
-        """Nothing to forget: an exchange knows its end."""
+        """Ignore: the exchange handles disconnects."""
 
 
 class WebServer(BaseComponent):
-    """An address with pages: the border, the bridge and controllers."""
+    """Combines an HTTP server, the bridge and the controllers."""
 
     def __init__(
         self,
@@ -217,7 +217,7 @@
         self.bridge.take(exchange)
 
     def begin_drain(self) -> None:
-        """Take no new connections; requests in flight are answered."""
+        """Accept no new connections; finish the requests in flight."""
         self.http.begin_drain()
 
     @property
@@ -227,10 +227,10 @@
 
 
 def is_same_origin(exchange: Exchange) -> bool:
-    """Tell whether a changing request comes from a page of our own.
+    """Return whether an unsafe request isn't cross-origin.
 
-    A browser states where a page came from; tools state nothing. So a page
-    elsewhere can't publish through the browser of an operator.
+    Browsers send ``Origin``, command-line tools don't. The check protects
+    operators against cross-site request forgery.
     """
     origin = exchange.header('origin')
     if origin is None or exchange.method in SAFE_METHODS:
@@ -240,7 +240,7 @@
 
 
 def refuse_size(exchange: Exchange) -> None:
-    detail = f'over {MAX_PAGE_BODY} bytes'
+    detail = f'over {MAX_BODY_BYTES} bytes'
     exchange.respond_problem(Problem(ResultCode.BODY_TOO_LARGE, detail))
 
 
--- a/cyclamenlift/ledger/finder.py
+++ b/cyclamenlift/ledger/finder.py
@@ -70,7 +70,7 @@
     def choose(
         self,
         tried: Address | None = None,
-        is_up: Callable[[Address], bool] = lambda address: True,
+        is_established: Callable[[Address], bool] = lambda address: True,
         asked_in_round: Collection[Address] = (),
     ) -> Address | None:
         """Return the instance to ask: the last leader, else the next one.
@@ -81,7 +81,9 @@
         come first: the others, also the last leader, may be unreachable.
         """
         if self.leader not in (None, tried):
-            if is_up(self.leader) or not any(map(is_up, self.control)):
+            if is_established(self.leader) or not any(
+                map(is_established, self.control)
+            ):
                 return self.leader
         if not self.control:
             return None
@@ -92,4 +94,4 @@
         in_turn = self.control[index:] + self.control[:index]
         others = [a for a in in_turn if a != tried] or in_turn
         fresh = [a for a in others if a not in asked_in_round] or others
-        return next(filter(is_up, fresh), fresh[0])
+        return next(filter(is_established, fresh), fresh[0])
--- a/cyclamenlift/ledger/leader_client.py
+++ b/cyclamenlift/ledger/leader_client.py
@@ -7,12 +7,12 @@
 
 from circuits.core.components import BaseComponent
 
+from cyclamenlift.core.scheduler import Root
+from cyclamenlift.core.scheduler import Timer
 from cyclamenlift.core.streams import Address
-from cyclamenlift.core.tasks import Root
-from cyclamenlift.core.tasks import Timer
 from cyclamenlift.ledger.finder import LeaderFinder
-from cyclamenlift.wire.tasks import Link
-from cyclamenlift.wire.tasks import PeerNetwork
+from cyclamenlift.wire.network import Link
+from cyclamenlift.wire.network import PeerNetwork
 
 # Seconds without an answer before another instance is asked.
 ANSWER_TIMEOUT_SECONDS = 0.25
@@ -149,7 +149,7 @@
         if pending.asked_in_round.issuperset(self.finder.control):
             pending.asked_in_round.clear()
         address = hinted or self.finder.choose(
-            pending.asked, self.network.is_up, pending.asked_in_round
+            pending.asked, self.network.is_established, pending.asked_in_round
         )
         if address is not None:
             pending.asked_in_round.add(address)
@@ -218,7 +218,7 @@
             return
         self.finder.note_unresponsive(link.address)
         for pending in list(self.pending_requests.values()):
-            if not link.was_up:
+            if not link.was_established:
                 pending.unresolved_attempts.pop(link.address, None)
             if pending.asked == link.address:
                 self.ask_next(pending)
--- a/cyclamenlift/runtime/daemon.py
+++ b/cyclamenlift/runtime/daemon.py
@@ -14,10 +14,10 @@
 from cyclamenlift.core.codes import ResultCode
 from cyclamenlift.core.log_sink import SINK
 from cyclamenlift.core.logs import configure_logs
-from cyclamenlift.core.memory import keep_start_up_objects
+from cyclamenlift.core.memory import freeze_startup_objects
 from cyclamenlift.core.problems import Problem
+from cyclamenlift.core.scheduler import build_root
 from cyclamenlift.core.streams import Address
-from cyclamenlift.core.tasks import build_root
 from cyclamenlift.events.carrying import OrderCarrier
 from cyclamenlift.events.door import OrderDoor
 from cyclamenlift.events.tasks import ConfigFollower
@@ -48,7 +48,7 @@
 from cyclamenlift.wire.gen.protocol.ttypes import MemberRecord
 from cyclamenlift.wire.gen.protocol.ttypes import MemberRole
 from cyclamenlift.wire.gen.protocol.ttypes import TargetState
-from cyclamenlift.wire.tasks import PeerNetwork
+from cyclamenlift.wire.network import PeerNetwork
 
 LOG = structlog.get_logger('daemon')
 EXIT_SETTINGS = 2
@@ -304,7 +304,7 @@
         self.gossip_address = self.membership.start()
         self.follower.start()
         if self.gate is not None:
-            self.gate.client.warm()
+            self.gate.client.warm_up()
             self.health.start()
         self.scheduler.every(LOG_FLUSH_SECONDS, SINK.flush)
         LOG.info(
@@ -411,6 +411,6 @@
     if problems:
         return EXIT_SETTINGS
     node.start_parts()
-    keep_start_up_objects()
+    freeze_startup_objects()
     node.loop.run()
     return 0
--- a/cyclamenlift/wire/tasks.py
+++ b/cyclamenlift/wire/network.py
@@ -1,8 +1,8 @@
-"""Connections between the system's own processes.
+"""Connections between the processes of the system.
 
-One ``PeerNetwork`` in a process owns its listener and one multiplexed
-connection to each peer it talks to. Receivers subscribe to message types;
-a message reaches its receiver within the read event that brought it.
+The ``PeerNetwork`` of a process owns its listener and one multiplexed
+connection to each peer. Receivers subscribe to message types and are called
+synchronously when a message has been read.
 """
 
 from collections.abc import Callable
@@ -15,32 +15,32 @@
 from cyclamenlift.core.streams import Stream
 from cyclamenlift.core.streams import StreamOwner
 from cyclamenlift.wire.codec import encode_frame
-from cyclamenlift.wire.codec import FIELD_OF
+from cyclamenlift.wire.codec import FIELD_BY_TYPE
 from cyclamenlift.wire.codec import FrameError
 from cyclamenlift.wire.codec import FrameReader
 from cyclamenlift.wire.gen.protocol.ttypes import Hello
 
 WIRE_VERSION = 3
 HELLO_SECONDS = 3.0
-# How long a connection may take to be established, in seconds: the first
-# one to an address many times the path there and back (25 ms between
-# regions), since a machine that has just lost power answers nothing and its
-# peers ask it again when it is back; each further one twice as long, since
-# on a slow link an answer may wait behind bodies for half a second.
-FIRST_CONNECT_SECONDS = 0.2
-MOST_CONNECT_SECONDS = 1.0
-# Addresses whose waits are remembered: more than there are instances.
-MOST_REMEMBERED = 2048
+# Connect timeouts in seconds. The first one to an address is many times the
+# round trip (25 ms between regions): a machine that has just lost power
+# answers nothing, and its peers should soon retry once it is back. Each
+# further one is doubled, since on a slow link a reply may queue behind bodies
+# for half a second.
+INITIAL_CONNECT_SECONDS = 0.2
+MAX_CONNECT_SECONDS = 1.0
+# Addresses with a stored timeout: more than there are instances.
+MAX_STORED_TIMEOUTS = 2048
 MAX_PENDING = 64 * 1024 * 1024
 LOG = structlog.get_logger('wire')
 
 
 class Link:
-    """One connection to a peer process.
+    """A connection to a peer process.
 
-    ``send`` never blocks. Messages that the kernel has not taken, since the
-    connection is not up yet or its way is full, are kept; ``post`` gives
-    the means to take one of them back.
+    ``send`` never blocks. Messages are queued while the connection isn't
+    established yet or the kernel's buffer is full; ``post`` returns the
+    frame with which a queued message can be withdrawn.
     """
 
     __slots__ = (
@@ -52,7 +52,7 @@
         'reader',
         'received',
         'stream',
-        'was_up',
+        'was_established',
     )
 
     def __init__(self, network: 'PeerNetwork', stream: Stream, address):
@@ -61,40 +61,40 @@
         self.address: Address | None = address
         self.reader = FrameReader()
         self.hello: Hello | None = None
-        self.was_up = False
+        self.was_established = False
         self.closed = False
-        # Bytes that came over it, to tell a slow answer from none.
+        # Received bytes, to distinguish a slow response from none.
         self.received = 0
         self.number = next(network.numbers)
 
     def send(self, message) -> bool:
-        """Send one thrift message; False when the link is gone or full."""
+        """Send a thrift message; False when the link is closed or full."""
         return bool(self.post(message))
 
     def post(self, message) -> bytes:
-        """Send one thrift message; return its frame, b'' like ``send``."""
+        """Send a thrift message; return its frame, b'' if not sent."""
         if self.closed or self.stream.pending > MAX_PENDING:
             return b''
         frame = encode_frame(message)
         self.stream.write(frame)
         return b'' if self.closed else frame
 
-    def holds(self, frame: bytes) -> bool:
-        """Tell whether nothing of a posted frame has left this process."""
-        return not self.closed and self.stream.holds(frame)
+    def is_unsent(self, frame: bytes) -> bool:
+        """Return whether a posted frame is still entirely unsent."""
+        return not self.closed and self.stream.is_unsent(frame)
 
     def withdraw(self, frame: bytes) -> bool:
-        """Take a posted frame back; False when some of it may have left."""
+        """Unqueue a posted frame; False if part of it may have been sent."""
         return not self.closed and self.stream.withdraw(frame)
 
     @property
     def pending(self) -> int:
-        """Bytes not yet taken by the kernel, for back-pressure."""
+        """Bytes not yet written to the kernel, for back-pressure."""
         return self.stream.pending
 
     @property
     def outgoing(self) -> bool:
-        """Tell whether this process opened the connection."""
+        """Whether this process opened the connection."""
         return self.address is not None
 
     def close(self) -> None:
@@ -102,13 +102,13 @@
 
 
 class PeerNetwork(StreamOwner):
-    """Owns the peer port of this process and the links to other peers."""
+    """Owns the peer port of this process and the links to its peers."""
 
     channel = 'peers'
-    # A link may go silent without an end, and calls would wait on it until
-    # their deadlines, which are a second or more away: 2 s without a sign
-    # of life is long enough for lost packets to be sent again.
-    silence_seconds = 2
+    # A link may fail without being closed, and calls would wait on it until
+    # their deadlines, which are a second or more away. 2 s without an
+    # acknowledgement leave enough time to retransmit lost packets.
+    peer_timeout_seconds = 2
 
     def __init__(self, poller, instance: str, data_centre: str, cluster: str):
         super().__init__(poller, channel='peers')
@@ -117,26 +117,26 @@
         self.cluster = cluster
         self.numbers = itertools.count(1)
         self.outgoing: dict[Address, Link] = {}
-        # Seconds that the next connection may take, where some failed.
-        self.connect_waits: dict[Address, float] = {}
+        # Next connect timeout in seconds, by address with failed attempts.
+        self.connect_timeouts: dict[Address, float] = {}
         self.receivers: dict[str, Callable[[Link, object], None]] = {}
         self.lost_hooks: list[Callable[[Link], None]] = []
-        self.refused_frames = 0
+        self.rejected_frames = 0
 
     # -- commands ---------------------------------------------------------
 
     def subscribe(
         self, kind: type, receiver: Callable[[Link, object], None]
     ) -> None:
-        """Send every message of thrift class ``kind`` to ``receiver``."""
-        self.receivers[FIELD_OF[kind]] = receiver
+        """Pass every message of thrift class ``kind`` to ``receiver``."""
+        self.receivers[FIELD_BY_TYPE[kind]] = receiver
 
     def subscribe_lost(self, hook: Callable[[Link], None]) -> None:
-        """Run ``hook`` for every link that is lost."""
+        """Call ``hook`` for every lost link."""
         self.lost_hooks.append(hook)
 
     def link_to(self, address: Address) -> Link:
-        """Return the link to ``address``, opened when there is none."""
+        """Return the link to ``address``; open it if there is none."""
         link = self.outgoing.get(address)
         if link is not None and not link.closed:
             return link
@@ -145,41 +145,41 @@
         stream.context = link
         self.outgoing[address] = link
         link.send(self.make_hello())
-        wait = self.connect_waits.get(address, FIRST_CONNECT_SECONDS)
-        self.root.scheduler.after(wait, lambda: self.check_connected(link))
+        timeout = self.connect_timeouts.get(address, INITIAL_CONNECT_SECONDS)
+        self.root.scheduler.after(timeout, lambda: self.check_connected(link))
         return link
 
-    def is_linked(self, address: Address) -> bool:
-        """Tell whether a link to ``address`` is open."""
+    def has_link(self, address: Address) -> bool:
+        """Return whether a link to ``address`` is open or connecting."""
         link = self.outgoing.get(address)
         return link is not None and not link.closed
 
-    def is_up(self, address: Address) -> bool:
-        """Tell whether a link to ``address`` is open and was answered."""
+    def is_established(self, address: Address) -> bool:
+        """Return whether a link to ``address`` is established."""
         link = self.outgoing.get(address)
-        return link is not None and link.was_up and not link.closed
+        return link is not None and link.was_established and not link.closed
 
-    def received_from(self, address: Address) -> int:
-        """Return the bytes that came over the link to ``address``."""
+    def bytes_received_from(self, address: Address) -> int:
+        """Return the number of bytes received on the link to ``address``."""
         link = self.outgoing.get(address)
         return link.received if link is not None else 0
 
-    def give_up_connecting(self, address: Address) -> None:
-        """Drop a link to ``address`` that has not come up yet.
+    def abort_connecting(self, address: Address) -> None:
+        """Close a link to ``address`` that isn't established yet.
 
-        For a peer that is known to be there now: the packets that opened
-        the connection may have come before it was.
+        Used for a peer that is now known to be running: the connection
+        request may have been sent before it was.
         """
         link = self.outgoing.get(address)
-        if link is not None and not link.was_up:
+        if link is not None and not link.was_established:
             self.drop(link, None)
 
     def send(self, address: Address, message) -> bool:
-        """Send one message to the peer at ``address``."""
+        """Send a message to the peer at ``address``."""
         return self.link_to(address).send(message)
 
     def drop(self, link: Link, error: Exception | None) -> None:
-        """Close a link and tell all who watch, once."""
+        """Close a link and notify the subscribers, once."""
         if link.closed:
             return
         link.closed = True
@@ -194,7 +194,7 @@
 
     def on_accepted(self, stream: Stream) -> None:
         link = Link(self, stream, None)
-        link.was_up = True
+        link.was_established = True
         stream.context = link
         link.send(self.make_hello())
         self.root.scheduler.after(
@@ -203,8 +203,8 @@
 
     def on_connected(self, stream: Stream) -> None:
         link = stream.context
-        link.was_up = True
-        self.connect_waits.pop(link.address, None)
+        link.was_established = True
+        self.connect_timeouts.pop(link.address, None)
 
     def on_data(self, stream: Stream, data: bytes) -> None:
         link = stream.context
@@ -212,7 +212,7 @@
         try:
             messages = link.reader.feed(data)
         except FrameError as error:
-            self.refuse(link, ResultCode.FRAME_MALFORMED, str(error))
+            self.reject(link, ResultCode.FRAME_MALFORMED, str(error))
             return
         for field, message in messages:
             if link.closed:
@@ -227,35 +227,35 @@
 
     def dispatch(self, link: Link, field: str, message) -> None:
         if link.hello is None:
-            self.greet(link, message)
+            self.accept_hello(link, message)
             return
         receiver = self.receivers.get(field)
         if receiver is None:
-            self.refuse(link, ResultCode.FRAME_UNEXPECTED, field)
+            self.reject(link, ResultCode.FRAME_UNEXPECTED, field)
             return
         try:
             receiver(link, message)
         except Exception:
-            # A frame that decodes may still carry values that its receiver
-            # can not take; that must cost this connection only.
+            # A valid frame may contain values that its receiver can't
+            # process; only this connection must be affected.
             LOG.exception('receiver_failed', field=field)
-            self.refuse(link, ResultCode.FRAME_UNEXPECTED, field)
+            self.reject(link, ResultCode.FRAME_UNEXPECTED, field)
 
-    def greet(self, link: Link, message) -> None:
-        """Take the first frame, which must be a fitting hello."""
-        fits = (
+    def accept_hello(self, link: Link, message) -> None:
+        """Process the first frame, which must be a matching hello."""
+        matches = (
             isinstance(message, Hello)
             and message.cluster == self.cluster
             and message.wire_version == WIRE_VERSION
         )
-        if not fits:
-            self.refuse(link, ResultCode.STRANGER, type(message).__name__)
+        if not matches:
+            self.reject(link, ResultCode.STRANGER, type(message).__name__)
             return
         link.hello = message
 
-    def refuse(self, link: Link, code: ResultCode, detail: str) -> None:
-        """Close the connection of a stranger or a broken peer, only it."""
-        self.refused_frames += 1
+    def reject(self, link: Link, code: ResultCode, detail: str) -> None:
+        """Close the connection of a foreign or faulty peer."""
+        self.rejected_frames += 1
         LOG.warning(
             'frame_refused',
             code=int(code),
@@ -266,20 +266,20 @@
         self.drop(link, None)
 
     def check_connected(self, link: Link) -> None:
-        """Give up on a peer that does not even accept: nothing was sent."""
-        if link.was_up or link.closed:
+        """Close a link that wasn't established in time; nothing was sent."""
+        if link.was_established or link.closed:
             return
         address = link.address
-        wait = self.connect_waits.get(address, FIRST_CONNECT_SECONDS)
-        LOG.info('peer_not_reached', remote=str(address), seconds=wait)
-        if len(self.connect_waits) >= MOST_REMEMBERED:
-            self.connect_waits.clear()
-        self.connect_waits[address] = min(MOST_CONNECT_SECONDS, 2 * wait)
-        self.drop(link, TimeoutError('not connected in time'))
+        timeout = self.connect_timeouts.get(address, INITIAL_CONNECT_SECONDS)
+        LOG.info('peer_not_reached', remote=str(address), seconds=timeout)
+        if len(self.connect_timeouts) >= MAX_STORED_TIMEOUTS:
+            self.connect_timeouts.clear()
+        self.connect_timeouts[address] = min(MAX_CONNECT_SECONDS, 2 * timeout)
+        self.drop(link, TimeoutError('connect timed out'))
 
     def check_hello(self, link: Link) -> None:
         if link.hello is None and not link.closed:
-            self.refuse(link, ResultCode.STRANGER, 'no hello in time')
+            self.reject(link, ResultCode.STRANGER, 'no hello received in time')
 
     def make_hello(self) -> Hello:
         return Hello(
--- a/tests/core/test_tasks.py
+++ b/tests/core/test_scheduler.py
@@ -1,10 +1,10 @@
-"""Timers run in order, once, and never after being cancelled."""
+"""Timers run in order, once, and never after cancellation."""
 
-from cyclamenlift.core.tasks import Scheduler
+from cyclamenlift.core.scheduler import Scheduler
 
 
 class FakeClock:
-    """A clock that a test sets."""
+    """A clock that the test sets."""
 
     def __init__(self):
         self.instant = 0.0
@@ -30,7 +30,7 @@
     assert ran == ['first', 'second']
 
 
-def test_repeated_timer_goes_on():
+def test_periodic_timer_repeats():
     clock = FakeClock()
     scheduler = Scheduler(clock)
     ran = []
--- a/tests/http/test_lazy_web.py
+++ b/tests/http/test_lazy_web.py
@@ -1,29 +1,29 @@
-"""Pages whose code comes with the first request."""
+"""Web pages whose code is imported on the first request."""
 
 from circuits.web.controllers import Controller
 from circuits.web.controllers import expose
 import pytest
 
 from cyclamenlift.http.lazy_web import LazyWebServer
-from cyclamenlift.http.pages import WebAnswer
+from cyclamenlift.http.pages import WebResponse
 from tests.http.builders import Caller
 from tests.http.builders import Loop
 from tests.http.builders import LOOPBACK
 
 
 class Pages(Controller):
-    """One page."""
+    """A controller with one page."""
 
     channel = '/'
 
     @expose('hello')
-    def hello(self) -> WebAnswer:
-        return WebAnswer(b'good day')
+    def hello(self) -> WebResponse:
+        return WebResponse(b'good day')
 
 
 @pytest.mark.parametrize('requests', [1, 3])
-def test_the_very_first_requests_find_their_page(requests):
-    """Regression: the first got 404, as no page had a path yet."""
+def test_first_requests_are_routed(requests):
+    """Regression: the first got 404, since no page was routed yet."""
     made = []
 
     def make() -> list:
--- a/tests/http/test_splits.py
+++ b/tests/http/test_splits.py
@@ -1,15 +1,15 @@
-"""However a byte stream is cut into packets, it means the same."""
+"""Parsing doesn't depend on how a byte stream is split into packets."""
 
 from hypothesis import given
 from hypothesis import settings
 from hypothesis import strategies as st
 
-from cyclamenlift.http.answer_parser import AnswerParser
 from cyclamenlift.http.limits import ClientLimits
 from cyclamenlift.http.request_parser import RequestParser
-from tests.http.builders import answers_in
-from tests.http.builders import build_border
+from cyclamenlift.http.response_parser import ResponseParser
+from tests.http.builders import build_server_harness
 from tests.http.builders import LIMITS
+from tests.http.builders import parse_responses
 from tests.http.builders import request
 
 STREAM = b''.join(
@@ -54,7 +54,7 @@
 
 @STEADY
 @given(CUTS)
-def test_requests_are_the_same(places):
+def test_parsed_requests_do_not_depend_on_splits(places):
     whole = parsed([STREAM])
     assert len(whole) == 6
     assert parsed(cut(STREAM, places)) == whole
@@ -62,31 +62,33 @@
 
 @STEADY
 @given(CUTS)
-def test_answer_of_the_target_is_the_same(places):
-    parser = AnswerParser(ClientLimits())
-    parser.expect_answer('GET')
+def test_parsed_response_does_not_depend_on_splits(places):
+    parser = ResponseParser(ClientLimits())
+    parser.expect_response('GET')
     for piece in cut(ANSWER, places):
         assert not parser.complete
         parser.feed(piece)
-    assert parser.complete and not parser.problem and not parser.stray
+    assert (
+        parser.complete and not parser.problem and not parser.has_trailing_data
+    )
     assert (parser.status, b''.join(parser.chunks)) == (200, b'abcde')
 
 
 @settings(STEADY, max_examples=25)
 @given(CUTS)
-def test_answers_on_the_wire_are_the_same(places):
-    border = build_border()
-    caller = border.caller()
+def test_sent_responses_do_not_depend_on_splits(places):
+    harness = build_server_harness()
+    caller = harness.caller()
     for piece in cut(STREAM, places):
         caller.send(piece)
     caller.until(lambda c: c.closed)
-    bodies = [a.body for a in answers_in(caller.received)]
+    bodies = [a.body for a in parse_responses(caller.received)]
     assert not caller.reset
     assert bodies == [
         b'path:/a?b=c',
         b'body:abcd',
         b'body:abcGET ',
-        # The answer to HEAD states a length and has no body.
+        # The response to HEAD declares a length but has no body.
         b'HTTP/1.1 ',
     ] or bodies[:3] == [b'path:/a?b=c', b'body:abcd', b'body:abcGET ']
     assert caller.received.endswith(b'path:/last')
--- a/tests/http/test_target_answers.py
+++ b/tests/http/test_target_answers.py
@@ -1,10 +1,10 @@
-"""Answers of a target that belong to another call, and old connections."""
+"""Responses of the target to another call, and keep-alive timeouts."""
 
 import pytest
 
-from cyclamenlift.http.answer_parser import AnswerParser
 from cyclamenlift.http.client import keep_alive_seconds
 from cyclamenlift.http.limits import ClientLimits
+from cyclamenlift.http.response_parser import ResponseParser
 
 LIMITS = ClientLimits(call_id_field='x-call', unsized_answers=True)
 
@@ -14,20 +14,20 @@
     return head.encode() + b'\r\n\r\n' + body
 
 
-def parser(name: str = 'mine') -> AnswerParser:
-    found = AnswerParser(LIMITS)
-    found.expect_answer('GET', name)
+def parser(name: str = 'mine') -> ResponseParser:
+    found = ResponseParser(LIMITS)
+    found.expect_response('GET', name)
     return found
 
 
-def test_an_answer_to_another_call_is_read_over():
+def test_response_to_another_call_is_skipped():
     found = parser()
     found.feed(answer('other', b'wrong') + answer('mine', b'right'))
     assert found.complete and not found.problem
     assert b''.join(found.chunks) == b'right'
 
 
-def test_it_is_read_over_however_it_is_cut():
+def test_skipping_does_not_depend_on_splits():
     data = answer('other', b'wrong') + answer('mine', b'right')
     for cut in range(1, len(data)):
         found = parser()
@@ -37,29 +37,29 @@
         assert b''.join(found.chunks) == b'right'
 
 
-def test_a_further_answer_after_ours_spoils_the_connection():
+def test_additional_response_is_trailing_data():
     found = parser()
     found.feed(answer('mine') + answer('mine'))
     assert found.complete
-    assert found.stray
+    assert found.has_trailing_data
 
 
-def test_an_answer_without_a_name_is_taken():
+def test_response_without_a_call_id_is_accepted():
     found = parser()
     found.feed(b'HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n')
     assert found.complete
 
 
-def test_one_of_another_call_that_ends_with_the_connection_is_refused():
+def test_unsized_response_to_another_call_is_rejected():
     found = parser()
     found.feed(b'HTTP/1.1 200 OK\r\nX-Call: other\r\n\r\nbytes')
     assert found.problem
-    assert not found.end_of_input()
+    assert not found.completes_at_eof()
 
 
 @pytest.mark.parametrize(
     ('value', 'seconds'),
     [('timeout=10', 10), ('max=5, timeout=3', 3), ('timeout=x', None)],
 )
-def test_a_target_states_how_long_it_keeps_a_connection(value, seconds):
+def test_keep_alive_timeout_is_parsed(value, seconds):
     assert keep_alive_seconds([('keep-alive', value)]) == seconds
--- a/tests/http/test_web.py
+++ b/tests/http/test_web.py
@@ -1,4 +1,4 @@
-"""Pages by circuits.web controllers behind the strict border."""
+"""circuits.web controllers behind the strict HTTP server."""
 
 import json
 
@@ -10,22 +10,22 @@
 from cyclamenlift.core.codes import ResultCode
 from cyclamenlift.core.problems import Problem
 from cyclamenlift.http.pages import Deferred
-from cyclamenlift.http.pages import form_of
-from cyclamenlift.http.pages import json_answer
-from cyclamenlift.http.pages import problem_answer
-from cyclamenlift.http.pages import query_of
-from cyclamenlift.http.pages import WebAnswer
-from cyclamenlift.http.web import MAX_PAGE_BODY
+from cyclamenlift.http.pages import json_response
+from cyclamenlift.http.pages import parse_form
+from cyclamenlift.http.pages import parse_query
+from cyclamenlift.http.pages import problem_response
+from cyclamenlift.http.pages import WebResponse
+from cyclamenlift.http.web import MAX_BODY_BYTES
 from cyclamenlift.http.web import WebServer
-from tests.http.builders import answers_in
 from tests.http.builders import Caller
 from tests.http.builders import Loop
 from tests.http.builders import LOOPBACK
+from tests.http.builders import parse_responses
 from tests.http.builders import request
 
 
 class Pages(BaseController):
-    """One page of each kind."""
+    """A controller with one page of each kind."""
 
     channel = '/'
 
@@ -39,11 +39,11 @@
 
     @expose('query')
     def query(self):
-        return json_answer(query_of(self.request))
+        return json_response(parse_query(self.request))
 
     @expose('form')
     def form(self):
-        return json_answer(form_of(self.request))
+        return json_response(parse_form(self.request))
 
     @expose('late')
     def late(self):
@@ -63,13 +63,13 @@
 
     @expose('problem')
     def problem(self):
-        return problem_answer(
+        return problem_response(
             Problem(ResultCode.NO_MAJORITY, retry_after_ms=1500)
         )
 
 
 class Site:
-    """A loop with pages in it."""
+    """A web server with the test pages on a loop."""
 
     def __init__(self):
         self.loop = Loop()
@@ -94,7 +94,7 @@
         ('GET /problem', [], b'', 503, '2005'),
         ('GET /nowhere', [], b'', 404, '4009'),
         ('GET /query/more', [], b'', 404, '4009'),
-        # Handlers of a controller that are no pages.
+        # Handlers of a controller that aren't exposed as pages.
         ('GET /inside', [], b'', 404, '4009'),
         ('GET /prepare_unregister_complete', [], b'', 404, '4009'),
         ('GET /', ['Host: x'], b'', 400, '4007'),
@@ -102,47 +102,47 @@
         ('POST /form', ['Origin: http://a'], b'', 200, '[]'),
     ],
 )
-def test_page_answers(line, fields, body, status, expected):
+def test_page_responses(line, fields, body, status, expected):
     site = Site()
     fields = [*fields, f'Content-Length: {len(body)}']
     if body:
         fields.append('Content-Type: application/x-www-form-urlencoded')
     caller = site.ask(request(f'{line} HTTP/1.1', *fields, body=body))
-    (answer,) = answers_in(caller.received)
+    (answer,) = parse_responses(caller.received)
     assert answer.status == status
     assert expected in answer.body.decode()
     assert b'secret' not in caller.received
     assert b'Traceback' not in caller.received
     again = site.ask(request('GET / HTTP/1.1'))
-    assert [a.status for a in answers_in(again.received)] == [200]
+    assert [a.status for a in parse_responses(again.received)] == [200]
 
 
-def test_pipelined_pages_come_in_order_also_when_one_is_late():
+def test_pipelined_pages_are_answered_in_order():
     site = Site()
     caller = site.ask(
         request('GET /late HTTP/1.1') + request('GET / HTTP/1.1')
     )
     assert caller.received == b''
-    site.pages.deferred.resolve(WebAnswer(b'late'))
-    site.pages.deferred.resolve(WebAnswer(b'twice'))
+    site.pages.deferred.resolve(WebResponse(b'late'))
+    site.pages.deferred.resolve(WebResponse(b'twice'))
     site.loop.settle(caller)
-    bodies = [answer.body for answer in answers_in(caller.received)]
+    bodies = [answer.body for answer in parse_responses(caller.received)]
     assert bodies == [b'late', b'plain']
 
 
-def test_redirect_names_the_place():
+def test_redirect_has_an_absolute_location():
     caller = Site().ask(request('GET /away HTTP/1.1'))
-    (answer,) = answers_in(caller.received)
+    (answer,) = parse_responses(caller.received)
     assert answer.status == 303
     assert b'Location: http://a/query' in answer.head
 
 
 @pytest.mark.parametrize('declared', [True, False])
-def test_body_over_the_limit_of_pages_is_refused(declared):
+def test_body_over_the_limit_of_pages_is_rejected(declared):
     if declared:
         pieces = [
             request(
-                'POST /form HTTP/1.1', f'Content-Length: {MAX_PAGE_BODY + 1}'
+                'POST /form HTTP/1.1', f'Content-Length: {MAX_BODY_BYTES + 1}'
             )
         ]
     else:
@@ -153,6 +153,6 @@
         ]
     caller = Site().ask(*pieces)
     caller.until(lambda c: c.closed)
-    (answer,) = answers_in(caller.received)
+    (answer,) = parse_responses(caller.received)
     assert answer.status == 413
     assert json.loads(answer.body)['run'] == 'no'
--- a/tests/ledger/test_tasks.py
+++ b/tests/ledger/test_tasks.py
@@ -105,15 +105,15 @@
 def test_refused_connection_is_retried_at_once_elsewhere():
     harness = ClaimClientHarness()
     harness.claim()
-    harness.network.lose(harness.asked(Request)[0], was_up=False)
+    harness.network.lose(harness.asked(Request)[0], was_established=False)
     harness.root.scheduler.run_due()
     assert len(harness.asked(Request)) == 2
 
 
-def lose_all(was_up):
+def lose_all(was_established):
     def step(harness):
         for address in CONTROL:
-            harness.network.lose(address, was_up)
+            harness.network.lose(address, was_established)
 
     return step
 
--- a/tools/mutants_quarantine.py
+++ b/tools/mutants_quarantine.py
@@ -67,8 +67,8 @@
     Mutant(
         'a broken connection counts as an end',
         'cyclamenlift/gate/termination.py',
-        'client.found_hooks.append(self.note_connected)',
-        'client.found_hooks.append(self.note_connection_refused)',
+        'client.probe_hooks.append(self.note_connected)',
+        'client.probe_hooks.append(self.note_connection_refused)',
         PATH_TESTS,
     ),
     Mutant(
