--- a/cyclamenlift/events/__init__.py
+++ b/cyclamenlift/events/__init__.py
@@ -1,4 +1,4 @@
-"""Event documents: publishing, history and their spread to daemons."""
+"""Event documents: publishing, history and distribution to daemons."""
 
 from cyclamenlift.events.adoption import Adoption
 from cyclamenlift.events.server import DocumentServer
--- a/cyclamenlift/events/adoption.py
+++ b/cyclamenlift/events/adoption.py
@@ -1,15 +1,16 @@
-"""Which document a daemon puts in force: pure decisions, no sockets.
-
-A running daemon only moves forward: every document that it is offered was
-committed, since control instances show none before. A starting daemon has
-nothing to compare with, so it waits for a version that a majority of
-control instances confirms. Without a majority it takes the highest that
-several others report, marked as unconfirmed.
-
-A majority read names a version; the document may come from anybody. So only
-small answers are asked of all control instances, and one copy of the
-document of one: five copies of 129 KB, 4,216 routes, took a link of
-2 Mbit/s for 2.6 s.
+"""Decides which document version a daemon adopts; performs no I/O.
+
+A running daemon only moves to higher versions. Every document that it is
+offered has been committed, because control instances never serve an
+uncommitted one. A starting daemon has no version to compare with, so it waits
+for one that a control instance has confirmed by a majority read. If no
+majority is available, it adopts the highest version that several sources
+report, marked as unconfirmed.
+
+A majority read confirms only the version number; the document itself may come
+from any source. All control instances are therefore asked for the version
+only, and just one of them for the document: five copies of 129 KB, 4,216
+routes, took a link of 2 Mbit/s for 2.6 s.
 """
 
 import dataclasses
@@ -37,12 +38,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Offer:
-    """A version that ``source`` reported, with its document if it sent it.
+    """A version reported by ``source``, with its document if included.
 
-    ``document`` holds packed canonical bytes, as an earlier release sends
-    them; ``changes`` lead to the version from one that is known here, or
-    from nothing. ``majority`` says that a control instance confirmed by a
-    majority read that no higher version was committed when it answered.
+    ``document`` holds compressed canonical bytes, as earlier releases send
+    them. ``changes`` lead to the version from a version that this daemon has,
+    or from an empty document. ``majority`` means that a control instance
+    confirmed by a majority read that no higher version was committed when it
+    answered.
     """
 
     source: str
@@ -53,7 +55,7 @@
 
     @property
     def is_whole(self) -> bool:
-        """Tell whether it brings a document that needs no other one."""
+        """Return whether the offer contains a self-contained document."""
         return bool(self.document) or self.starts_from_nothing
 
     @property
@@ -62,13 +64,13 @@
 
     @property
     def packed_bytes(self) -> int:
-        """How many bytes of a document came with it."""
+        """The compressed size of the document data in the offer."""
         return len(self.document) + sum(len(c.packed) for c in self.changes)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Step:
-    """The lines of a version, and the change that made them, if one did."""
+    """The lines of one version and the change that produced them, if any."""
 
     version: int
     lines: Lines
@@ -76,39 +78,39 @@
 
 
 class Adoption:
-    """The document in force on one daemon, and what others report."""
+    """The current document of a daemon and the versions others report."""
 
     def __init__(self) -> None:
         self.history = DocumentHistory()
         self.rules: EventRules | None = None
         self.confirmed = False
-        # The highest version that a majority read has named.
+        # The highest version that a majority read has confirmed.
         self.majority_version = 0
         self.heard: dict[str, Offer] = {}
 
     @property
     def version(self) -> int:
-        """The version in force, 0 for none."""
+        """The current version, 0 for none."""
         return self.history.version
 
     @property
     def running(self) -> bool:
-        """Tell whether this daemon may move forward by anybody's word."""
+        """Whether this daemon accepts newer versions from any source."""
         return self.confirmed or self.rules is not None
 
     def believes(self, version: int) -> bool:
-        """Tell whether a document of this version may come into force.
+        """Return whether a document of this version may be adopted.
 
-        What a daemon is offered was committed, so one that is not below
-        what a majority named is as good from anybody.
+        Every offered document was committed, so any source is acceptable for a
+        version that is not below the one confirmed by a majority read.
         """
         return self.running or 0 < self.majority_version <= version
 
     def consider(self, offer: Offer) -> Result[bool, Problem]:
-        """Weigh an offer; Success(True) when it came into force.
+        """Evaluate an offer; Success(True) means that it was adopted.
 
-        A document that does not parse is refused whole: a Failure, and
-        the old one stays.
+        A document that can't be parsed is rejected as a whole: the result is a
+        Failure and the current document stays in force.
         """
         if offer.majority:
             self.majority_version = max(self.majority_version, offer.version)
@@ -122,7 +124,7 @@
         return self.adopt(offer)
 
     def hear(self, offer: Offer) -> None:
-        """Remember the latest word of a source."""
+        """Record the latest offer of a source."""
         before = self.heard.get(offer.source)
         known = before is not None and before.version == offer.version
         if known and not offer.is_whole:
@@ -130,7 +132,7 @@
         self.heard[offer.source] = offer
 
     def adopt(self, offer: Offer) -> Result[bool, Problem]:
-        """Put the offered document in force, whole or not at all."""
+        """Adopt the offered document completely or not at all."""
         try:
             steps = self.steps_of(offer)
             if not steps or steps[-1].version != offer.version:
@@ -150,11 +152,11 @@
         return Success(True)
 
     def steps_of(self, offer: Offer) -> list[Step]:
-        """Return the versions from ours to the offered one.
+        """Return the versions between the current and the offered one.
 
-        They are none, or end before it, if the offer has no document or its
-        changes begin at a version that is not in force here. ValueError if
-        it can't be read.
+        The list is empty or ends early if the offer has no document or its
+        changes start from a version that isn't in force here. Raises
+        ValueError if the document can't be parsed.
         """
         if offer.document:
             data = unpack(offer.document, MAX_CANONICAL_BYTES)
@@ -175,11 +177,11 @@
         return steps
 
     def best_heard(self) -> Offer | None:
-        """Return the highest version that several others speak of.
+        """Return the highest reported version.
 
-        None while fewer than ``MIN_SOURCES`` reported a document: one
-        instance's word is never enough. The offer may lack its bytes, to
-        be fetched from its source.
+        Returns None while fewer than ``MIN_SOURCES`` sources have reported
+        one: a single source is not trusted. The offer may lack the document,
+        which then has to be fetched from its source.
         """
         offers = [o for o in self.heard.values() if o.version > self.version]
         if len(offers) < MIN_SOURCES:
@@ -187,7 +189,7 @@
         return max(offers, key=lambda o: (o.version, o.is_whole))
 
     def fall_back(self) -> Result[bool, Problem]:
-        """Take the highest version heard, unconfirmed, if its bytes came."""
+        """Adopt the highest reported version as unconfirmed, if complete."""
         best = self.best_heard()
         if self.running or best is None or not best.is_whole:
             return Success(False)
--- a/cyclamenlift/events/border.py
+++ b/cyclamenlift/events/border.py
@@ -1,4 +1,4 @@
-"""Border models of the operators' API."""
+"""Request models of the operator API."""
 
 from typing import Annotated
 
@@ -17,7 +17,7 @@
 
 
 class Publication(pydantic.BaseModel):
-    """A change that an operator sends: the document as YAML or JSON text."""
+    """A publish request: the document as YAML or JSON text."""
 
     model_config = pydantic.ConfigDict(extra='forbid', frozen=True)
 
@@ -28,7 +28,7 @@
 
 
 class StorageReplacement(pydantic.BaseModel):
-    """An order to count a new storage in place of a lost one."""
+    """A request to accept a new storage in place of a lost one."""
 
     model_config = pydantic.ConfigDict(extra='forbid', frozen=True)
 
@@ -39,7 +39,7 @@
 def read_border(
     kind: type[pydantic.BaseModel], body: bytes
 ) -> Result[pydantic.BaseModel, Problem]:
-    """Read a JSON body as ``kind``; the problem names the first field."""
+    """Parse a JSON body as ``kind``; report the first invalid field."""
     try:
         return Success(kind.model_validate_json(body))
     except pydantic.ValidationError as error:
--- a/cyclamenlift/events/carrying.py
+++ b/cyclamenlift/events/carrying.py
@@ -1,4 +1,4 @@
-"""Orders on their way to the leader."""
+"""Forwards orders to the leader."""
 
 from collections.abc import Callable
 
@@ -21,20 +21,22 @@
 from cyclamenlift.wire.tasks import Link
 from cyclamenlift.wire.tasks import PeerNetwork
 
-# Orders on their way from one instance: with those of the largest size they
-# take 2 MB. Operators have eight under way.
+# Limit of orders that one instance forwards at a time. At the largest size
+# they take 2 MB of memory. Operators have eight orders in flight.
 MOST_CARRIED = 64
-# Of so many questions without a hint one goes to a control instance.
+# Without a leader hint, one in this many requests goes to a control instance,
+# the others to a relaying daemon.
 RELAY_EACH = 2
-# What decides an order. A code of a later release decides nothing here.
+# Result codes that decide an order. Unknown codes of a later release are not
+# final.
 FINAL_CODES = frozenset(ResultCode) - set(OPEN_CODES)
 LOG = structlog.get_logger('orders')
 
 
 class OrderCarrier(LeaderErrands):
-    """Carries orders to the leader, for a daemon or another instance.
+    """Forwards orders to the leader from a daemon or a control instance.
 
-    An order that comes to the leader twice is carried out once: its change
+    An order that reaches the leader twice is executed once, because its change
     id is in the log.
     """
 
@@ -51,7 +53,7 @@
         super().__init__(root, network, finder, channel='orders')
         self.instance = instance
         self.own_address = own_address
-        # Returns a daemon that may reach a leader, None for none.
+        # Returns a daemon that may be able to reach a leader, or None.
         self.find_relay: Callable[[], Address | None] = lambda: None
         network.subscribe(OrderAnswer, self.on_answer)
 
@@ -64,10 +66,10 @@
         done: OrderDone,
         was_taken: bool = False,
     ) -> None:
-        """Ask for an outcome until ``give_up_at``; ``done`` runs once.
+        """Forward an order until ``give_up_at``; ``done`` is called once.
 
-        With too many under way an order is refused at once. ``was_taken``
-        says that it may be in the log already.
+        An order above the limit of concurrent ones is rejected at once.
+        ``was_taken`` means that the order may already be in the log.
         """
         if len(self.errands) >= MOST_CARRIED:
             LOG.warning('order_not_carried', order=order.change.shown_id)
@@ -84,7 +86,7 @@
         self.begin(request, give_up_at, give_up_at, done, was_taken)
 
     def note_leader(self, address: Address) -> None:
-        """Ask the leader, now that it is known, for all that waits."""
+        """Record the leader and send it all pending orders."""
         self.finder.note_leader(address)
         for errand in list(self.errands.values()):
             errand.silent.discard(address)
@@ -92,7 +94,7 @@
             self.ask(errand)
 
     def take_back(self) -> list[Errand]:
-        """Ask nobody any more; return what was under way."""
+        """Stop forwarding and return all pending orders."""
         errands = list(self.errands.values())
         self.errands.clear()
         for errand in errands:
@@ -101,10 +103,11 @@
         return errands
 
     def next_place(self, errand: Errand) -> Address | None:
-        """Return whom to ask; at each other time a daemon, if none leads.
+        """Return the next address to ask.
 
-        Control instances may be cut off from each other and be reached by
-        daemons all the same.
+        While no leader is known, every other request goes through a daemon:
+        control instances that can't reach each other may still be reachable
+        from daemons.
         """
         errand.message.relayed = False
         relay = None
@@ -116,7 +119,11 @@
         return relay
 
     def ask_next(self, errand: Errand) -> None:
-        """Give up at once when all were asked and none can be reached."""
+        """Ask the next address; give up early if none is reachable.
+
+        That is the case when every control instance has been asked and no
+        connection to one is up.
+        """
         control = self.finder.control
         reached = any(self.network.is_up(address) for address in control)
         if reached or errand.hops < len(control):
@@ -129,7 +136,7 @@
         self.conclude(errand, PublishReport(code, self.instance))
 
     def conclude(self, errand: Errand, report: PublishReport) -> None:
-        """Hand over an outcome, and tell how it was got."""
+        """Report the outcome and log how it was obtained."""
         LOG.info(
             'order_carried',
             order=errand.message.change_id[:SHOWN_ID],
@@ -156,7 +163,7 @@
             self.on_lost_leader(errand, link)
 
     def hinted(self, answer: OrderAnswer) -> Address | None:
-        """Return where the leader is by an answer, if not here."""
+        """Return the leader's address from an answer, unless it is our own."""
         try:
             address = Address.parse(answer.leader_address or '')
         except ValueError:
@@ -165,14 +172,14 @@
 
 
 def open_code(maybe_taken: bool) -> ResultCode:
-    """Return what is answered of an order that got no outcome."""
+    """Return the result code of an order without an outcome."""
     if maybe_taken:
         return ResultCode.CHANGE_UNKNOWN
     return ResultCode.NOT_LEADER
 
 
 def order_of(request: OrderRequest) -> Order:
-    """Return the order of a message."""
+    """Return the order that a request contains."""
     change = Change(
         change_id=request.change_id or '',
         base_version=request.base_version or 0,
@@ -184,7 +191,7 @@
 def answer_of(
     request: OrderRequest, report: PublishReport, leader: Address | None = None
 ) -> OrderAnswer:
-    """Return the message that tells what became of an order."""
+    """Return the answer message for the outcome of an order."""
     return OrderAnswer(
         request_id=request.request_id,
         code=int(report.code),
--- a/cyclamenlift/events/changes.py
+++ b/cyclamenlift/events/changes.py
@@ -1,13 +1,13 @@
-r"""What changed between two documents, in few bytes.
+r"""Compact diffs between two documents.
 
-A version that changes one weight of a document of 1,416 routes has 45 KB
-when it travels whole, and took a daemon's link of 2 Mbit/s for 0.18 s, at
-each daemon and for each copy that it handed on. Its change has 0.22 KB, at
-4,216 routes as well (packed, routes as operators send them).
+A version that changes one weight of a document of 1,416 routes has 45 KB when
+it is sent in full, and took a daemon's link of 2 Mbit/s for 0.18 s, at each
+daemon and for each copy that it passed on. Its diff has 0.22 KB, at 4,216
+routes as well (compressed, routes as operators send them).
 
-The text of a change is packed. Its first line is a digest of the lines that
-it makes; each further one copies lines of the base (``=3 40``: forty from
-the fourth on) or holds a new one behind a ``+``:
+The text of a diff is compressed. Its first line is a digest of the resulting
+lines; each further line either copies lines of the base (``=3 40``: forty
+lines from index three on) or contains a new line after a ``+``:
 
 >>> unpack(make_change((b'{}', b'a'), (b'{}', b'b')), 99).split(b'\n')[1:]
 [b'=0 1', b'+b']
@@ -22,20 +22,21 @@
 from cyclamenlift.models.document import MAX_CANONICAL_BYTES
 from cyclamenlift.models.lines import Lines
 
-# Enough of a SHA-256 that no two documents of one cluster share it.
+# A prefix of the SHA-256 that is long enough to make collisions between the
+# documents of a cluster practically impossible.
 DIGEST_DIGITS = 32
 COPY = b'='
 NEW = b'+'
 
 
 def digest_of_lines(lines: Lines) -> bytes:
-    """Return a digest that tells two documents apart."""
+    """Return a digest that identifies a document."""
     digest = hashlib.sha256(b'\n'.join(lines)).hexdigest()
     return digest[:DIGEST_DIGITS].encode()
 
 
 def make_change(base: Lines, lines: Lines) -> bytes:
-    """Return what makes ``lines`` of ``base``; all of it if that is ()."""
+    """Return the diff that turns ``base``, which may be (), into ``lines``."""
     places = {line: place for place, line in enumerate(base)}
     parts = [digest_of_lines(lines)]
     start, count = 0, 0
@@ -54,9 +55,9 @@
 
 
 def apply_change(base: Lines, packed: bytes) -> Lines:
-    """Return the lines that a change makes of ``base``.
+    """Apply a diff to ``base`` and return the resulting lines.
 
-    ValueError if it can't be read, or was made from another base.
+    Raises ValueError if the diff is malformed or was made from another base.
     """
     digest, *parts = unpack(packed, MAX_CANONICAL_BYTES).split(b'\n')
     lines: list[bytes] = []
@@ -66,16 +67,16 @@
         elif part[:1] == COPY:
             lines.extend(copied(base, part[1:]))
         else:
-            raise ValueError('a change with an unknown line')
+            raise ValueError('the change contains an unknown instruction')
     result = tuple(lines)
     if digest_of_lines(result) != digest:
-        raise ValueError('a change that was made from another document')
+        raise ValueError('the change was made from another document')
     return result
 
 
 def copied(base: Lines, words: bytes) -> Lines:
-    """Return the lines of ``base`` that one line of a change copies."""
+    """Return the lines of ``base`` that a copy instruction selects."""
     start, count = (int(word) for word in words.split(b' '))
     if start < 0 or count < 1 or start + count > len(base):
-        raise ValueError('a change copies lines that are not there')
+        raise ValueError('the change copies lines that do not exist')
     return base[start : start + count]
--- a/cyclamenlift/events/commands.py
+++ b/cyclamenlift/events/commands.py
@@ -1,4 +1,4 @@
-"""What operators may change. Console and command line share this path."""
+"""Operator commands, shared by the console and the command line."""
 
 from collections.abc import Callable
 import dataclasses
@@ -25,17 +25,17 @@
 from cyclamenlift.wire.gen.protocol.ttypes import Command
 from cyclamenlift.wire.gen.protocol.ttypes import PublishCommand
 
-# Characters of a change's id in log lines.
+# Number of characters of a change id in log lines.
 SHOWN_ID = 12
-# The most that is told of an error that nobody expected.
+# Maximum length of the detail reported for an unexpected error.
 MOST_DETAIL = 200
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Change:
-    """What identifies a change beside its document.
+    """The identity of a change, without its document.
 
-    ``chosen_version`` 0 lets the log give the next number.
+    ``chosen_version`` 0 assigns the next version number.
     """
 
     change_id: str
@@ -45,7 +45,7 @@
 
     @property
     def shown_id(self) -> str:
-        """The beginning of the id, for log lines."""
+        """The prefix of the id that log lines show."""
         return self.change_id[:SHOWN_ID]
 
 
@@ -54,11 +54,11 @@
     publication: Publication,
     done: Callable[[PublishReport], None],
 ) -> None:
-    """Publish a document; ``done`` gets the report, once.
+    """Publish a document; ``done`` is called once with the report.
 
-    The document is validated before it is proposed. A proposal that failed
-    may still take effect unless the failure is NOT_LEADER, so its report is
-    CHANGE_UNKNOWN: the operator sends the same change id again.
+    The document is validated before it is proposed. A failed proposal may
+    still take effect unless the failure is NOT_LEADER, so it is reported as
+    CHANGE_UNKNOWN and the operator retries with the same change id.
     """
     parsed = document_from_text(publication.document)
     if isinstance(parsed, Failure):
@@ -82,10 +82,12 @@
     change: Change,
     done: Callable[[PublishReport], None],
 ) -> None:
-    """Publish a document that was validated; see ``publish``."""
+    """Publish a validated document; see ``publish``."""
     document = document_to_bytes(checked)
     if len(document) > MAX_CANONICAL_BYTES:
-        problem = Problem(ResultCode.DOCUMENT_INVALID, 'the document is large')
+        problem = Problem(
+            ResultCode.DOCUMENT_INVALID, 'the document is too large'
+        )
         done(invalid_report(context, [problem]))
         return
     if not context.leads():
@@ -108,7 +110,7 @@
 def publish_report(
     context: ControlContext, result: Result[bytes, Problem]
 ) -> PublishReport:
-    """Return what the log answered to a change."""
+    """Return the report for the result of a proposal."""
     if isinstance(result, Failure):
         if result.failure().code == ResultCode.NOT_LEADER:
             return not_leader_report(context)
@@ -125,7 +127,7 @@
 def outcome_report(
     context: ControlContext, outcome: PublishOutcome
 ) -> PublishReport:
-    """Return the report of what the log answered."""
+    """Return the report for an outcome from the log."""
     return PublishReport(
         ResultCode(outcome.code),
         context.instance,
@@ -138,7 +140,7 @@
 def invalid_report(
     context: ControlContext, problems: list[Problem]
 ) -> PublishReport:
-    """Return every error of a document; nothing was changed."""
+    """Return a report of all errors of a rejected document."""
     fields = tuple(FieldProblem(p.where, p.detail) for p in problems)
     return PublishReport(
         ResultCode.DOCUMENT_INVALID,
@@ -150,7 +152,7 @@
 
 
 def failed_report(context: ControlContext, error: Exception) -> PublishReport:
-    """Return the refusal of a change at which our own code failed."""
+    """Return the rejection of a change that raised an internal error."""
     detail = brief(f'{type(error).__name__}: {error}', MOST_DETAIL)
     problem = Problem(ResultCode.DOCUMENT_INVALID, detail)
     return invalid_report(context, [problem])
@@ -170,7 +172,7 @@
     order: StorageReplacement,
     done: Callable[[StorageReport], None],
 ) -> None:
-    """Let a new storage count in place of the one that was lost."""
+    """Accept a new storage in place of a lost one."""
     if not context.leads():
         report = StorageReport(
             ResultCode.NOT_LEADER,
--- a/cyclamenlift/events/context.py
+++ b/cyclamenlift/events/context.py
@@ -1,4 +1,4 @@
-"""What the commands and queries of a control instance work on."""
+"""The context that operator commands and queries run in."""
 
 import dataclasses
 
@@ -9,7 +9,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ControlContext:
-    """The parts of one control instance."""
+    """The components of one control instance."""
 
     instance: str
     data_centre: str
@@ -18,9 +18,9 @@
     ledger: Ledger
 
     def leads(self) -> bool:
-        """Tell whether this instance believes that it leads."""
+        """Return whether this instance considers itself the leader."""
         return self.replica.leader == self.instance
 
     def leader_hint(self) -> str:
-        """Return the name of another instance that leads, or nothing."""
+        """Return the name of the leader if it is another instance."""
         return '' if self.leads() else self.replica.leader
--- a/cyclamenlift/events/desk.py
+++ b/cyclamenlift/events/desk.py
@@ -1,4 +1,4 @@
-"""The desk of a control instance: orders from operators and from others."""
+"""Processes orders on control instances, from operators and peers."""
 
 from collections.abc import Callable
 
@@ -32,10 +32,11 @@
 
 
 class OutcomeWait:
-    """Waits for what becomes of an order that this instance carries out.
+    """Waits for the outcome of an order that this instance executes.
 
-    If it stops to lead meanwhile, the order is carried to the next leader.
-    At ``give_up_at`` its operator hears that the outcome is not known.
+    If the instance loses leadership meanwhile, the order is forwarded to the
+    next leader. At ``give_up_at`` the operator is told that the outcome is
+    unknown.
     """
 
     def __init__(
@@ -55,7 +56,7 @@
         self.timer = carrier.loop.scheduler.at(give_up_at, self.give_up)
 
     def take(self, report: PublishReport) -> None:
-        """Hand over an outcome, or have the order carried."""
+        """Return a final outcome, or forward an undecided order."""
         if self.over:
             return
         self.over = True
@@ -77,11 +78,12 @@
 
 
 class OrderDesk:
-    """Carries orders out while this instance leads, and to who leads else.
+    """Executes orders while this instance leads, else forwards them.
 
-    What the log holds is final, so an order whose outcome is in our own copy
-    gets it at once, whoever leads. An order that comes again while it is
-    under way waits for the same outcome and costs nothing.
+    Committed log entries are final, so an order whose outcome is in the local
+    store is answered from there, whichever instance leads. An order that is
+    repeated while it is in progress waits for the same outcome and is not
+    proposed again.
     """
 
     def __init__(
@@ -92,7 +94,7 @@
     ):
         self.context = context
         self.carrier = carrier
-        # Who waits for an order that is under way here, by its change id.
+        # Callbacks that wait for orders in progress here, by change id.
         self.under_way: dict[str, list[OrderDone]] = {}
         network.subscribe(OrderRequest, self.on_request)
         context.replica.leader_hooks.append(self.on_leader)
@@ -101,32 +103,32 @@
 
     @property
     def busy(self) -> bool:
-        """Whether an order has no answer yet."""
+        """Whether any order is still unanswered."""
         return bool(self.under_way or self.carrier.errands)
 
     def takes(self, body_length: int | None) -> bool:
-        """Tell whether an order of this size is taken."""
+        """Return whether an order body of this length is accepted."""
         if self.context.leads():
             return True
         return body_length is not None and body_length <= MOST_DESK_BYTES
 
     def known(self, change: Change) -> PublishReport | None:
-        """Return the outcome of a change that is in our copy of the log."""
+        """Return the outcome of a change if the local store has it."""
         record = self.context.store.changes.get(change.change_id)
         return outcome_report(self.context, record.outcome) if record else None
 
     def place(self) -> Address | None:
-        """Return where the leader is, None while there is none."""
+        """Return the leader's address, None if there is no leader."""
         return self.context.replica.address_of(self.context.leader_hint())
 
     def elsewhere(self) -> Address | None:
-        """Return a daemon that is alive: this instance may be cut off."""
+        """Return a live daemon, since this instance may be partitioned."""
         return self.carrier.find_relay()
 
     # -- commands ---------------------------------------------------------
 
     def take(self, order: Order, remote: Address, done: OrderDone) -> None:
-        """See an order of an operator through."""
+        """Process an order from an operator."""
         log_taken(order, remote, self.context.leads())
         give_up_at = self.carrier.now() + PATIENCE_SECONDS
         self.see_through(order, give_up_at, done)
@@ -138,9 +140,9 @@
         done: OrderDone,
         was_taken: bool = False,
     ) -> None:
-        """Answer from the log, carry the order out, or have it carried.
+        """Answer from the store, execute the order or forward it.
 
-        ``was_taken`` says that it may be in the log already.
+        ``was_taken`` means that the order may already be in the log.
         """
         known = self.known(order.change)
         if known is not None:
@@ -154,7 +156,7 @@
             self.carrier.carry(order, give_up_at, done, was_taken)
 
     def carry_out(self, order: Order, done: OrderDone) -> None:
-        """Carry an order out as the leader, once for all who wait."""
+        """Execute an order as the leader, once for all callbacks."""
         change_id = order.change.change_id
         waiting = self.under_way.get(change_id)
         if waiting is not None:
@@ -165,8 +167,8 @@
             kind = ORDER_KINDS.get(order.kind)
             kind(self.context, order, lambda r: self.finish(change_id, r))
         except Exception as error:
-            # A body that is read may hold what nobody expected. That must
-            # not cost the connection, which brings other things as well.
+            # Parsing the body may raise any error. It must not close the
+            # connection, which carries other messages as well.
             LOG.exception('order_failed', order=order.change.shown_id)
             self.finish(change_id, failed_report(self.context, error))
 
@@ -175,7 +177,7 @@
             done(report)
 
     def read(self, done: Callable[[DocumentReport], None]) -> bool:
-        """Report the newest document, if this instance leads."""
+        """Report the current document if this instance leads."""
         if not self.context.leads():
             return False
         show(self.context, 0, done)
@@ -184,7 +186,7 @@
     # -- messages ---------------------------------------------------------
 
     def on_request(self, link: Link, request: OrderRequest) -> None:
-        """Answer another instance: with an outcome, or who leads."""
+        """Answer another instance with the outcome or the leader."""
         order = order_of(request)
 
         def reply(report: PublishReport) -> None:
@@ -199,7 +201,7 @@
             reply(not_leader_report(self.context))
 
     def on_leader(self, leader: str) -> None:
-        """Go on with what waited for a leader."""
+        """Resume the orders that were waiting for a leader."""
         if leader == self.context.instance:
             for errand in self.carrier.take_back():
                 self.see_through(
--- a/cyclamenlift/events/door.py
+++ b/cyclamenlift/events/door.py
@@ -1,4 +1,4 @@
-"""The door of a daemon: orders that it carries to the leader."""
+"""Accepts orders on daemons and forwards them to the leader."""
 
 from cyclamenlift.core.codes import ResultCode
 from cyclamenlift.core.streams import Address
@@ -14,35 +14,36 @@
 from cyclamenlift.wire.gen.protocol.ttypes import OrderRequest
 from cyclamenlift.wire.tasks import Link
 
-# How long a daemon tries for a control instance, in seconds.
+# How long a daemon tries to forward a control instance's order, in seconds.
 RELAY_SECONDS = 0.4
 
 
 class OrderDoor:
-    """Takes orders on a daemon, and carries all of them."""
+    """Accepts orders on a daemon and forwards all of them."""
 
     def __init__(self, carrier: OrderCarrier):
         self.carrier = carrier
         carrier.network.subscribe(OrderRequest, self.on_request)
 
     def take(self, order: Order, remote: Address, done: OrderDone) -> None:
-        """See an order through."""
+        """Process an order from an operator."""
         log_taken(order, remote, leads=False)
         give_up_at = self.carrier.now() + PATIENCE_SECONDS
         self.carrier.carry(order, give_up_at, done)
 
     def takes(self, body_length: int | None) -> bool:
-        """Tell whether an order of this size is taken."""
+        """Return whether an order body of this length is accepted."""
         return body_length is not None and body_length <= MOST_CARRIED_BYTES
 
     def read(self, _done) -> bool:
-        """Leave reads to control instances: they hold the documents."""
+        """Return False: only control instances serve documents."""
         return False
 
     def on_request(self, link: Link, request: OrderRequest) -> None:
-        """Carry an order for a control instance that reaches no leader.
+        """Forward an order for a control instance that reaches no leader.
 
-        Others take this daemon for control, and hear that it is not.
+        Any other sender has mistaken this daemon for a control instance and is
+        told that it doesn't lead.
         """
 
         def reply(report: PublishReport) -> None:
@@ -56,10 +57,10 @@
             reply(PublishReport(code, self.carrier.instance))
 
     def elsewhere(self) -> Address | None:
-        """Return nobody: callers have other daemons to go to."""
+        """Return None: callers know other daemons to retry at."""
         return None
 
     def place(self) -> Address | None:
-        """Return the leader, else an instance that is up."""
+        """Return the leader, or a control instance that is connected."""
         network = self.carrier.network
         return self.carrier.finder.choose(None, network.is_up)
--- a/cyclamenlift/events/giving.py
+++ b/cyclamenlift/events/giving.py
@@ -1,10 +1,9 @@
-"""Answers to those who ask for a document, and when to send them on.
+"""Answers to document requests and a limit on outgoing documents.
 
-The load that the bound answers: on links of 2 Mbit/s a change of 22 KB takes
-0.09 s for each who is given it, and all who heard of it from one daemon ask
-that one. Without a bound copies waited for up to 2 s in the link of one
-daemon, in front of its calls, while other links and those of control
-instances were idle.
+On links of 2 Mbit/s a change of 22 KB takes 0.09 s for each recipient, and all
+daemons that learn of it from one daemon ask that one. Without a limit, copies
+queued for up to 2 s on the link of one daemon, ahead of its calls, while other
+links and those of control instances were idle.
 """
 
 import structlog
@@ -15,22 +14,23 @@
 from cyclamenlift.wire.gen.protocol.ttypes import DocumentRequest
 from cyclamenlift.wire.tasks import Link
 
-# How long documents may occupy a link before others are sent elsewhere, in
-# seconds: an eighth of the 2 s in which a change has to be in force.
+# How long queued documents may occupy a link before further requests are
+# redirected, in seconds: an eighth of the 2 s in which a change has to be in
+# force.
 MOST_OCCUPIED_SECONDS = 0.25
 LOG = structlog.get_logger('events')
 
 
 class LinkShare:
-    """Bounds the documents that wait in the link of one daemon."""
+    """Limits the documents queued on the link of one daemon."""
 
     def __init__(self) -> None:
-        # Bytes in a second; 0 where it is not known and nothing is bounded.
+        # Bytes per second; 0 if unknown, which disables the limit.
         self.link_rate = 0.0
         self.free_at = 0.0
 
     def take(self, size: int, now: float) -> bool:
-        """Occupy the link with ``size`` bytes, if it is free soon."""
+        """Reserve link time for ``size`` bytes, unless too much is queued."""
         if not self.link_rate:
             return True
         begins_at = max(now, self.free_at)
@@ -41,7 +41,7 @@
 
 
 def lacks(history: DocumentHistory, request: DocumentRequest) -> bool:
-    """Tell whether the sender wants a document that it does not have."""
+    """Return whether the sender needs a newer document."""
     if request.without_document:
         return False
     return history.version > (request.known_version or 0)
@@ -50,7 +50,7 @@
 def bare_answer(
     version: int, request: DocumentRequest, committed: bool
 ) -> DocumentAnswer:
-    """Return an answer that only names the version."""
+    """Return an answer that contains only the version."""
     return DocumentAnswer(
         request_id=request.request_id or 0,
         version=version,
@@ -62,14 +62,14 @@
 
 
 def given_bytes(answer: DocumentAnswer) -> int:
-    """Return how many bytes of a document an answer holds."""
+    """Return the size of the document data in an answer."""
     return len(answer.packed_document) + packed_size(answer.changes)
 
 
 def log_given(
     link: Link, request: DocumentRequest, answer: DocumentAnswer
 ) -> None:
-    """Tell that a document went out: to whom, how large, behind what."""
+    """Log that a document was sent, or not sent to save the link."""
     size = given_bytes(answer)
     if not size and not answer.busy:
         return
--- a/cyclamenlift/events/history.py
+++ b/cyclamenlift/events/history.py
@@ -1,4 +1,4 @@
-"""The newest document of a process and the steps that led to it."""
+"""The newest document of a process and the changes that led to it."""
 
 import collections
 
@@ -6,25 +6,27 @@
 from cyclamenlift.models.lines import Lines
 from cyclamenlift.wire.gen.protocol.ttypes import DocumentChange
 
-# Who is further behind gets the whole document. Changes come 0.3 s apart in
-# an ordinary storm, so these are nearly 5 s of it: ten pulls that failed.
+# Requesters that are further behind get the full document. Changes come 0.3 s
+# apart in an ordinary burst, so these cover nearly 5 s of it: ten failed
+# pulls.
 CHANGES_KEPT = 16
-# A large document packed; the steps are kept in memory by every daemon.
+# The compressed size of a large document. Every daemon keeps the changes in
+# memory.
 CHANGE_BYTES_KEPT = 64 * 1024
 
 
 class DocumentHistory:
-    """Gives anybody what he lacks: the steps since his version, or all."""
+    """Provides the changes since a version, or the full document."""
 
     def __init__(self) -> None:
         self.version = 0
         self.lines: Lines = ()
         self.changes: collections.deque[DocumentChange] = collections.deque()
-        # The whole document as one change, made when somebody asks for it.
+        # The full document as one change, built on first use.
         self.packed_whole = b''
 
     def put(self, version: int, lines: Lines, packed: bytes = b'') -> None:
-        """Take a newer version; ``packed`` made it from the one before."""
+        """Store a newer version; ``packed`` is the diff that made it."""
         if self.version:
             packed = packed or make_change(self.lines, lines)
             change = DocumentChange(self.version, version, packed)
@@ -42,7 +44,7 @@
             size -= len(self.changes.popleft().packed)
 
     def since(self, known: int) -> list[DocumentChange]:
-        """Return what leads from version ``known`` to the newest one."""
+        """Return the changes from version ``known`` to the newest one."""
         if known >= self.version:
             return []
         steps = list(self.changes)
@@ -52,16 +54,16 @@
         return [self.whole()]
 
     def last(self) -> list[DocumentChange]:
-        """Return the newest step, nothing if there is none."""
+        """Return the newest change, empty if there is none."""
         return list(self.changes)[-1:]
 
     def whole(self) -> DocumentChange:
-        """Return the whole document as a change of nothing."""
+        """Return the full document as a change of the empty one."""
         if not self.packed_whole:
             self.packed_whole = make_change((), self.lines)
         return DocumentChange(0, self.version, self.packed_whole)
 
 
 def packed_size(changes: list[DocumentChange]) -> int:
-    """Return the bytes that changes take when they travel."""
+    """Return the compressed size of a list of changes."""
     return sum(len(change.packed) for change in changes)
--- a/cyclamenlift/events/lagging.py
+++ b/cyclamenlift/events/lagging.py
@@ -1,22 +1,22 @@
-"""Whether a daemon knows that its document is not the newest.
+"""Detects that a daemon's document is out of date.
 
-A daemon that was told of a newer version and does not have it yet can not
-say that a route does not exist: that answer is final for its caller, while
-"come back soon" is served a moment later.
+A daemon that knows of a newer version but doesn't have it yet can't answer
+that a route does not exist: that answer is final for the caller, while a
+request to retry is served a moment later.
 """
 
-# How long a member's word of a newer version counts, in seconds. Members
-# say their version with each packet, several times a second; who is not told
-# again for so long may have heard of it from one that is gone.
+# How long a report of a newer version is valid, in seconds. Members include
+# their version in every packet, several times a second. If a report isn't
+# repeated for this long, the member that had the version may be gone.
 WORD_COUNTS_SECONDS = 5.0
-# How long a daemon that has just started waits to catch up before it takes
-# callers all the same, in seconds: the time after which it would do without
-# a majority, too.
+# How long a starting daemon waits for the newest document before it serves
+# callers anyway, in seconds. Equals the time after which it stops waiting for
+# a majority.
 CATCH_UP_SECONDS = 3.0
 
 
 class Lag:
-    """The newest version that was heard of, against the one in force."""
+    """Compares the newest reported version with the current one."""
 
     def __init__(self) -> None:
         self.version = 0
@@ -25,19 +25,19 @@
         self.caught_up = False
 
     def hear(self, version: int, now: float) -> None:
-        """Note that somebody has this version."""
+        """Record that a member has this version."""
         if version >= self.version:
             self.version = version
             self.word_counts_until = now + WORD_COUNTS_SECONDS
 
     def is_behind(self, in_force: int, now: float) -> bool:
-        """Tell whether a newer version than the one in force is known."""
+        """Return whether a version newer than the current one is known."""
         return self.version > in_force and now < self.word_counts_until
 
     def has_caught_up(self, in_force: int, now: float) -> bool:
-        """Tell whether the first document here was, once, the newest known.
+        """Return whether the daemon has once had the newest known version.
 
-        A daemon that has caught up once takes callers from then on.
+        A daemon that has caught up once serves callers from then on.
         """
         if self.caught_up or not in_force:
             return self.caught_up
--- a/cyclamenlift/events/orders.py
+++ b/cyclamenlift/events/orders.py
@@ -1,4 +1,4 @@
-"""Orders of operators: changes that any instance takes and sees through."""
+"""Operators' change orders, which any instance accepts and processes."""
 
 from collections.abc import Callable
 import dataclasses
@@ -15,24 +15,25 @@
 from cyclamenlift.events.reports import DocumentReport
 from cyclamenlift.events.reports import PublishReport
 
-# How long an instance tries before it says that it got no outcome, in
-# seconds: callers wait for a second.
+# How long an instance tries to get an outcome before it reports that there is
+# none, in seconds. Callers wait for one second.
 PATIENCE_SECONDS = 0.7
-# Larger orders go from their callers to the leader: they would fill the
-# links of daemons and, between control instances, hold up the log.
+# Larger orders are not forwarded; their callers send them to the leader. They
+# would saturate the links of daemons and, between control instances, delay the
+# replicated log.
 MOST_CARRIED_BYTES = 32 * 1024
 MOST_DESK_BYTES = 256 * 1024
-# Codes that leave open what becomes of an order.
+# Result codes that leave the outcome of an order undecided.
 OPEN_CODES = (ResultCode.NOT_LEADER, ResultCode.CHANGE_UNKNOWN)
 LOG = structlog.get_logger('orders')
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Order:
-    """A change as its operator wrote it.
+    """A change as the operator submitted it.
 
-    ``kind`` says how the leader reads the body. The change id is made of
-    all the rest, so it stands for one order alone.
+    ``kind`` selects how the leader parses the body. The change id is a hash of
+    all other fields, so it identifies exactly one order.
     """
 
     kind: str
@@ -43,7 +44,10 @@
 def order_from(
     kind: str, base_version: int, chosen_version: int, body: bytes
 ) -> Order:
-    """Return an order; its change id stays the same when it comes again."""
+    """Return an order whose change id is derived from its content.
+
+    An order that is submitted again gets the same change id.
+    """
     digest = hashlib.sha256(f'{kind}\n{base_version}\n'.encode() + body)
     change = Change(
         change_id=digest.hexdigest(),
@@ -55,35 +59,35 @@
 
 OrderDone = Callable[[PublishReport], None]
 OrderKind = Callable[[ControlContext, Order, OrderDone], None]
-# How the leader carries out an order, by its kind.
+# The function with which the leader executes an order, by kind.
 ORDER_KINDS: Registry[OrderKind] = Registry('kind of order')
 
 
 class OrderTaker(Protocol):
-    """What serves operators, on a control instance or on a daemon."""
+    """Accepts operators' orders, on a control instance or a daemon."""
 
     def take(self, order: Order, remote: Address, done: OrderDone) -> None:
-        """See an order through; ``done`` gets the outcome, once.
+        """Process an order; ``done`` is called once with the outcome.
 
-        NOT_LEADER says that it was certainly not carried out, and
+        NOT_LEADER means that the order was certainly not executed,
         CHANGE_UNKNOWN that it may have been.
         """
 
     def takes(self, body_length: int | None) -> bool:
-        """Tell whether an order of this size is taken (None: unknown)."""
+        """Return whether a body of this length is accepted (None: unknown)."""
 
     def read(self, done: Callable[[DocumentReport], None]) -> bool:
-        """Report the newest document; False if only others can."""
+        """Report the current document; False if this instance can't."""
 
     def place(self) -> Address | None:
-        """Return where the leader is or, unless known, who may know."""
+        """Return the leader's address, or one that may know the leader."""
 
     def elsewhere(self) -> Address | None:
-        """Return who may take an order that found no leader from here."""
+        """Return an instance to retry at if no leader is reachable here."""
 
 
 def log_taken(order: Order, remote: Address, leads: bool) -> None:
-    """Tell that an order arrived here from its operator."""
+    """Log that an operator's order was received."""
     LOG.info(
         'order_taken',
         order=order.change.shown_id,
@@ -96,12 +100,12 @@
 
 
 def log_sent_on(path: str, place: Address | None) -> None:
-    """Tell where a caller was sent, or that there was no place."""
+    """Log where a caller was redirected, if anywhere."""
     LOG.info('caller_sent_on', path=path[:100], place=str(place or ''))
 
 
 def log_answered(order: Order, report: PublishReport) -> None:
-    """Tell what the operator of an order is answered."""
+    """Log the outcome that is returned to an operator."""
     LOG.info(
         'change_answered',
         code=int(report.code),
--- a/cyclamenlift/events/partial.py
+++ b/cyclamenlift/events/partial.py
@@ -1,8 +1,9 @@
-"""Changes of a part of the document, made on the newest whole one.
+"""Partial changes, applied to the newest full document.
 
-The leader makes the new document from the one in force and publishes it
-with that version as its base: a change that came in between wins, and the
-partial one is told so. Nothing here depends on how a part is written down.
+The leader edits the current document and publishes the result with that
+version as its base: if another change is committed first, it wins and the
+partial change gets a version conflict. This module doesn't depend on how
+partial changes are encoded.
 """
 
 from collections.abc import Callable
@@ -33,11 +34,11 @@
 def publish_partial(
     context: ControlContext, change: Change, edit: Edit, done: Done
 ) -> None:
-    """Publish what ``edit`` makes of the document in force.
+    """Publish the current document as modified by ``edit``.
 
-    Leadership is confirmed first: an instance that leads anew may not have
-    run yet what was committed before, such as this very change, sent once
-    already. A change that was answered before gets that answer again.
+    Leadership is confirmed first: a new leader may not yet have applied all
+    committed entries, which may include an earlier attempt of this very
+    change. A change with a recorded outcome gets that outcome again.
     """
 
     def begin(confirmed: bool) -> None:
@@ -65,7 +66,7 @@
     try:
         edited = edit(document_from_bytes(data))
     except Exception as error:
-        # This runs within the replica, which stops at an error of its own.
+        # This runs inside the replica, which stops on an unhandled error.
         LOG.exception('order_failed', order=change.shown_id)
         done(failed_report(context, error))
         return
--- a/cyclamenlift/events/pulling.py
+++ b/cyclamenlift/events/pulling.py
@@ -1,9 +1,10 @@
-"""Fetching a document: whom it was asked of, and when to ask another one.
+"""Fetches documents and retries another source on failure.
 
-A version is pulled from the peer that named it. When that one brings nothing
-or is gone, another one that named it is asked, then a control instance. One
-that is busy with others is left for a control instance: their links are
-wide, and there are few of them, so they are not the first to be asked.
+A version is pulled from the peer that announced it. If that peer fails to
+deliver it or disconnects, another peer that announced it is asked, then a
+control instance. If the peer is busy, a control instance is asked instead.
+Control instances have fast links but are few, so they are not the first
+choice.
 """
 
 import dataclasses
@@ -19,25 +20,25 @@
 if typing.TYPE_CHECKING:
     from cyclamenlift.events.tasks import ConfigFollower
 
-# How long a pull may bring nothing before somebody else is asked, in
-# seconds: a quarter of the 2 s in which a change has to be in force, and
-# many times the way there and back (25 ms between regions).
+# How long a pull may make no progress before another source is asked, in
+# seconds: a quarter of the 2 s in which a change has to be in force, and many
+# round trips (25 ms between regions).
 PULL_SECONDS = 0.5
-# How long it may take in all while bytes come, in seconds: half of those
-# 2 s, since bytes of calls on that connection count as well. The largest
-# documents, 65 KB packed, need 0.26 s on a link of 2 Mbit/s and may wait for
-# 0.25 s behind others.
+# Limit of a pull that makes progress, in seconds: half of those 2 s, since
+# bytes of calls on the connection count as progress too. The largest
+# documents, 65 KB compressed, need 0.26 s on a link of 2 Mbit/s and may be
+# queued for 0.25 s behind others.
 MOST_PULL_SECONDS = 1.0
 LOG = structlog.get_logger('events')
 
 
 @dataclasses.dataclass(slots=True)
 class Pull:
-    """Whom a version was asked of, when, and the bytes that came since.
+    """A version requested from one address and the progress so far.
 
-    ``received`` counts what came over that connection when it was last
-    looked at. ``failed`` marks one that will bring nothing, while nobody
-    else is left to ask at once.
+    ``received`` is the connection's byte count at the last check. ``failed``
+    marks a pull that will not deliver and that has no other source to move to
+    at once.
     """
 
     version: int
@@ -52,13 +53,13 @@
         self.deadline = self.began_at + PULL_SECONDS
 
     def covers(self, version: int, now: float) -> bool:
-        """Tell whether this pull should bring ``version`` as well."""
+        """Return whether this pull is expected to deliver ``version``."""
         if self.failed or version > self.version:
             return False
         return now < self.deadline
 
     def goes_on(self, received: int, now: float) -> bool:
-        """Tell whether to wait on, since bytes came after the last look."""
+        """Extend the deadline if bytes arrived; return whether it was."""
         moved = received > self.received
         self.received = received
         if not moved or now >= self.began_at + MOST_PULL_SECONDS:
@@ -68,7 +69,7 @@
 
 
 class Puller:
-    """Has one pull under way for a follower, or none."""
+    """Manages the single pull of a follower."""
 
     def __init__(self, follower: 'ConfigFollower'):
         self.follower = follower
@@ -76,7 +77,7 @@
         self.sources = Sources()
 
     def pull(self, version: int, address: str) -> None:
-        """Fetch a version, unless the pull under way should bring it."""
+        """Fetch a version unless the current pull should deliver it."""
         try:
             peer = Address.parse(address)
         except ValueError:
@@ -109,17 +110,18 @@
             known=follower.version,
             peer=str(address),
         )
-        # A connection that fails at once has another one asked in here.
+        # ``ask`` may start another pull before it returns, if the connection
+        # fails immediately.
         pull.request_id = follower.ask(address)
         self.watch(pull)
 
     def watch(self, pull: Pull) -> None:
-        """Look after a pull once its document should have come."""
+        """Schedule a check for when the document should have arrived."""
         scheduler = self.follower.loop.scheduler
         scheduler.after(PULL_SECONDS, lambda: self.check(pull))
 
     def check(self, pull: Pull) -> None:
-        """Go on waiting while bytes come, else ask somebody else."""
+        """Keep waiting while bytes arrive, else ask another source."""
         if not self.awaits(pull):
             return
         if not pull.failed and self.moves(pull):
@@ -130,12 +132,12 @@
             self.begin_anew(pull)
 
     def moves(self, pull: Pull) -> bool:
-        """Tell whether to wait on for a pull, since bytes came."""
+        """Return whether a pull made progress since the last check."""
         received = self.follower.network.received_from(pull.address)
         return pull.goes_on(received, self.follower.now())
 
     def awaits(self, pull: Pull | None) -> bool:
-        """Tell whether this pull is the one under way, and not done."""
+        """Return whether this pull is the current one and unfinished."""
         if pull is None or pull is not self.under_way:
             return False
         if pull.version == self.follower.unreadable_version:
@@ -143,10 +145,10 @@
         return pull.version > self.follower.version
 
     def ask_another(self, pull: Pull, why: str) -> None:
-        """Ask one that was not tried yet for what was not given.
+        """Move a failed pull to a source that has not been tried yet.
 
-        With none left the watch begins anew, or who names the version next
-        is asked.
+        If there is none, the pull restarts at its next check, or when another
+        peer announces the version.
         """
         if pull.failed:
             return
@@ -163,7 +165,7 @@
             self.begin(pull.version, address)
 
     def choose(self, control_first: bool = False) -> Address | None:
-        """Choose one that was not tried, None when there is none."""
+        """Return an untried source, None if there is none."""
         sources = self.sources
         follower = self.follower
         named = sources.next_named()
@@ -178,20 +180,21 @@
         )
 
     def begin_anew(self, pull: Pull) -> None:
-        """Ask all again, beginning with another one if there is one."""
+        """Make all sources available again, preferring another one."""
         self.sources.begin_anew(pull.address)
         self.begin(pull.version, self.choose() or pull.address)
 
     def leave(self, source: str) -> None:
-        """Ask another one than ``source``, which is busy with others."""
+        """Move the pull away from ``source``, which is busy."""
         pull = self.under_way
         if self.awaits(pull) and str(pull.address) == source:
             self.ask_another(pull, 'busy')
 
     def on_answered(self, offer: Offer, request_id: int) -> None:
-        """Ask another one when the answer did not bring the version.
+        """Ask another source if the answer did not bring the version.
 
-        A whole document may be held back until others confirm its version.
+        A complete document may be held back until other sources confirm its
+        version.
         """
         pull = self.under_way
         if not self.awaits(pull) or str(pull.address) != offer.source:
@@ -201,7 +204,7 @@
             self.ask_another(pull, 'empty')
 
     def on_link_lost(self, link: Link) -> None:
-        """Ask another one at once when the one who was asked is gone."""
+        """Ask another source at once when the current one disconnects."""
         pull = self.under_way
         if self.awaits(pull) and link.address == pull.address:
             self.ask_another(pull, 'lost' if link.was_up else 'not reached')
--- a/cyclamenlift/events/queries.py
+++ b/cyclamenlift/events/queries.py
@@ -1,4 +1,4 @@
-"""What operators may ask of a control instance."""
+"""Operator queries to a control instance."""
 
 from collections.abc import Callable
 
@@ -19,7 +19,7 @@
     version: int,
     done: Callable[[DocumentReport], None],
 ) -> None:
-    """Report one version of the document, 0 for the one in force."""
+    """Report one version of the document, 0 for the current one."""
 
     def finish(confirmed: bool) -> None:
         done(document_report(context, version, confirmed))
@@ -32,7 +32,7 @@
     limit: int,
     done: Callable[[HistoryReport], None],
 ) -> None:
-    """Report who made the newest versions."""
+    """Report the newest versions and their authors."""
 
     def finish(confirmed: bool) -> None:
         records = context.store.history(min(max(1, limit), HISTORY_LIMIT))
@@ -50,7 +50,7 @@
 
 
 def status(context: ControlContext) -> ControlReport:
-    """Report the state of this instance as it sees itself."""
+    """Report this instance's own view of its state."""
     return ControlReport(
         code=ResultCode.ANSWERED,
         kind='control',
@@ -65,10 +65,10 @@
 
 
 def confirm(context: ControlContext, done: Callable[[bool], None]) -> None:
-    """Ask a majority whether this instance leads; ``done`` gets it.
+    """Confirm leadership by a majority read; ``done`` gets the result.
 
-    An instance that does not lead, or is cut off, still answers what it
-    has, but never as confirmed.
+    An instance that doesn't lead or is partitioned still answers with the data
+    it has, but never as confirmed.
     """
     if not context.leads():
         done(False)
@@ -81,7 +81,7 @@
 def document_report(
     context: ControlContext, version: int, confirmed: bool
 ) -> DocumentReport:
-    """Return the report of one version, or that it is not kept."""
+    """Return the report of a version, or that it isn't kept."""
     store = context.store
     data = store.document(version)
     code = ResultCode.ANSWERED if data else ResultCode.NOT_FOUND
--- a/cyclamenlift/events/reports.py
+++ b/cyclamenlift/events/reports.py
@@ -1,7 +1,7 @@
-"""What operators get back: data classes that go out as JSON.
+"""Responses to operators, serialized as JSON.
 
-Every report carries the code of its result and the name of the instance
-that answered, so that a client learns whom it talked to.
+Every report contains the result code and the name of the instance that
+answered, so that clients can tell instances apart.
 """
 
 import dataclasses
@@ -15,7 +15,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FieldProblem:
-    """One error of a document: the field's path and the reason."""
+    """One validation error: the path of the field and the reason."""
 
     path: str
     detail: str
@@ -23,10 +23,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PublishReport:
-    """What became of a change.
+    """The outcome of a change.
 
-    ``version`` is the version it made, 0 if none; ``leader`` names who
-    should be asked instead, where that is known.
+    ``version`` is the version that it created, 0 if none; ``leader`` names the
+    instance to ask instead, if known.
     """
 
     code: ResultCode
@@ -38,7 +38,7 @@
     problems: tuple[FieldProblem, ...] = ()
 
     def summary(self) -> str:
-        """Return the first error, or the detail of a change without any."""
+        """Return the first validation error, else the detail."""
         if not self.problems:
             return self.detail
         first = self.problems[0]
@@ -49,8 +49,8 @@
 class DocumentReport:
     """One version of the document; ``document`` is its canonical JSON.
 
-    ``confirmed`` says that a majority confirmed ``current_version`` when
-    this was answered.
+    ``confirmed`` means that a majority had confirmed ``current_version`` at
+    the time of the answer.
     """
 
     code: ResultCode
@@ -64,7 +64,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HistoryReport:
-    """The newest versions first."""
+    """The version records, newest first."""
 
     code: ResultCode
     instance: str
@@ -76,7 +76,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ControlReport:
-    """State of one control instance."""
+    """The state of one control instance."""
 
     code: ResultCode
     kind: str
@@ -91,7 +91,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StorageReport:
-    """What became of a replacement of a storage."""
+    """The outcome of a storage replacement."""
 
     code: ResultCode
     instance: str
@@ -100,5 +100,5 @@
 
 
 def report_to_json(report) -> bytes:
-    """Return a report as JSON."""
+    """Serialize a report as JSON."""
     return pydantic_core.to_json(report)
--- a/cyclamenlift/events/server.py
+++ b/cyclamenlift/events/server.py
@@ -1,4 +1,4 @@
-"""Documents for daemons: the server on a control instance."""
+"""Serves documents to daemons from a control instance."""
 
 import collections
 import random
@@ -19,25 +19,26 @@
 
 LINKS_KEPT = 1024
 LINKS_TOLD = 8
-# A change that is told unasked, in bytes: one packet. Several instances may
-# tell the same daemon, and a larger one is fetched by whoever lacks it.
+# Maximum size of a change that is pushed unrequested, in bytes: one packet.
+# Several instances may push to the same daemon, and larger changes are pulled
+# by the daemons that need them.
 MOST_TOLD_BYTES = 1_400
 
 
 class DocumentServer:
-    """Answers what is in force, and tells a few of a new version at once.
-
-    ``committed`` is set only after a majority confirmed, following the
-    request, that this instance leads. A follower, or a leader that is cut
-    off, answers what it has without that mark, and a follower says where
-    the leader is. Those who asked while no leader was known hear again once
-    there is one: after a restart of all they wait for just that. A new
-    version is told to a few daemons unasked; the rest learn of it from each
-    other. Who takes changes gets those since the version that he has.
-
-    ``names_leader`` is for instances that know each other by membership,
-    where all use one address. One that only control was told may not be
-    how daemons reach the leader.
+    """Serves the current document and pushes new versions.
+
+    ``committed`` is set only after a majority has confirmed, following the
+    request, that this instance leads. A follower or a partitioned leader
+    answers with its local data without that flag, and a follower names the
+    leader. Requests that arrive while no leader is known are answered again
+    once there is one: after a full restart, daemons wait for exactly that. A
+    new version is pushed to a few daemons; the others learn of it by gossip. A
+    requester that accepts changes gets those since its own version.
+
+    ``names_leader`` is for instances that discover each other by membership,
+    where all use the same address. An address that was configured for control
+    instances only may not be reachable from daemons.
     """
 
     def __init__(
@@ -55,12 +56,12 @@
         self.instance = instance
         self.rng = rng
         self.history = DocumentHistory()
-        # Who asked lately, by the number of the link, and how.
+        # Recent requesters and their last request, by link number.
         self.links: collections.OrderedDict[
             int, tuple[Link, DocumentRequest]
         ] = collections.OrderedDict()
         self.waiting: list[tuple[Link, DocumentRequest]] = []
-        # Who asked while no leader was known, by the number of the link.
+        # Requests received while no leader was known, by link number.
         self.unsure: dict[int, tuple[Link, DocumentRequest]] = {}
         self.reading = False
         network.subscribe(DocumentRequest, self.on_request)
@@ -81,7 +82,7 @@
             self.read_for_waiting()
 
     def on_leader(self, leader: str) -> None:
-        """Answer those again who asked while no leader was known."""
+        """Answer again the requests received while no leader was known."""
         if not leader:
             return
         asked = list(self.unsure.values())
@@ -90,10 +91,10 @@
             self.on_request(link, request)
 
     def read_for_waiting(self) -> None:
-        """Confirm leadership once for all who wait now.
+        """Confirm leadership once for all waiting requests.
 
-        Those who ask while the read is under way wait for the next one: a
-        read proves nothing about what was committed after it began.
+        Requests that arrive during the read wait for the next one: a read says
+        nothing about entries that were committed after it began.
         """
         batch, self.waiting = self.waiting, []
         self.reading = True
@@ -132,10 +133,10 @@
         return answer
 
     def newest(self) -> DocumentHistory:
-        """Return the history, once it holds what is in the store."""
+        """Return the history, updated to the version of the store."""
         version = self.store.version
         if version < self.history.version:
-            # The store begins anew, as after a disk that failed.
+            # The store was recreated, for example after a disk failure.
             self.history = DocumentHistory()
         if version > self.history.version:
             lines = lines_from_canonical(self.store.document())
@@ -143,14 +144,14 @@
         return self.history
 
     def tell(self, version: int) -> None:
-        """Tell a few of those who asked lately of a new version."""
+        """Push a new version to a random sample of recent requesters."""
         asked = list(self.links.values())
         chosen = self.rng.sample(asked, min(LINKS_TOLD, len(asked)))
         for link, request in chosen:
             link.send(self.news(request))
 
     def news(self, request: DocumentRequest) -> DocumentAnswer:
-        """Return what one is told unasked: the newest change if small."""
+        """Return a pushed answer, with the newest change if it is small."""
         if not request.takes_changes:
             return self.answer(DocumentRequest(0, 0), False)
         history = self.newest()
--- a/cyclamenlift/events/sources.py
+++ b/cyclamenlift/events/sources.py
@@ -1,8 +1,8 @@
-"""Whom a version can be had from, and who was asked for it already.
+"""Tracks the sources of a version and which of them were tried.
 
-Those that named it last come first: they had power a moment ago, and the
-older a name is, the likelier its member is gone. A control instance comes
-next if its connection is up.
+The peers that announced it most recently come first: they were running a
+moment ago, and the older an announcement, the likelier its peer is gone. Next
+comes a control instance whose connection is up.
 """
 
 from collections.abc import Callable
@@ -10,16 +10,16 @@
 
 from cyclamenlift.core.streams import Address
 
-# Members that are remembered for a version: as many as are told at once by
-# one that has it.
+# Number of peers remembered for a version: as many as one peer that has it
+# notifies at once.
 MOST_NAMED = 8
 
 
 class Sources:
-    """Who named a version, the newest last, and who was asked for it.
+    """The peers that announced a version, newest last, and those tried.
 
-    Each address is chosen once until ``begin_anew``, so that connections
-    which fail at once can not lead from one to the other for ever.
+    Each address is chosen once until ``begin_anew``, so that connections that
+    fail immediately can't cause an endless loop.
     """
 
     def __init__(self) -> None:
@@ -27,18 +27,18 @@
         self.tried: set[Address] = set()
 
     def name(self, address: Address) -> None:
-        """Note that a member has the version."""
+        """Record that a peer has the version."""
         self.named.pop(address, None)
         self.named[address] = None
         if len(self.named) > MOST_NAMED:
             del self.named[next(iter(self.named))]
 
     def begin_anew(self, last: Address) -> None:
-        """Let all be chosen again but the one that was asked last."""
+        """Make all sources available again except the last one."""
         self.tried = {last}
 
     def next_named(self) -> Address | None:
-        """Return the last that named it and was not tried."""
+        """Return the untried peer with the most recent announcement."""
         for address in reversed(self.named):
             if address not in self.tried:
                 return address
@@ -50,6 +50,6 @@
         is_up: Callable[[Address], bool],
         rng: random.Random,
     ) -> Address | None:
-        """Return a control instance not tried, whose connection is up."""
+        """Return an untried control instance whose connection is up."""
         fresh = [a for a in control if a not in self.tried and is_up(a)]
         return rng.choice(fresh) if fresh else None
--- a/cyclamenlift/events/state.py
+++ b/cyclamenlift/events/state.py
@@ -1,9 +1,10 @@
-"""The replicated store of event documents: a pure state machine.
+"""The replicated event document store, a deterministic state machine.
 
-Every control instance applies the same log and so holds the same store.
-A change names the version it was made from; of two changes with one base
-the first in the log wins. A change id that comes again gets the answer it
-got first, so that an operator who lost an answer may resend.
+Every control instance applies the same log and therefore holds the same store.
+A change names the version that it is based on; of two changes with the same
+base, the one that comes first in the log wins. A repeated change id returns
+the outcome that was recorded for it, so an operator that lost a response can
+safely retry.
 """
 
 import collections
@@ -33,9 +34,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PublishOutcome:
-    """What became of a change.
+    """The result of applying a change.
 
-    ``version`` is the version the change made, 0 when it was refused.
+    ``version`` is the version that the change created, 0 if it was rejected.
     ``current_version`` is the version in force when it was applied.
     """
 
@@ -45,18 +46,18 @@
     detail: str = ''
 
     def to_json(self) -> bytes:
-        """Return the form in which the log answers."""
+        """Return the outcome as JSON, the result of the log entry."""
         return PUBLISH_OUTCOME.dump_json(self)
 
     @classmethod
     def from_json(cls, data: bytes) -> 'PublishOutcome':
-        """Read it back; raise ValueError on foreign bytes."""
+        """Parse an outcome; raise ValueError if it is malformed."""
         return PUBLISH_OUTCOME.validate_json(data)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class VersionRecord:
-    """Who made a version, from which base and when (leader's clock)."""
+    """The author, base version and time (leader's clock) of a version."""
 
     version: int
     base_version: int
@@ -68,7 +69,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ChangeRecord:
-    """The first answer to a change id, and for which document it was."""
+    """The outcome recorded for a change id and its document's digest."""
 
     change_id: str
     digest: str
@@ -77,7 +78,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class KeptDocument:
-    """One full document; its canonical bytes, packed or, before, not."""
+    """The canonical bytes of one version, usually compressed.
+
+    ``packed`` is false in snapshots of releases that stored documents
+    uncompressed.
+    """
 
     __pydantic_config__: ClassVar = BYTES_AS_BASE64
     version: int
@@ -87,7 +92,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EventSnapshot:
-    """Everything that a restarted instance needs of the store."""
+    """The complete serialized state of the store."""
 
     version: int
     versions: list[VersionRecord]
@@ -100,14 +105,14 @@
 
 
 def digest_of(document: bytes) -> str:
-    """Return a digest that tells two documents apart."""
+    """Return a digest that identifies a document."""
     return hashlib.sha256(document).hexdigest()
 
 
 def parse_document(data: bytes) -> EventDocument | str:
-    """Return the document, or why the bytes are none.
+    """Return the parsed document, or the reason why parsing failed.
 
-    The reason is cut short, since it is kept with the change id.
+    The reason is truncated because it is stored with the change id.
     """
     if len(data) > MAX_CANONICAL_BYTES:
         return f'over {MAX_CANONICAL_BYTES} bytes'
@@ -118,12 +123,12 @@
 
 
 class EventStore:
-    """Holds the document in force, its history and the change ids.
+    """Holds the current document, the version history and known change ids.
 
-    Full documents are kept for the last ``DOCUMENTS_KEPT`` versions, the
-    records of versions and the answers to change ids for the last 4,096.
-    The bounds are constants, not settings: instances with different
-    bounds would give different answers.
+    Documents are kept for the last ``DOCUMENTS_KEPT`` versions; version
+    records and the outcomes of change ids for the last 4,096. These limits are
+    constants rather than settings because instances with different limits
+    would return different outcomes.
     """
 
     def __init__(self) -> None:
@@ -132,7 +137,8 @@
             maxlen=VERSIONS_KEPT
         )
         self.changes: dict[str, ChangeRecord] = {}
-        # Packed, by version: 64 large ones would fill tens of megabytes.
+        # Compressed documents by version: 64 large uncompressed ones would
+        # take tens of megabytes.
         self.documents: dict[int, bytes] = {}
         self.rules: EventRules | None = None
 
@@ -147,10 +153,10 @@
         stamp_unix_ms: int,
         chosen_version: int = 0,
     ) -> PublishOutcome:
-        """Apply one change from the log and return its answer.
+        """Apply one change from the log and return its outcome.
 
-        ``chosen_version`` is the number that its operator gave it, above
-        the one in force; 0 takes the next number.
+        ``chosen_version`` is a version number above the current one that the
+        operator selected; 0 assigns the next number.
         """
         digest = digest_of(document)
         known = self.changes.get(change_id)
@@ -158,7 +164,8 @@
             if known.digest == digest:
                 return known.outcome
             return self.refuse(
-                ResultCode.CHANGE_ID_REUSED, 'another document came first'
+                ResultCode.CHANGE_ID_REUSED,
+                'the change id belongs to another document',
             )
         parsed = parse_document(document)
         outcome = self.decide(
@@ -186,11 +193,11 @@
         parsed: EventDocument | str,
         chosen_version: int = 0,
     ) -> PublishOutcome:
-        """Return the first answer to a change; nothing is changed yet."""
+        """Compute the outcome of a new change without applying it."""
         if not 0 < len(change_id) <= MAX_ID_LENGTH:
             return self.refuse(
                 ResultCode.DOCUMENT_INVALID,
-                f'a change id has 1 to {MAX_ID_LENGTH} characters',
+                f'a change id must have 1 to {MAX_ID_LENGTH} characters',
             )
         if isinstance(parsed, str):
             return self.refuse(ResultCode.DOCUMENT_INVALID, parsed)
@@ -212,7 +219,7 @@
         return PublishOutcome(ResultCode.CHANGE_ACCEPTED, version, version)
 
     def is_in_force(self, version: int, document: bytes) -> bool:
-        """Tell whether just this stands under just this number."""
+        """Return whether this document is current under this version."""
         return version == self.version and document == self.document()
 
     def refuse(self, code: ResultCode, detail: str) -> PublishOutcome:
@@ -221,7 +228,7 @@
     def take(
         self, record: VersionRecord, document: bytes, parsed: EventDocument
     ) -> None:
-        """Put an accepted document in force."""
+        """Make an accepted document the current one."""
         self.version = record.version
         self.versions.append(record)
         self.documents[record.version] = pack(document)
@@ -230,7 +237,7 @@
         self.rules = rules_from_document(parsed, record.version)
 
     def remember(self, record: ChangeRecord) -> None:
-        """Keep the answer to a change id, dropping the oldest."""
+        """Record the outcome of a change id and evict the oldest ones."""
         self.changes[record.change_id] = record
         while len(self.changes) > CHANGE_IDS_KEPT:
             del self.changes[next(iter(self.changes))]
@@ -238,27 +245,30 @@
     # -- queries ----------------------------------------------------------
 
     def document(self, version: int = 0) -> bytes | None:
-        """Return the bytes of ``version`` (0: in force), None if gone."""
+        """Return a document's bytes, None if that version isn't kept.
+
+        Version 0 stands for the current version.
+        """
         packed = self.documents.get(version or self.version)
         return unpack(packed, MAX_CANONICAL_BYTES) if packed else None
 
     def packed_document(self) -> bytes:
-        """Return the packed bytes in force, empty for none."""
+        """Return the current document compressed, empty if there is none."""
         return self.documents.get(self.version, b'')
 
     def history(self, limit: int = 50) -> list[VersionRecord]:
-        """Return the newest records first."""
+        """Return version records, newest first."""
         newest = list(self.versions)[::-1]
         return newest[:limit]
 
     def ends_unix_ms(self) -> int:
-        """Return when the event in force ends, 0 without a document."""
+        """Return when the current event ends, 0 without a document."""
         return self.rules.ends_unix_ms if self.rules else 0
 
     # -- snapshots --------------------------------------------------------
 
     def encode(self) -> bytes:
-        """Return the whole state as the JSON of an ``EventSnapshot``."""
+        """Serialize the state as the JSON of an ``EventSnapshot``."""
         kept = [
             KeptDocument(version, packed, packed=True)
             for version, packed in sorted(self.documents.items())
@@ -272,7 +282,7 @@
         return SNAPSHOT.dump_json(state)
 
     def restore(self, state: EventSnapshot) -> None:
-        """Replace the state with a decoded one."""
+        """Replace the state with that of a decoded snapshot."""
         self.version = state.version
         self.versions = collections.deque(state.versions, maxlen=VERSIONS_KEPT)
         self.changes = {c.change_id: c for c in state.changes}
--- a/cyclamenlift/events/tasks.py
+++ b/cyclamenlift/events/tasks.py
@@ -1,4 +1,4 @@
-"""The daemon's follower of the configuration."""
+"""Keeps a daemon's configuration up to date."""
 
 from collections.abc import Callable
 import itertools
@@ -32,13 +32,13 @@
 
 POLL_SECONDS = 5.0
 CONFIRM_SECONDS = 0.5
-# The wait after the first question: where all start at once it went to
-# instances that did not listen yet. Doubled until it is the usual one.
+# The wait after the first request, which is lost if all instances start at
+# once and none listens yet. Doubled up to the regular interval.
 FIRST_CONFIRM_SECONDS = 0.1
 FALL_BACK_SECONDS = 3.0
 JITTER = 0.5
-# A leader that is named by several is asked once within this time, in
-# seconds: longer than a way there and back, shorter than a poll.
+# A leader that several instances name is asked once within this time, in
+# seconds: longer than a round trip, shorter than a poll.
 HINT_SECONDS = 0.05
 NEVER = float('-inf')
 LOG = structlog.get_logger('events')
@@ -47,14 +47,14 @@
 class ConfigFollower(BaseComponent):
     """Keeps the newest event document in force on this daemon.
 
-    New versions come from three sides: gossip names one (``note_version``)
-    and it is pulled from that peer; a control instance tells a few daemons
-    unasked; and a slow poll of one control instance at a time finds what
-    both missed. A peer that brings nothing is left for another one that
-    named the version, a busy one for a control instance, whose link is wide.
-    Until a majority read has confirmed the version, all control instances
-    are asked which one there is, twice a second; the document is then pulled
-    from one.
+    New versions arrive in three ways: gossip announces one (``note_version``)
+    and it is pulled from that peer; a control instance pushes it to a few
+    daemons; and a slow poll of one control instance at a time finds versions
+    that both missed. A peer that doesn't deliver is replaced by another peer
+    that announced the version, a busy one by a control instance, which has a
+    faster link. Until a majority read has confirmed the version, all control
+    instances are asked for it twice a second; the document is then pulled from
+    one.
     """
 
     channel = 'configuration'
@@ -74,14 +74,15 @@
         self.adoption = Adoption()
         self.numbers = itertools.count(1)
         self.hooks: list[Callable[[EventRules], None]] = []
-        # Run with where the leader is, each time that this is told.
+        # Called with the leader's address each time it is reported.
         self.leader_hooks: list[Callable[[Address], None]] = []
         self.puller = Puller(self)
         self.share = LinkShare()
         self.lag = Lag()
-        # Whether the next document must come whole: the last one did not fit.
+        # Request the full document next, since the last diff did not apply.
         self.wants_whole = False
-        # The newest version that can't be read here, from whomever.
+        # The newest version that failed to parse here. It would fail from any
+        # source.
         self.unreadable_version = 0
         self.fall_back_at = 0.0
         self.asked_at: dict[str, float] = {}
@@ -96,35 +97,35 @@
 
     @property
     def rules(self) -> EventRules | None:
-        """The rules in force, None while there is no document."""
+        """The current rules, None while there is no document."""
         return self.adoption.rules
 
     @property
     def confirmed(self) -> bool:
-        """Whether a majority read has confirmed what is in force."""
+        """Whether a majority read has confirmed the current version."""
         return self.adoption.confirmed
 
     @property
     def version(self) -> int:
-        """The version in force, 0 for none."""
+        """The current version, 0 for none."""
         return self.adoption.version
 
     def is_behind(self) -> bool:
-        """Tell whether others are known to have a newer version."""
+        """Return whether a newer version is known to exist."""
         return self.lag.is_behind(self.version, self.now())
 
     def has_caught_up(self) -> bool:
-        """Tell whether the newest known version was in force here once."""
+        """Return whether the newest known version was once in force here."""
         return self.lag.has_caught_up(self.version, self.now())
 
     # -- commands ---------------------------------------------------------
 
     def subscribe(self, hook: Callable[[EventRules], None]) -> None:
-        """Run ``hook`` with the rules whenever others come into force."""
+        """Call ``hook`` with the rules whenever they change."""
         self.hooks.append(hook)
 
     def start(self) -> None:
-        """Ask the control instances, now and from now on."""
+        """Start polling the control instances."""
         if self.started:
             return
         self.started = True
@@ -132,10 +133,10 @@
         self.poll()
 
     def note_control(self, address: Address, live: bool) -> None:
-        """Learn of a control instance, or that one is gone.
+        """Add a control instance, or remove one that is gone.
 
-        One that tells of itself while nothing is confirmed here has just
-        started, as a rule: what it was asked before did not reach it.
+        One that announces itself while nothing is confirmed here has usually
+        just started and has missed earlier requests.
         """
         if live:
             if address not in self.control:
@@ -148,18 +149,18 @@
             self.note_other(address)
 
     def note_other(self, address: Address) -> None:
-        """Learn that an address is not one of a control instance."""
+        """Remove an address that isn't a control instance."""
         if address in self.control:
             self.control.remove(address)
             LOG.info('control_lost', address=str(address))
 
     def stop(self) -> None:
-        """Ask no more; what is in force stays so."""
+        """Stop polling; the current document stays in force."""
         self.started = False
         self.puller.under_way = None
 
     def note_version(self, version: int, peer_address: str) -> None:
-        """Learn from gossip which version a peer has in force."""
+        """Handle the gossip that a peer has this version in force."""
         if version <= self.version:
             return
         self.lag.hear(version, self.now())
@@ -174,7 +175,7 @@
         return self.loop.scheduler.clock.now()
 
     def poll(self) -> None:
-        """Ask all until confirmed, then one at a time; plan the next."""
+        """Ask all instances until confirmed, then one at a time."""
         if not self.started:
             return
         period = POLL_SECONDS if self.confirmed else self.confirm_wait
@@ -193,15 +194,15 @@
         self.try_fall_back()
 
     def ask_strangers(self) -> None:
-        """Ask those without a link, so that all can tell of news."""
+        """Ask unconnected control instances, so that all can push."""
         for address in self.control:
             if not self.network.is_linked(address):
                 self.ask(address)
 
     def ask(self, address: Address, with_document: bool = True) -> int:
-        """Ask one instance for the newest version, or only which it is.
+        """Request the newest version, with or without its document.
 
-        Returns the number that its answer will carry.
+        Returns the request id that the answer will carry.
         """
         self.asked_at[str(address)] = self.now()
         request = DocumentRequest(
@@ -214,14 +215,14 @@
         return request.request_id
 
     def asked_ms(self, source: str) -> int:
-        """Return how long ago ``source`` was last asked, -1 for never."""
+        """Return the time since the last request to ``source``, or -1."""
         asked_at = self.asked_at.get(source)
         if asked_at is None:
             return -1
         return round((self.now() - asked_at) * MILLISECONDS)
 
     def try_fall_back(self) -> None:
-        """Without a majority for long: take the highest that peers have."""
+        """Adopt the highest reported version if no majority answers."""
         if self.adoption.running or self.now() < self.fall_back_at:
             return
         best = self.adoption.best_heard()
@@ -235,7 +236,7 @@
     # -- messages ---------------------------------------------------------
 
     def on_answer(self, link: Link, answer: DocumentAnswer) -> None:
-        """Take an answer of a control instance or of a peer."""
+        """Handle an answer from a control instance or a peer."""
         from_control = link.address in self.control
         offer = Offer(
             source=str(link.address or link.stream.remote),
@@ -253,7 +254,7 @@
             self.follow_hint(answer.leader_address)
 
     def go_on(self, offer: Offer, busy: bool) -> None:
-        """Pull what an answer named and did not bring."""
+        """Pull a version that an answer named but did not include."""
         if offer.version <= self.version:
             return
         self.lag.hear(offer.version, self.now())
@@ -265,7 +266,7 @@
             self.pull(offer.version, offer.source)
 
     def pull(self, version: int, address: str) -> None:
-        """Fetch a version, unless it is known to be of no use here."""
+        """Fetch a version unless it is known to be unreadable here."""
         if version != self.unreadable_version:
             self.puller.pull(version, address)
 
@@ -274,7 +275,7 @@
             hook(address)
 
     def follow_hint(self, leader_address: str) -> None:
-        """Ask the leader that a follower named, unless it was just asked."""
+        """Ask the leader that a follower named, unless just asked."""
         try:
             address = Address.parse(leader_address)
         except ValueError:
@@ -292,9 +293,9 @@
             self.note_control(address, True)
 
     def on_request(self, link: Link, request: DocumentRequest) -> None:
-        """Give a peer what it lacks, or send it on while others get theirs."""
+        """Send a peer the changes it needs, or report that we are busy."""
         history = self.adoption.history
-        # Only who leads control can tell that nothing newer is committed.
+        # Only the leader can confirm that nothing newer is committed.
         answer = bare_answer(history.version, request, committed=False)
         if lacks(history, request):
             self.fill(answer, request)
@@ -313,7 +314,7 @@
             answer.busy = True
 
     def conclude(self, result: Result[bool, Problem], offer: Offer) -> None:
-        """Log what was refused, pass on what came into force."""
+        """Log a rejected document, or notify subscribers of a new one."""
         if isinstance(result, Failure):
             problem = result.failure()
             LOG.warning('document_refused', problem=problem.line())
@@ -334,10 +335,11 @@
             hook(self.rules)
 
     def note_refused(self, offer: Offer) -> None:
-        """Ask for it whole; one that came whole waits for the polls.
+        """Request the full document next, after a diff that failed.
 
-        A change may have met another document, but what a whole one holds
-        is the same from everybody, and may be of a later release.
+        A diff may have been applied to the wrong base. A full document is the
+        same from every source and may need a later release; the polls look for
+        its successor.
         """
         self.wants_whole = True
         if offer.is_whole:
@@ -345,7 +347,7 @@
 
 
 def packed_of(answer: DocumentAnswer) -> bytes:
-    """Return the packed document of an answer, empty if it has none."""
+    """Return the compressed document of an answer, empty if none."""
     if answer.packed_document:
         return answer.packed_document
     return pack(answer.document) if answer.document else b''
--- a/cyclamenlift/membership/__init__.py
+++ b/cyclamenlift/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Who is there: gossip over UDP, incarnations, suspicion, drain state."""
+"""Cluster membership: UDP gossip, incarnations, suspicion, drain state."""
 
 from cyclamenlift.membership.settings import MembershipSettings
 from cyclamenlift.membership.state import MembershipState
--- a/cyclamenlift/membership/budget.py
+++ b/cyclamenlift/membership/budget.py
@@ -1,13 +1,14 @@
-"""The bytes that one member may send: a token bucket."""
+"""A token bucket that limits the bytes that a member sends."""
 
 IP_UDP_BYTES = 28
 BYTES_PER_PERIOD = 1_900
 BURST_BYTES = 120_000
-# A member that many newcomers ask at once only names a few others to them.
+# A member that many newcomers ask at once sends each of them only a few
+# records.
 REFERRAL_BYTES = 300
 REFERRAL_SHARE = 0.5
-# A pull is sent only by those who could answer one as well: else bytes go
-# into questions that nobody can answer.
+# A pull is sent only while the budget could also cover an answer: otherwise
+# the bytes go into requests that no member can answer.
 PULL_RESERVE = 1_500
 LEAST_ANSWER = 400
 CREDIT_BYTES = 20_000
@@ -16,9 +17,9 @@
 class ByteBudget:
     """Tokens are bytes; probes may overdraw, records may not.
 
-    The rate holds for each period, so a member's traffic is the same
-    whatever the number of members. The burst carries a newcomer's first
-    table transfer.
+    The rate applies to each period, so a member's traffic is independent of
+    the number of members. The burst covers the first table transfer of a
+    newcomer.
     """
 
     def __init__(
@@ -30,7 +31,7 @@
         self.filled_at = now
 
     def room(self, now: float) -> int:
-        """Return the bytes that may be sent now."""
+        """Return the number of bytes that may be sent now."""
         if now > self.filled_at:
             grown = self.tokens + (now - self.filled_at) * self.rate
             self.tokens = min(self.burst, grown)
@@ -38,14 +39,14 @@
         return max(0, int(self.tokens))
 
     def may_pull(self, now: float) -> bool:
-        """Tell whether a pull should be sent now."""
+        """Return whether the budget allows a pull now."""
         return self.room(now) >= PULL_RESERVE
 
     def answer_room(self, now: float, newcomer: bool) -> int:
-        """Return the bytes of records that an answer to a pull may have.
+        """Return the bytes of records that an answer to a pull may contain.
 
-        A newcomer gets a short answer even on credit: it knows nobody else
-        whom it could ask.
+        A newcomer gets a short answer even on credit, because it knows no
+        other member to ask.
         """
         room = self.room(now)
         if not newcomer or room > REFERRAL_SHARE * self.burst:
@@ -53,5 +54,5 @@
         return REFERRAL_BYTES if self.tokens > -CREDIT_BYTES else 0
 
     def spend(self, size: int) -> None:
-        """Count a sent packet of ``size`` payload bytes."""
+        """Charge a sent packet of ``size`` payload bytes."""
         self.tokens = max(-CREDIT_BYTES, self.tokens - size - IP_UDP_BYTES)
--- a/cyclamenlift/membership/contacts.py
+++ b/cyclamenlift/membership/contacts.py
@@ -1,4 +1,4 @@
-"""Addresses to try now and then, so that healed partitions meet again."""
+"""Addresses to contact occasionally, so that healed partitions merge."""
 
 import random
 
@@ -6,7 +6,7 @@
 
 
 class Contacts:
-    """Seeds and the last addresses of members that are gone."""
+    """The seeds and the last known addresses of dead members."""
 
     def __init__(self, seeds: tuple[str, ...], rng: random.Random) -> None:
         self.rng = rng
@@ -14,7 +14,7 @@
         self.gone: dict[str, str] = {}
 
     def add(self, instance: str, address: str) -> None:
-        """Remember where a dead member was; the oldest make room."""
+        """Record a dead member's address and evict the oldest one if full."""
         self.gone.pop(instance, None)
         self.gone[instance] = address
         if len(self.gone) > MAX_CONTACTS:
@@ -24,9 +24,9 @@
         self.gone.pop(instance, None)
 
     def pick(self, known: set[str]) -> str | None:
-        """Return an address that no live member has, None if there is none.
+        """Return an address that no live member has, or None.
 
-        Seeds and gone members take turns by chance.
+        Chooses at random between seeds and dead members.
         """
         seeds = [a for a in self.seeds if a not in known]
         gone = [a for a in self.gone.values() if a not in known]
--- a/cyclamenlift/membership/digests.py
+++ b/cyclamenlift/membership/digests.py
@@ -1,9 +1,9 @@
-"""How a pull says what its sender knows, and what it gets for it.
+"""The encoding of a pull request and the selection of its answer.
 
-The text of a pull has one of three forms: empty (nothing is known), one
-short digest for each bucket (steady state: find the few that differ), or
-the short marks of every live record of some buckets (a transfer is going
-on: only what is missing comes back). An example of the last form is
+The text of a pull has one of three forms: empty (the sender knows nothing),
+one short digest for each bucket (steady state: find the few that differ), or
+the short fingerprints of every live record of some buckets (during a table
+transfer: only missing records are returned). An example of the last form is
 ``7:01ab9f3c,8:`` for two records of bucket 7 and none of bucket 8.
 """
 
@@ -22,7 +22,7 @@
 
 
 def short(mark: int) -> str:
-    """Return the low bits of a fingerprint as text.
+    """Return the low bits of a fingerprint as hexadecimal text.
 
     >>> short(0x1234ABCD)
     'abcd'
@@ -31,17 +31,20 @@
 
 
 def split_marks(text: str) -> list[str]:
-    """Return the short marks that stand side by side in a text."""
+    """Split a text into its short fingerprints."""
     return [text[i : i + DIGITS] for i in range(0, len(text), DIGITS)]
 
 
 def write_digests(table: MemberTable) -> str:
-    """Return the short digest of every bucket."""
+    """Return the short digests of all buckets."""
     return ''.join(short(mark) for mark in table.marks)
 
 
 def write_marks(table: MemberTable, rng: random.Random) -> str:
-    """Return the marks of as many buckets as fit, from a random one on."""
+    """Return the fingerprints of as many buckets as fit.
+
+    Starts at a random bucket.
+    """
     start = rng.randrange(BUCKETS)
     parts: list[str] = []
     size = 0
@@ -61,9 +64,9 @@
 
 
 def wanted(table: MemberTable, text: str, rng: random.Random) -> list[Entry]:
-    """Return the entries that answer a pull, in the order of sending.
+    """Return the entries that answer a pull, in sending order.
 
-    A text that can't be read asks for nothing.
+    A malformed text requests nothing.
     """
     if not text:
         return everything(table, rng)
@@ -83,7 +86,7 @@
 def differing_entries(
     table: MemberTable, digests: list[str], rng: random.Random
 ) -> list[Entry]:
-    """Return all of the buckets that differ, tombstones too."""
+    """Return all entries of differing buckets, tombstones included."""
     numbers = [
         n for n in range(BUCKETS) if digests[n] != short(table.marks[n])
     ]
@@ -92,7 +95,7 @@
 
 
 def missing_entries(table: MemberTable, text: str) -> list[Entry]:
-    """Return what a list of marks lacks, and who on it is gone."""
+    """Return entries missing from a list, and listed ones that are gone."""
     result = []
     for part in text.split(','):
         name, _, marks = part.partition(':')
--- a/cyclamenlift/membership/dissemination.py
+++ b/cyclamenlift/membership/dissemination.py
@@ -1,4 +1,4 @@
-"""Which records ride on packets: a queue with bounded retransmissions."""
+"""Selects the records piggybacked on packets, with bounded retransmissions."""
 
 import heapq
 import math
@@ -7,14 +7,14 @@
 from cyclamenlift.wire.gen.protocol.ttypes import MemberRecord
 
 RETRANSMIT_FACTOR = 3
-# More changes than this at once are sent less often each: pulls by digest
-# carry what is missed for a fraction of the bytes.
+# With more pending changes than this, each is sent less often: pulls by digest
+# recover what was missed for a fraction of the bytes.
 FULL_QUEUE = 48
 LEAST_TRANSMISSIONS = 2
 
 
 def retransmissions(members: int) -> int:
-    """Return how often one change is sent by each member.
+    """Return how often each member sends one change.
 
     >>> retransmissions(1), retransmissions(8), retransmissions(680)
     (3, 10, 29)
@@ -23,10 +23,10 @@
 
 
 class DisseminationQueue:
-    """Changes to pass on, least often sent first.
+    """Changes to disseminate, least often sent first.
 
-    The queue keeps names only, so what goes out is always the newest
-    record of the table.
+    The queue stores names only, so that the newest record of the table is
+    sent.
     """
 
     def __init__(self) -> None:
@@ -36,11 +36,11 @@
         return len(self.sent)
 
     def add(self, instance: str) -> None:
-        """Pass on the record of an instance, counting from zero."""
+        """Queue an instance's record and reset its transmission count."""
         self.sent[instance] = 0
 
     def take(self, table: MemberTable, room: int) -> list[MemberRecord]:
-        """Return records that fit in ``room`` bytes and count them."""
+        """Return records that fit in ``room`` bytes and count them as sent."""
         records = []
         limit = self.limit(table.live_count())
         candidates = room // 40 + 1
@@ -57,7 +57,7 @@
         return records
 
     def limit(self, members: int) -> int:
-        """Return the transmissions for each change at this load."""
+        """Return the transmissions for each change at the current load."""
         most = retransmissions(members)
         if len(self.sent) <= FULL_QUEUE:
             return most
@@ -70,13 +70,13 @@
 
 
 class TableSlice:
-    """Walks over the whole table, a few records for each packet."""
+    """Iterates over the whole table, at most one record for each packet."""
 
     def __init__(self) -> None:
         self.names: list[str] = []
 
     def take(self, table: MemberTable, room: int) -> list[MemberRecord]:
-        """Return the next record of the walk if it fits."""
+        """Return the next record if it fits."""
         if not self.names:
             self.names = list(table.entries)
         while self.names:
--- a/cyclamenlift/membership/health.py
+++ b/cyclamenlift/membership/health.py
@@ -1,14 +1,14 @@
-"""Doubt about one's own network before others are declared dead.
+"""Detects local network problems before declaring others dead.
 
-A member that loses sight of a large part of the others is more likely cut
-off itself. It then holds them as SUSPECT, which routing still uses, rather
-than declaring them DEAD.
+A member that can't reach a large share of the others is more likely to be
+disconnected itself. It then keeps them SUSPECT, which routing still uses,
+instead of declaring them DEAD.
 """
 
 import collections
 import math
 
-# Both sides of a cut keep at least this share of what they knew.
+# Each side of a partition keeps at least this share of the members it knew.
 HOLD_SHARE = 0.4
 WINDOW = 10
 SUSPICION_FACTOR = 1.5
@@ -16,7 +16,7 @@
 
 
 def suspicion_periods(members: int) -> float:
-    """Return how many periods a suspect has to refute.
+    """Return the number of periods in which a suspect can refute.
 
     >>> suspicion_periods(3), round(suspicion_periods(680), 1)
     (4.0, 14.1)
@@ -25,7 +25,7 @@
 
 
 class LocalHealth:
-    """The last outcomes of own probes to members not yet suspected."""
+    """Recent results of this member's probes to unsuspected members."""
 
     def __init__(self) -> None:
         self.outcomes: collections.deque[bool] = collections.deque(
@@ -36,14 +36,14 @@
         self.outcomes.append(answered)
 
     def failing_share(self) -> float:
-        """Return the share of the last probes that went unanswered."""
+        """Return the share of recent probes that were not answered."""
         return self.outcomes.count(False) / WINDOW
 
     def must_hold(self, failing: int, known: int) -> bool:
-        """Tell whether one more death may not be declared or believed.
+        """Return whether another death may not be declared or accepted.
 
-        ``failing`` counts SUSPECT and DEAD records with the one at hand,
-        ``known`` all records but those that left.
+        ``failing`` counts SUSPECT and DEAD records including the one in
+        question, ``known`` all records except LEFT ones.
         """
         if self.failing_share() > HOLD_SHARE:
             return True
--- a/cyclamenlift/membership/packets.py
+++ b/cyclamenlift/membership/packets.py
@@ -1,4 +1,4 @@
-"""Building gossip packets within the packet limit and the byte budget."""
+"""Builds gossip packets within the packet size and the byte budget."""
 
 from collections.abc import Iterable
 import dataclasses
@@ -26,14 +26,14 @@
 TRANSFER_PIGGYBACK_BYTES = 130
 MAX_RECORDS = 64
 MAX_SUBJECT = 512
-# Reports of ends in one packet: a report may fill most of it.
+# Reports of ended targets per packet: one may fill most of a packet.
 MAX_ENDS = 4
 KINDS = tuple(GossipKind)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Outgoing:
-    """One packet to send, with its encoded form."""
+    """A packet to send and its encoded form."""
 
     address: Address
     packet: GossipPacket
@@ -42,7 +42,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DigestSeen:
-    """What a peer's packet says of the ends that it knows."""
+    """A peer's digest of the ended targets that it knows."""
 
     digest: int
     peer_address: str
@@ -50,7 +50,7 @@
 
 
 def is_sound_packet(packet: GossipPacket) -> bool:
-    """Tell whether the fields outside the records can be used."""
+    """Return whether all fields other than the records are valid."""
     return (
         packet.kind in KINDS
         and isinstance(packet.sequence, int)
@@ -69,7 +69,7 @@
 
 
 class Packer:
-    """Fills packets: what must go first, then changes, then a slice."""
+    """Builds packets from required records, changes and a table slice."""
 
     def __init__(
         self,
@@ -86,18 +86,18 @@
         self.budget = budget
         self.slice = TableSlice()
         self.piggyback_bytes = PIGGYBACK_BYTES
-        # Stands for the ends of targets that are known here; None where
-        # nobody keeps them, and then no peer compares.
+        # Digest of the ended targets known here; None if this instance doesn't
+        # track them, in which case peers don't compare it.
         self.ends_digest: int | None = None
 
     def note_transfer(self, going_on: bool) -> None:
-        """Leave the byte budget to the answers while a transfer goes on."""
+        """Shrink piggybacking during a transfer to save bytes for answers."""
         self.piggyback_bytes = (
             TRANSFER_PIGGYBACK_BYTES if going_on else PIGGYBACK_BYTES
         )
 
     def bare(self, kind: GossipKind, sequence: int) -> GossipPacket:
-        """Return a packet with this instance's own fields filled in."""
+        """Return a packet with this instance's own fields set."""
         own = self.table.get(self.settings.instance)
         return GossipPacket(
             kind=kind,
@@ -115,7 +115,7 @@
         )
 
     def overhead(self, packet: GossipPacket) -> int:
-        """Return an upper bound of the bytes without any record."""
+        """Return an upper bound of the packet's size without records."""
         texts = (
             packet.cluster,
             packet.sender,
@@ -128,7 +128,7 @@
     def add(
         self, packet: GossipPacket, records: Iterable[MemberRecord], limit: int
     ) -> int:
-        """Append records while they fit in ``limit``; return what is left."""
+        """Append records while they fit; return the remaining bytes."""
         for record in records:
             entry = self.table.entries[record.instance]
             if entry.size <= limit:
@@ -144,9 +144,10 @@
         now: float,
         piggyback: bool = True,
     ) -> Outgoing:
-        """Fill a packet, count its bytes and return it for sending.
+        """Fill a packet, charge its bytes and return it for sending.
 
-        Records in ``must`` go in whatever the budget says; they are few.
+        Records in ``must`` are included regardless of the budget; they are
+        few.
         """
         room = MAX_PACKET_BYTES - self.overhead(packet)
         room = self.add(packet, must, room)
@@ -174,7 +175,7 @@
         entries: list[Entry],
         limit: int,
     ) -> Outgoing:
-        """Return a SYNC with those of ``entries`` that fit in ``limit``."""
+        """Return a SYNC packet with the entries that fit in ``limit``."""
         packet = self.bare(GossipKind.SYNC, sequence)
         room = MAX_PACKET_BYTES - self.overhead(packet)
         room = self.add(packet, must, room)
--- a/cyclamenlift/membership/probing.py
+++ b/cyclamenlift/membership/probing.py
@@ -1,4 +1,4 @@
-"""Which member is probed in which period, and what came of it."""
+"""Selects the member to probe in each period and tracks the results."""
 
 import dataclasses
 import enum
@@ -8,7 +8,7 @@
 
 
 class Stage(enum.Enum):
-    """How far an unanswered probe has got."""
+    """The stage of an unanswered probe."""
 
     DIRECT = 'direct'
     INDIRECT = 'indirect'
@@ -16,7 +16,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Probe:
-    """One probe on its way; ``fresh`` if the member was not suspected."""
+    """A pending probe; ``fresh`` if the member was not suspected."""
 
     instance: str
     incarnation: int
@@ -27,7 +27,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Relay:
-    """A probe made for another member, which gets the answer."""
+    """A probe on behalf of another member, which gets the answer."""
 
     address: str
     sequence: int
@@ -38,8 +38,8 @@
 class ProbeRound:
     """Round-robin over a shuffled list: each member is probed in turn.
 
-    The time until a dead member is first probed is bounded by the number
-    of members, while the cost stays at one probe a period.
+    The time until a dead member is first probed is bounded by the number of
+    members, while the cost stays at one probe a period.
     """
 
     def __init__(self, rng: random.Random) -> None:
@@ -59,7 +59,7 @@
 
 
 class Prober:
-    """Keeps the probes and relays that wait for an answer."""
+    """Tracks pending probes and relays."""
 
     def __init__(self, rng: random.Random) -> None:
         self.round = ProbeRound(rng)
@@ -72,18 +72,18 @@
         return self.sequence
 
     def begin(self, instance: str, incarnation: int, fresh: bool) -> Probe:
-        """Note a probe that is now sent."""
+        """Register a probe that is about to be sent."""
         number = self.next_sequence()
         probe = Probe(instance, incarnation, number, Stage.DIRECT, fresh)
         self.waiting[number] = probe
         return probe
 
     def answered(self, sequence: int) -> Probe | None:
-        """Return the probe that an answer ends, None if it is late."""
+        """Complete and return a probe, None if it is no longer pending."""
         return self.waiting.pop(sequence, None)
 
     def unanswered(self) -> list[Probe]:
-        """Return the probes of earlier periods that still wait."""
+        """Return the pending probes of earlier periods."""
         return list(self.waiting.values())
 
     def give_up(self, probe: Probe) -> None:
@@ -92,7 +92,7 @@
     def relay(
         self, address: str, sequence: int, subject: str, deadline: float
     ) -> int:
-        """Note a probe for another member; return its own sequence."""
+        """Register a probe for another member; return its sequence number."""
         number = self.next_sequence()
         self.relays[number] = Relay(address, sequence, subject, deadline)
         return number
--- a/cyclamenlift/membership/receiving.py
+++ b/cyclamenlift/membership/receiving.py
@@ -1,4 +1,4 @@
-"""What a member does with each kind of packet."""
+"""Handlers for each kind of packet."""
 
 from collections.abc import Callable
 
@@ -22,7 +22,7 @@
 
 
 class PacketReceiver:
-    """Takes the records of a packet, then does what its kind asks for."""
+    """Merges the records of a packet, then calls the handler of its kind."""
 
     def __init__(self, state) -> None:
         self.state = state
@@ -32,7 +32,7 @@
         self.sender_is_new = False
 
     def receive(self, packet: GossipPacket, now: float) -> list[Outgoing]:
-        """Handle one sound packet of this cluster."""
+        """Handle a valid packet of this cluster."""
         self.sender_is_new = self.state.table.get(packet.sender) is None
         urgent, news = self.take_records(packet, now)
         self.note_sender(packet)
@@ -50,7 +50,7 @@
     def take_records(
         self, packet: GossipPacket, now: float
     ) -> tuple[list[MemberRecord], bool]:
-        """Return the records to forward at once and whether any was new."""
+        """Return records to forward at once and whether any was new."""
         urgent = []
         news = False
         for record in packet.records:
@@ -70,7 +70,7 @@
             self.note_digest(packet, sender)
 
     def note_digest(self, packet: GossipPacket, sender: MemberRecord) -> None:
-        """Report what the sender knows of ends of targets."""
+        """Report the sender's digest of ended targets."""
         if packet.ends_digest is not None:
             seen = DigestSeen(
                 packet.ends_digest,
@@ -80,9 +80,10 @@
             self.state.digests.append(seen)
 
     def compare(self, packet: GossipPacket) -> None:
-        """Count packets in a row whose sender knows other members.
+        """Count consecutive packets whose sender knows other members.
 
-        A sender that is unknown here may stand for a whole group.
+        A sender that is unknown here weighs more, as it may represent a whole
+        group.
         """
         if packet.members_digest == self.state.table.digest:
             self.mismatches = 0
@@ -92,15 +93,15 @@
         self.differs_at = packet.sender_address
 
     def note_hunger(self, hungry: bool) -> None:
-        """Remember whether a table transfer is going on here."""
+        """Record whether a table transfer is in progress here."""
         self.hungry = hungry
         self.state.packer.note_transfer(hungry)
 
     def correction(self, packet: GossipPacket) -> list[MemberRecord]:
-        """Return the record of the sender if it must learn of it.
+        """Return the sender's record if it is outdated or not ALIVE here.
 
-        A member refutes at once what it hears here: its suspicion, its
-        death, or the record of its earlier life.
+        The sender refutes it at once, whether it is a suspicion, a death or a
+        record from before its restart.
         """
         known = self.state.table.get(packet.sender)
         if known is None or known.incarnation < packet.sender_incarnation:
@@ -110,7 +111,7 @@
         return [known] if known.state != MemberState.ALIVE else []
 
     def pull_more(self, packet: GossipPacket, now: float) -> list[Outgoing]:
-        """Go on with the transfer while it brings news."""
+        """Continue a transfer that still brings new records."""
         state = self.state
         if packet.members_digest == state.table.digest:
             return []
@@ -124,14 +125,14 @@
 
 
 def is_transfer(packet: GossipPacket) -> bool:
-    """Tell an answer to a pull from a push, which has no sequence."""
+    """Return whether this is an answer to a pull; a push has no sequence."""
     return packet.kind == GossipKind.SYNC and packet.sequence != 0
 
 
 def is_urgent(record: MemberRecord, known: MemberRecord | None) -> bool:
-    """Tell whether a change must reach all within a second or two.
+    """Return whether a change must reach all members in a second or two.
 
-    These are the changes after which a target may get no new work.
+    These are the changes after which a target may not be sent new work.
     """
     if known is None or record is known:
         return False
@@ -152,7 +153,7 @@
 
 @HANDLERS.register('ACK')
 def on_ack(receiver, packet, now):
-    """End the probe, or hand the answer to the member that asked."""
+    """Complete the probe, or relay the answer to its requester."""
     state = receiver.state
     state.joined = True
     probe = state.prober.answered(packet.sequence)
@@ -168,7 +169,7 @@
 
 @HANDLERS.register('PING_REQUEST')
 def on_ping_request(receiver, packet, now):
-    """Probe a member for another one; only members are probed."""
+    """Probe a member for another one; other addresses are ignored."""
     state = receiver.state
     subject = state.table.get(packet.subject)
     if subject is None or packet.subject == state.settings.instance:
@@ -200,5 +201,5 @@
 
 @HANDLERS.register('SYNC')
 def on_sync(receiver, packet, now):
-    """Its records were taken already; an answer to a join ends it."""
+    """Do nothing: the records of the packet have already been merged."""
     return []
--- a/cyclamenlift/membership/records.py
+++ b/cyclamenlift/membership/records.py
@@ -1,8 +1,8 @@
-"""What one member record means: precedence, checks, size, fingerprint.
+"""Precedence, validation, size and fingerprint of member records.
 
-A record is a thrift ``MemberRecord`` and is never changed in place: use
+A record is a thrift ``MemberRecord`` and is never modified in place: use
 ``revise``. Records of one instance are ordered by incarnation, then by the
-rank of their state. That order is total, so members that have seen the same
+rank of their state. This order is total, so members that have seen the same
 records agree whatever the order of arrival.
 """
 
@@ -20,7 +20,7 @@
 MAX_TEXT = 64
 MAX_SLOTS = 1_000_000
 MAX_VERSION = 2**53
-# A forged incarnation near the end of the integers could never be refuted.
+# A forged incarnation near the integer limit could never be refuted.
 MAX_INCARNATION = 2**53
 LIVE_STATES = (MemberState.ALIVE, MemberState.SUSPECT)
 GONE_STATES = (MemberState.DEAD, MemberState.LEFT)
@@ -30,7 +30,7 @@
 
 
 def precedence(record: MemberRecord) -> tuple[int, int]:
-    """Return the sort key that decides which of two records stands.
+    """Return the sort key that decides which of two records wins.
 
     >>> old = MemberRecord(incarnation=4, state=MemberState.DEAD)
     >>> new = MemberRecord(incarnation=5, state=MemberState.ALIVE)
@@ -41,12 +41,12 @@
 
 
 def supersedes(record: MemberRecord, known: MemberRecord | None) -> bool:
-    """Tell whether ``record`` replaces what is known of its instance."""
+    """Return whether ``record`` replaces the known one of its instance."""
     return known is None or precedence(record) > precedence(known)
 
 
 def is_live(record: MemberRecord) -> bool:
-    """Tell whether the record counts as a member (ALIVE or SUSPECT)."""
+    """Return whether the record is of a live member (ALIVE or SUSPECT)."""
     return record.state in LIVE_STATES
 
 
@@ -67,7 +67,7 @@
 
 
 def is_address(value) -> bool:
-    """Tell whether a text of the network is a usable ``host:port``."""
+    """Return whether a received text is a usable ``host:port``."""
     if not is_text(value, 1):
         return False
     try:
@@ -77,7 +77,7 @@
 
 
 def is_sound(record: MemberRecord) -> bool:
-    """Tell whether a record of the network may enter the table.
+    """Return whether a received record is valid.
 
     The decoder leaves absent fields and unknown enum values as None.
     """
@@ -103,17 +103,17 @@
 
 
 def fingerprint(record: MemberRecord) -> int:
-    """Return 63 bits that stand for a live record in digests.
+    """Return a 63-bit hash that represents a live record in digests.
 
-    Suspicion and the configuration's version are left out: both change
-    often and reach the others in other ways.
+    Suspicion and the configuration version are excluded: both change often and
+    are disseminated in other ways.
     """
     text = f'{record.instance}\0{record.incarnation}'
     return xxhash.xxh64_intdigest(text.encode()) >> 1
 
 
 def same_announcement(one: MemberRecord, other: MemberRecord) -> bool:
-    """Tell whether two records announce the same, whatever their state."""
+    """Return whether two records differ at most in state and version."""
     return revise(one, state=other.state, config_version=0) == revise(
         other, config_version=0
     )
--- a/cyclamenlift/membership/rounds.py
+++ b/cyclamenlift/membership/rounds.py
@@ -1,4 +1,4 @@
-"""What a member does once a period."""
+"""The periodic work of a member."""
 
 from cyclamenlift.membership.packets import Outgoing
 from cyclamenlift.membership.probing import Probe
@@ -8,8 +8,8 @@
 
 INDIRECT_PROBES = 3
 CONTACT_PERIODS = 10
-# Members that start together through different seeds form islands: seeds
-# that are still unknown after these periods are asked as well.
+# Members that start together through different seeds may form separate groups:
+# seeds that are still unknown after these periods are asked as well.
 EARLY_CONTACTS = (1, 3, 5)
 STALL_PERIODS = 3.0
 PULL_MISMATCHES = 4
@@ -17,7 +17,7 @@
 
 
 class PeriodRound:
-    """Ends old probes, sends one new probe, mends what differs."""
+    """Follows up old probes, sends a new one and reconciles tables."""
 
     def __init__(self, state, now: float) -> None:
         self.state = state
@@ -27,7 +27,7 @@
         self.join_wait = 1
 
     def run(self, now: float) -> list[Outgoing]:
-        """Return the packets of this period."""
+        """Return the packets to send in this period."""
         state = self.state
         self.count += 1
         self.note_stall(now)
@@ -42,7 +42,7 @@
         return result
 
     def note_stall(self, now: float) -> None:
-        """Blame nobody for the time in which this process stood still."""
+        """Discount the time in which this process itself was stalled."""
         gap = now - self.last_at
         self.last_at = now
         if gap > STALL_PERIODS * self.state.settings.period:
@@ -50,7 +50,7 @@
             self.state.verdicts.postpone(gap)
 
     def pursue(self, probe: Probe, now: float) -> list[Outgoing]:
-        """Ask others to probe, then suspect."""
+        """Send indirect probes for an unanswered one, then suspect."""
         state = self.state
         if probe.stage is Stage.DIRECT and probe.fresh:
             probe.stage = Stage.INDIRECT
@@ -74,7 +74,7 @@
         return result
 
     def declare_deaths(self, now: float) -> None:
-        """Declare one death after another, each on the newest counts."""
+        """Declare deaths one at a time, each based on updated counts."""
         while True:
             due = self.state.verdicts.due_deaths(now)
             if not due:
@@ -93,12 +93,13 @@
         probe = state.prober.begin(name, member.incarnation, fresh)
         packet = state.packer.bare(GossipKind.PING, probe.sequence)
         packet.subject = name
-        # A suspect learns of it here, and may have lost our record.
+        # A suspect learns here that it is suspected; it may also have lost our
+        # record.
         must = [] if fresh else [member, state.own]
         return [state.packer.finish(member.gossip_address, packet, must, now)]
 
     def reach_out(self, now: float) -> list[Outgoing]:
-        """Join, mend differences, and look for the other side of a cut."""
+        """Join, reconcile tables, and look for other partitions."""
         state = self.state
         if not state.joined:
             return self.join_again(now)
@@ -108,7 +109,7 @@
         return result
 
     def join_again(self, now: float) -> list[Outgoing]:
-        """Ask seeds at growing intervals: all may start at once."""
+        """Ask seeds at growing intervals, since all may start at once."""
         if self.count < self.next_join:
             return []
         self.join_wait = min(2 * self.join_wait, MAX_JOIN_WAIT)
@@ -116,10 +117,10 @@
         return self.state.join(now)
 
     def mend(self, now: float) -> list[Outgoing]:
-        """Pull when the others' digests keep differing from ours.
+        """Pull when the digests of others keep differing from ours.
 
-        A change on its way makes them differ for a short time, so one
-        mismatch counts only while a transfer is going on.
+        A change in transit makes them differ for a short time, so a single
+        mismatch counts only during a table transfer.
         """
         state = self.state
         receiver = state.receiver
--- a/cyclamenlift/membership/settings.py
+++ b/cyclamenlift/membership/settings.py
@@ -1,4 +1,4 @@
-"""What a member is told about itself and the others."""
+"""The settings of a member."""
 
 import dataclasses
 
@@ -9,10 +9,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MembershipSettings:
-    """Identity, addresses and what this instance announces at first.
+    """Identity, addresses and the initial announcement of an instance.
 
-    ``advertise`` is the gossip address that others are told, where it is
-    not the one that is listened on.
+    ``advertise`` is the gossip address announced to others, if it differs from
+    the listening address.
     """
 
     instance: str
--- a/cyclamenlift/membership/state.py
+++ b/cyclamenlift/membership/state.py
@@ -1,9 +1,9 @@
-"""Decisions of the membership protocol: packets in, packets out.
+"""The state machine of the membership protocol: packets in, packets out.
 
-Time is passed in and nothing is sent here. The protocol is SWIM with
-suspicion: one probe a period, help from others before a suspicion, time to
-refute before a death. Changes ride on every packet; digests notice what was
-lost on the way.
+Time is passed in and no I/O is done here. The protocol is SWIM with suspicion:
+one probe a period, indirect probes before a suspicion, time to refute before a
+death. Changes are piggybacked on every packet; digests detect what was lost on
+the way.
 """
 
 import dataclasses
@@ -38,16 +38,17 @@
 
 ANNOUNCE_FANOUT = 8
 FORWARD_FANOUT = 4
-# Members of other data centres among those that news are sent to at once:
-# bytes between data centres are dear, and as each member that hears of a
-# change sends it to one far away, all of them together send many. How soon
-# all of 200 members have heard was not measured with it.
+# Number of members of other data centres among those that a change is pushed
+# to: bytes between data centres are expensive, and since each member that
+# learns of a change sends it to one of them, many copies cross in total. The
+# time until all of 200 members have learned of a change was not measured with
+# it.
 FAR_PUSHES = 1
 
 
 @dataclasses.dataclass(slots=True)
 class Counters:
-    """What metrics and status show of the protocol."""
+    """Protocol counters for metrics and status."""
 
     packets_in: int = 0
     packets_out: int = 0
@@ -63,14 +64,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class VersionSeen:
-    """A configuration newer than ours and the peer that has it."""
+    """A configuration version newer than ours and the peer that has it."""
 
     version: int
     peer_address: str
 
 
 class MembershipState:
-    """One member's view and its part in the protocol."""
+    """One member's view of the cluster and its part in the protocol."""
 
     def __init__(
         self,
@@ -106,11 +107,11 @@
         self.store(self.first_record(address, unix_ms), now)
 
     def first_record(self, address: str, unix_ms: int) -> MemberRecord:
-        """Return what this instance announces first.
+        """Return the initial record of this instance.
 
-        The wall clock puts the incarnation above that of an earlier life in
-        the ordinary case. When the clock went back, the others answer with
-        the older record and ``refute`` rises above it.
+        The wall clock normally puts the incarnation above that of the previous
+        run. If the clock went back, the others answer with the older record
+        and ``refute`` raises the incarnation above it.
         """
         settings = self.settings
         return MemberRecord(
@@ -136,11 +137,11 @@
         return self.table.entries[self.settings.instance].record
 
     def members(self) -> list[MemberRecord]:
-        """Return the members that may be used, this instance included."""
+        """Return the live members, including this instance."""
         return self.table.live()
 
     def others(self) -> list[MemberRecord]:
-        """Return the live members but this one."""
+        """Return the live members except this one."""
         own = self.settings.instance
         return [r for r in self.table.live() if r.instance != own]
 
@@ -152,9 +153,9 @@
     def sample_near(self, count: int) -> list[MemberRecord]:
         """Return up to ``count`` others, one of another data centre.
 
-        News that each member passes on reach every member of a data centre
-        from inside it, and come over many ways from outside all the same,
-        since each member sends them to one far away.
+        A change that each member passes on reaches every member of a data
+        centre from inside it, and still arrives from outside over many paths,
+        since each member also sends it to one remote member.
         """
         own = self.settings.data_centre
         others = self.others()
@@ -169,7 +170,7 @@
     def store(
         self, record: MemberRecord, now: float, spread: bool = True
     ) -> None:
-        """Take a record that supersedes the known one, and pass it on."""
+        """Store a record that supersedes the known one and spread it."""
         self.verdicts.store(record, now)
         if spread:
             self.queue.add(record.instance)
@@ -183,9 +184,10 @@
     def take(
         self, record: MemberRecord, now: float, spread: bool = True
     ) -> bool:
-        """Consider a record of the network; tell whether it was news.
+        """Merge a received record; return whether it was accepted.
 
-        Old news of a table transfer is not spread: others know it.
+        Records of unknown members in a table transfer are not spread: the
+        others know them already.
         """
         if not is_sound(record):
             self.counters.bad_records += 1
@@ -201,7 +203,7 @@
         return True
 
     def refute(self, record: MemberRecord, now: float) -> bool:
-        """Rise above a record about this instance that is not its own."""
+        """Raise our incarnation above a foreign record of this instance."""
         own = self.own
         if self.left or record.incarnation < own.incarnation:
             return False
@@ -215,7 +217,7 @@
         return True
 
     def suspect(self, instance: str, incarnation: int, now: float) -> None:
-        """Suspect a member that did not answer, unless it has moved on."""
+        """Suspect an unresponsive member unless its incarnation changed."""
         known = self.table.get(instance)
         if known is None or known.incarnation != incarnation:
             return
@@ -224,14 +226,14 @@
             self.store(revise(known, state=MemberState.SUSPECT), now)
 
     def note_version(self, version: int, peer_address: str) -> None:
-        """Report a configuration that is newer than the announced one."""
+        """Report a configuration newer than the announced one."""
         if version > self.own.config_version and peer_address:
             self.versions.append(VersionSeen(version, peer_address))
 
     # -- commands ---------------------------------------------------------
 
     def join(self, now: float) -> list[Outgoing]:
-        """Ask one seed for its table; the next call asks another."""
+        """Ask a random seed for its table."""
         own = self.packer.address
         seeds = [seed for seed in self.contacts.seeds if seed != own]
         if not seeds:
@@ -239,10 +241,10 @@
         return [self.pull(self.rng.choice(seeds), now)]
 
     def join_step(self, now: float) -> list[Outgoing]:
-        """Ask again soon after the start.
+        """Repeat the join request soon after the start.
 
-        Seeds that are still unknown may listen by now, and somebody who is
-        known may have got to know others.
+        Seeds that are still unknown may be listening by now, and known members
+        may have learned of others.
         """
         if self.left:
             return []
@@ -252,13 +254,13 @@
         return [self.pull(address, now) for address in asked]
 
     def introduce(self, now: float) -> list[Outgoing]:
-        """Tell some of those who became known that this instance is here."""
+        """Announce this instance to some of the discovered members."""
         if not self.introductions.take(now):
             return []
         return self.push([self.own], INTRODUCE_FANOUT, now)
 
     def pull(self, address: str, now: float) -> Outgoing:
-        """Ask one member for the records that differ."""
+        """Ask a member for the records that differ."""
         packet = self.packer.bare(GossipKind.JOIN, self.prober.next_sequence())
         if self.receiver.hungry:
             packet.subject = write_marks(self.table, self.rng)
@@ -269,7 +271,7 @@
     def push(
         self, records: list[MemberRecord], fanout: int, now: float
     ) -> list[Outgoing]:
-        """Send records to some members at once, most of them near."""
+        """Send records to some members at once, mostly nearby ones."""
         result = []
         for member in self.sample_near(fanout):
             packet = self.packer.bare(GossipKind.SYNC, 0)
@@ -282,10 +284,11 @@
     def push_ends(
         self, report: EndReport, fanout: int, now: float, own: bool
     ) -> list[Outgoing]:
-        """Send a report of an end to some members at once.
+        """Send a report of an ended target to some members at once.
 
-        One that is not our own waits for the digests where the budget of
-        bytes is spent: when many targets end together, all pass on all.
+        A report of another instance is left to digest comparison if the byte
+        budget is spent: when many targets end together, every member forwards
+        all of them.
         """
         if not own and not self.budget.room(now):
             return []
@@ -304,7 +307,7 @@
         now: float,
         slots: int | None = None,
     ) -> list[Outgoing]:
-        """Tell the others of a change of this instance."""
+        """Announce a change of this instance."""
         own = self.own
         if self.left:
             return []
@@ -330,7 +333,7 @@
         return self.push([own], ANNOUNCE_FANOUT, now)
 
     def leave(self, now: float) -> list[Outgoing]:
-        """Say good-bye; packets are ignored from here on."""
+        """Announce that this instance leaves; ignore packets from now on."""
         if self.left:
             return []
         own = self.own
@@ -344,7 +347,7 @@
     # -- inputs -----------------------------------------------------------
 
     def on_packet(self, packet: GossipPacket, now: float) -> list[Outgoing]:
-        """Take one packet of the network; return what to send for it."""
+        """Handle a received packet; return the packets to send."""
         if packet.cluster != self.settings.cluster:
             self.counters.strangers += 1
             return []
--- a/cyclamenlift/membership/table.py
+++ b/cyclamenlift/membership/table.py
@@ -1,8 +1,8 @@
-"""The table of member records with its digests.
+"""The table of member records and its digests.
 
-The names are spread over a fixed number of buckets. Each bucket keeps the
-exclusive or of its live records' fingerprints, so two members find out
-where they differ from a few hundred bytes.
+Names are hashed into a fixed number of buckets. Each bucket keeps the
+exclusive or of the fingerprints of its live records, so two members can find
+their differences with a few hundred bytes.
 """
 
 import dataclasses
@@ -19,13 +19,13 @@
 
 
 def bucket_of(instance: str) -> int:
-    """Return the bucket of an instance's name, the same everywhere."""
+    """Return the bucket of an instance name, the same on every member."""
     return xxhash.xxh32_intdigest(instance.encode()) % BUCKETS
 
 
 @dataclasses.dataclass(slots=True)
 class Entry:
-    """One instance: its record and what is derived from it."""
+    """The record of one instance and values derived from it."""
 
     record: MemberRecord
     size: int
@@ -34,7 +34,7 @@
 
 
 class MemberTable:
-    """Records by instance name, this instance included."""
+    """Records by instance name, including this instance."""
 
     def __init__(self) -> None:
         self.entries: dict[str, Entry] = {}
@@ -47,14 +47,14 @@
         return len(self.entries)
 
     def get(self, instance: str) -> MemberRecord | None:
-        """Return what is known of an instance."""
+        """Return the record of an instance, None if unknown."""
         entry = self.entries.get(instance)
         return entry.record if entry else None
 
     def put(
         self, record: MemberRecord, expires_at: float | None = None
     ) -> None:
-        """Store a record; ``expires_at`` is when a tombstone may go."""
+        """Store a record; a tombstone may be removed at ``expires_at``."""
         self.remove(record.instance)
         mark = fingerprint(record) if is_live(record) else 0
         entry = Entry(record, encoded_size(record), mark, expires_at)
@@ -78,7 +78,7 @@
         self.digest ^= mark
 
     def live(self) -> list[MemberRecord]:
-        """Return the records that count as members."""
+        """Return the records of live members."""
         return [e.record for e in self.entries.values() if is_live(e.record)]
 
     def live_count(self) -> int:
@@ -87,7 +87,7 @@
         )
 
     def expired(self, now: float) -> list[str]:
-        """Return the names whose tombstones are past their time."""
+        """Return the names whose tombstones have expired."""
         return [
             name
             for name, entry in self.entries.items()
--- a/cyclamenlift/membership/tasks.py
+++ b/cyclamenlift/membership/tasks.py
@@ -34,7 +34,7 @@
 
 
 class Membership(BaseComponent):
-    """Announces this instance and knows the others."""
+    """Announces this instance and tracks the other members."""
 
     channel = 'membership'
 
@@ -57,11 +57,11 @@
     # -- queries ----------------------------------------------------------
 
     def members(self) -> list[MemberRecord]:
-        """Return the records that are ALIVE or SUSPECT, with our own."""
+        """Return the ALIVE and SUSPECT records, including our own."""
         return self.state.members() if self.state else []
 
     def records(self) -> list[MemberRecord]:
-        """Return all records, also of members that are gone lately."""
+        """Return all records, including those of recently gone members."""
         if self.state is None:
             return []
         return [entry.record for entry in self.state.table.entries.values()]
@@ -74,30 +74,31 @@
     # -- commands ---------------------------------------------------------
 
     def subscribe(self, hook: RecordHook) -> None:
-        """Call ``hook`` for each record that is new or changed."""
+        """Call ``hook`` for each new or changed record."""
         self.record_hooks.append(hook)
 
     def subscribe_version(self, hook: VersionHook) -> None:
         """Call ``hook(version, peer_address)`` when a peer has a newer one.
 
-        It is called again with each packet that shows it, until a version
-        as high is announced here.
+        It is called for every packet that shows it, until an equally high
+        version is announced here.
         """
         self.version_hooks.append(hook)
 
     def subscribe_ends(self, on_end: EndHook, on_digest: DigestHook) -> None:
-        """Call the first for each report of an end that a packet brings.
+        """Subscribe to reports of ended targets and to digests of peers.
 
-        The second gets what a peer's packet says that it knows. From now
-        on this instance says what it knows too.
+        ``on_end`` is called for each report in a packet, ``on_digest`` for the
+        digest of the peer that sent it. From now on this instance sends its
+        own digest as well.
         """
         self.end_hooks.append(on_end)
         self.digest_hooks.append(on_digest)
 
     def start(self) -> Address:
-        """Bind the socket, join through the seeds; return the address.
+        """Bind the socket, join through the seeds and return the address.
 
-        Raises OSError when the address is taken.
+        Raises OSError if the address is in use.
         """
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         try:
@@ -127,7 +128,7 @@
         return address
 
     def stop(self) -> None:
-        """Close the socket without a word, as a crash would."""
+        """Close the socket without notifying others, as a crash would."""
         if self.sock is None:
             return
         self.timer.cancel()
@@ -142,7 +143,7 @@
         config_version: int | None = None,
         slots: int | None = None,
     ) -> None:
-        """Tell the others of our target or of our configuration."""
+        """Announce a change of our target or our configuration."""
         if self.state is not None:
             now = self.loop.scheduler.clock.now()
             self.finish(
@@ -150,40 +151,40 @@
             )
 
     def spread_ends(self, report: EndReport, fanout: int, own: bool) -> None:
-        """Tell some members of the end of a target at once.
+        """Push a report of an ended target to some members.
 
-        ``own`` is what this instance says first, which always goes.
+        ``own`` marks a report that originates here; it is always sent.
         """
         if self.state is not None:
             now = self.loop.scheduler.clock.now()
             self.finish(self.state.push_ends(report, fanout, now, own))
 
     def set_ends_digest(self, digest: int) -> None:
-        """Say from now on that this stands for the ends known here."""
+        """Set the digest of ended targets that packets carry."""
         if self.state is not None:
             self.state.packer.ends_digest = digest
 
     def set_seeds(self, seeds: list[Address]) -> None:
-        """Ask these instances from now on when nobody else is known."""
+        """Replace the seeds."""
         if self.state is not None:
             self.state.contacts.seeds = tuple(str(seed) for seed in seeds)
 
     def leave(self) -> None:
-        """Tell the others that this instance goes; ``stop`` comes next."""
+        """Announce that this instance leaves; call ``stop`` afterwards."""
         if self.state is not None:
             self.finish(self.state.leave(self.loop.scheduler.clock.now()))
 
     # -- loop -------------------------------------------------------------
 
     def plan_period(self) -> None:
-        """Plan the next period with jitter, so that members don't align."""
+        """Schedule the next period, with jitter to desynchronize members."""
         stray = self.rng.uniform(1 - JITTER, 1 + JITTER)
         self.timer = self.loop.scheduler.after(
             self.settings.period * stray, self.run_period
         )
 
     def run_join_step(self) -> None:
-        """Ask again, unless this instance has stopped meanwhile."""
+        """Repeat the join request unless this instance has stopped."""
         if self.sock is not None:
             now = self.loop.scheduler.clock.now()
             self.finish(self.state.join_step(now))
@@ -193,12 +194,12 @@
         self.finish(self.state.on_period(self.loop.scheduler.clock.now()))
 
     def on_poll_read(self, sock: socket.socket) -> None:
-        """Take the datagrams that wait, as many as one turn may."""
+        """Read waiting datagrams, up to the limit of one loop iteration."""
         for _ in range(DATAGRAMS_PER_READ):
             try:
                 data = sock.recv(MAX_PACKET_BYTES + 1)
             except OSError:
-                # Nothing left, or an earlier packet met a closed port.
+                # The queue is empty, or an earlier packet hit a closed port.
                 return
             self.take(data)
             if self.sock is None:
@@ -208,7 +209,7 @@
         """Do nothing: datagrams that the kernel refuses are lost."""
 
     def on_poll_lost(self, sock: socket.socket) -> None:
-        """Take the error off the socket; the next packet tells more."""
+        """Clear the socket's error; the next packet shows its state."""
         sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
 
     def take(self, data: bytes) -> None:
@@ -229,7 +230,7 @@
         self.finish(outgoing)
 
     def finish(self, outgoing: list[Outgoing]) -> None:
-        """Send what the state decided and tell the subscribers."""
+        """Send the resulting packets and notify subscribers."""
         for item in outgoing:
             self.send(item)
         changes, self.state.changes = self.state.changes, []
@@ -243,7 +244,7 @@
         self.tell_ends()
 
     def tell_ends(self) -> None:
-        """Tell the subscribers of ends and of what peers know of them."""
+        """Notify subscribers of ended targets and of peers' digests."""
         ends, self.state.ends = self.state.ends, []
         digests, self.state.digests = self.state.digests, []
         for report in ends:
@@ -254,7 +255,7 @@
                 hook(seen)
 
     def send(self, item: Outgoing) -> None:
-        """Send one packet; a lost one is the protocol's ordinary case."""
+        """Send a packet; losing one is normal for the protocol."""
         if self.sock is None:
             return
         counters = self.state.counters
--- a/cyclamenlift/membership/verdicts.py
+++ b/cyclamenlift/membership/verdicts.py
@@ -1,4 +1,4 @@
-"""Who counts as alive, suspected or dead, and how long that is kept."""
+"""Decides which members are alive, suspected or dead, and for how long."""
 
 import dataclasses
 
@@ -12,22 +12,27 @@
 from cyclamenlift.wire.gen.protocol.ttypes import MemberRecord
 from cyclamenlift.wire.gen.protocol.ttypes import MemberState
 
-# Longer than any packet or piggybacked record stays on its way.
+# Longer than any packet or piggybacked record can be in transit.
 TOMBSTONE_PERIODS = 120
-# Far beyond a cut between regions; then a suspect is given up anyway.
+# Far longer than a partition between regions; a suspect is then declared dead
+# regardless of local health.
 HOLD_SECONDS = 6 * 3600.0
 
 
 @dataclasses.dataclass(slots=True)
 class Suspicion:
-    """A suspect may refute until ``deadline``, is held to ``hold_until``."""
+    """A suspect may refute until ``deadline``.
+
+    If its death may not be declared then, it stays suspected until
+    ``hold_until`` at the latest.
+    """
 
     deadline: float
     hold_until: float
 
 
 class Verdicts:
-    """The table with the rules for changes of state."""
+    """The member table and the rules for state changes."""
 
     def __init__(self, period: float) -> None:
         self.period = period
@@ -36,7 +41,7 @@
         self.suspicions: dict[str, Suspicion] = {}
 
     def store(self, record: MemberRecord, now: float) -> None:
-        """Put a record in the table with the deadline that goes with it."""
+        """Store a record and set the deadline that its state requires."""
         expires_at = None
         if record.state in GONE_STATES:
             expires_at = now + TOMBSTONE_PERIODS * self.period
@@ -51,10 +56,10 @@
     def consider(
         self, record: MemberRecord, now: float
     ) -> MemberRecord | None:
-        """Return the record to store for one that arrived, None for none.
+        """Return the record to store for a received one, or None.
 
-        A death is only believed while the own network is above doubt;
-        until then the member is held as suspected.
+        A death is accepted only while the local network is considered healthy;
+        until then the member stays suspected.
         """
         known = self.table.get(record.instance)
         if not supersedes(record, known):
@@ -70,8 +75,8 @@
     def merge_version(self, record: MemberRecord, known: MemberRecord) -> None:
         """Take a higher configuration version of the same incarnation.
 
-        Versions do not raise incarnations: one published document would
-        else renew every record of the cluster.
+        Versions do not raise incarnations: otherwise one published document
+        would renew every record of the cluster.
         """
         if record.incarnation != known.incarnation:
             return
@@ -87,14 +92,14 @@
         return len(self.table) - self.table.counts[MemberState.LEFT]
 
     def must_hold(self, record: MemberRecord) -> bool:
-        """Tell whether this member may not be declared dead now."""
+        """Return whether this member may not be declared dead now."""
         failing = self.failing()
         if record.state == MemberState.ALIVE:
             failing += 1
         return self.health.must_hold(failing, self.known())
 
     def due_deaths(self, now: float) -> list[MemberRecord]:
-        """Return DEAD records for the suspects whose time is over."""
+        """Return the DEAD record of a suspect whose deadline has passed."""
         for name, suspicion in list(self.suspicions.items()):
             if suspicion.deadline > now:
                 continue
@@ -105,16 +110,16 @@
         return []
 
     def postpone(self, seconds: float) -> None:
-        """Move all suspicions after a time in which this process stood."""
+        """Extend all suspicions by the time that this process was stalled."""
         for suspicion in self.suspicions.values():
             suspicion.deadline += seconds
             suspicion.hold_until += seconds
 
     def forget_expired(self, now: float) -> None:
-        """Drop old tombstones, but not while many members are missing.
+        """Remove expired tombstones, unless many members are missing.
 
-        Otherwise a cut-off minority would forget the others in portions,
-        each below the share at which it holds them.
+        Otherwise a partitioned minority would forget the others in portions,
+        each below the share at which it keeps them.
         """
         names = self.table.expired(now)
         if not names or self.health.must_hold(self.failing(), self.known()):
