--- a/tests/events/builders.py
+++ b/tests/events/builders.py
@@ -1,4 +1,4 @@
-"""Documents, a scripted replica and follower beds for tests of events."""
+"""Documents, a fake replica and a follower test bed for event tests."""
 
 import random
 
@@ -28,7 +28,7 @@
 
 
 def document(event: str = 'morning') -> bytes:
-    """Return a valid document in its canonical bytes."""
+    """Return the canonical bytes of a valid document."""
     value = document_value(event=event)
     return document_to_bytes(EventDocument.model_validate(value))
 
@@ -39,7 +39,7 @@
 
 
 class FakeReplica:
-    """Applies at once when it leads; ``failing`` decides otherwise."""
+    """Applies commands at once when leading, unless ``failing`` is set."""
 
     def __init__(self, machine, leader='a'):
         self.machine = machine
@@ -50,7 +50,7 @@
         self.leader_hooks = []
 
     def elect(self, leader) -> None:
-        """Make ``leader`` known, as an election does."""
+        """Report ``leader`` as elected."""
         self.leader = leader
         for hook in self.leader_hooks:
             hook(leader)
@@ -80,14 +80,14 @@
 
 
 def control_context(leader='a') -> ControlContext:
-    """Return an instance called ``a`` over a scripted replica."""
+    """Return the context of instance ``a`` over a fake replica."""
     machine = ControlMachine()
     replica = FakeReplica(machine, leader)
     return ControlContext('a', 'bole', replica, machine.events, machine.ledger)
 
 
 class FollowerBed:
-    """A daemon's follower with a scripted network and a clock by hand."""
+    """A daemon's follower with a fake network and a manual clock."""
 
     def __init__(self, control=CONTROL):
         self.clock = FakeClock()
@@ -106,7 +106,7 @@
             self.root.scheduler.run_due()
 
     def give(self, address, version, committed=False, data=None) -> None:
-        """Let the peer at ``address`` answer with a version."""
+        """Deliver an answer with a version from the peer at ``address``."""
         body = document(f'v{version}') if data is None else data
         packed = pack(body) if body else b''
         answer = DocumentAnswer(1, version, b'', committed, packed)
--- a/tests/events/fleet.py
+++ b/tests/events/fleet.py
@@ -1,8 +1,8 @@
-"""A fleet of followers and control instances whose links are thin.
+"""A simulated fleet of followers and control instances on slow links.
 
-Nothing here uses a network or a real clock: messages take the time that
-their bytes need on the sender's and on the receiver's link, one after the
-other. Calls are left out; they would only make the links busier.
+No network or real clock is used: a message takes the time that its bytes need
+on the sender's and on the receiver's link, one message after the other. Calls
+are not simulated; they would only add to the load of the links.
 """
 
 import collections
@@ -22,22 +22,22 @@
 from tests.events.builders import FakeReplica
 from tests.models.builders import document_value
 
-# Bytes in a second: 2 Mbit/s for daemons, 1 Gbit/s for control instances,
-# the thinnest and the widest links that the users have named.
+# Bytes per second: 2 Mbit/s for daemons, 1 Gbit/s for control instances, the
+# slowest and the fastest links that users have reported.
 DAEMON_RATE = 250_000
 CONTROL_RATE = 125_000_000
-# One way between two instances, in seconds.
+# One-way latency between two instances, in seconds.
 WAY_SECONDS = 0.0015
 GOSSIP_BYTES = 250
-# How many others a member tells of a new version at once, and how often it
-# exchanges a packet with another one, in seconds, as in membership.
+# How many members an instance pushes a new version to, and how often it
+# exchanges a packet with another member, in seconds, as in membership.
 PUSHES = 8
 PING_SECONDS = 0.2
 CONTROL_INSTANCES = 5
 
 
 def route_value(number: int, rng: random.Random, weight: int = 1) -> dict:
-    """Return a route whose names can not be packed much."""
+    """Return a route whose name compresses badly."""
     return {
         'name': f'r{number}',
         'host': 'a.example',
@@ -89,7 +89,7 @@
 
 
 class ThinNetwork:
-    """What one instance sends and gets, over a link of ``rate`` bytes/s."""
+    """The network of one instance, over a link of ``rate`` bytes/s."""
 
     def __init__(self, fleet: 'ThinFleet', address: Address, rate: float):
         self.fleet = fleet
@@ -107,7 +107,7 @@
         self.receivers[FIELD_OF[kind]] = receiver
 
     def subscribe_lost(self, hook) -> None:
-        """No connection is lost here."""
+        """Do nothing: no connection is lost in this simulation."""
 
     def is_linked(self, address) -> bool:
         return address in self.links
@@ -120,7 +120,7 @@
         return link.received if link is not None else 0
 
     def give_up_connecting(self, address) -> None:
-        """All connections are up."""
+        """Do nothing: all connections are up."""
 
     def link_to(self, address: Address) -> ThinLink:
         link = self.links.get(address)
@@ -148,7 +148,7 @@
 
 
 class ThinDaemon:
-    """A follower, when it got each version, and what it tells others."""
+    """A follower that records when it got each version and pushes it."""
 
     def __init__(self, fleet: 'ThinFleet', address: Address):
         self.fleet = fleet
@@ -177,8 +177,8 @@
 class ThinFleet:
     """Daemons and control instances; ``publish`` commits a version.
 
-    Nothing comes from or to those that are ``dark``; the others are not told
-    of it, their connections stay open.
+    Instances in ``dark`` neither send nor receive; the others are not notified
+    and their connections stay open.
     """
 
     def __init__(
@@ -234,10 +234,10 @@
         self.daemons[address].start()
         return self.daemons[address]
 
-    # -- the world --------------------------------------------------------
+    # -- transport --------------------------------------------------------
 
     def carry(self, sender, receiver, size: int, deliver) -> None:
-        """Take ``size`` bytes over both links, then run ``deliver``."""
+        """Transfer ``size`` bytes over both links, then call ``deliver``."""
         if sender.address in self.dark:
             return
         now = self.clock.instant
@@ -257,7 +257,7 @@
         self.root.scheduler.at(receiver.free_in, deliver)
 
     def push(self, sender, version: int) -> None:
-        """Tell some members at once of a version that ``sender`` has."""
+        """Announce a version that ``sender`` has to some members at once."""
         daemons = list(self.daemons.values())
         for daemon in self.rng.sample(daemons, min(PUSHES, len(daemons))):
             self.gossip(sender, daemon, version)
@@ -271,7 +271,7 @@
         )
 
     def plan_ping(self, daemon: ThinDaemon) -> None:
-        """Let a daemon and a random other one tell each other, again."""
+        """Schedule a gossip exchange between a daemon and a random one."""
 
         def ping() -> None:
             self.plan_ping(daemon)
@@ -283,7 +283,7 @@
         self.root.scheduler.after(wait, ping)
 
     def run(self, seconds: float) -> None:
-        """Let time pass, from one event to the next."""
+        """Advance the clock from event to event."""
         end = self.clock.instant + seconds
         heap = self.root.scheduler.heap
         while heap and heap[0][0] <= end:
@@ -291,10 +291,10 @@
             self.root.scheduler.run_due()
         self.clock.instant = end
 
-    # -- what operators do ------------------------------------------------
+    # -- operator actions -------------------------------------------------
 
     def publish(self, routes: list[dict]) -> int:
-        """Commit a document with these routes; all control apply it."""
+        """Commit a document with these routes on all control instances."""
         self.routes = routes
         base, self.version = self.version, self.version + 1
         data = canonical(routes)
@@ -321,12 +321,13 @@
         ]
         return self.publish(changed)
 
-    # -- what was seen ----------------------------------------------------
+    # -- measurements -----------------------------------------------------
 
     def delays(self, version: int) -> list[float]:
-        """Return how long each daemon took, sorted; infinity for never.
+        """Return each daemon's delay, sorted; infinity for never.
 
-        A daemon that has a later version needs this one no more.
+        A later version counts as well, because a daemon that has it no longer
+        needs this one.
         """
         since = self.committed[version]
         return sorted(
--- a/tests/events/test_adoption.py
+++ b/tests/events/test_adoption.py
@@ -1,4 +1,4 @@
-"""Which document a daemon puts in force."""
+"""Which document version a daemon adopts."""
 
 import pytest
 from returns.result import Failure
@@ -13,7 +13,7 @@
 from tests.events.builders import offer
 
 BROKEN = b'{"event": 1}'
-# Each step: an offer; then the version in force and whether it is confirmed.
+# Each step: an offer, then the expected version and confirmation.
 CASES = {
     'a starting daemon takes no single word': [
         (offer(5, 'p'), 0, False),
@@ -122,7 +122,7 @@
     sender = history_of(2, 3, 5, 9)
     assert adoption.consider(changes_offer(sender, 3)) == Success(True)
     assert (adoption.version, adoption.rules.event) == (9, 'v9')
-    # Its own history serves those who are behind in turn.
+    # Its own history in turn serves daemons that are further behind.
     assert [c.version for c in adoption.history.since(3)] == [5, 9]
 
 
--- a/tests/events/test_carrying.py
+++ b/tests/events/test_carrying.py
@@ -1,4 +1,4 @@
-"""Orders on their way to the leader, with a scripted network."""
+"""Forwarding orders to the leader, over a fake network."""
 
 import random
 
@@ -24,7 +24,7 @@
 
 
 class CarrierBed(ClientBed):
-    """The door of a daemon on a scripted network, with a clock by hand."""
+    """A daemon's order handler on a fake network with a manual clock."""
 
     def __init__(self):
         super().__init__()
@@ -37,7 +37,7 @@
         self.door.take(ORDER, OPERATOR, self.reports.append)
 
     def refuse(self, leader: Address | None = None) -> None:
-        """Let who was asked last say that it does not lead."""
+        """Let the last address asked answer that it does not lead."""
         place = str(leader) if leader else ''
         self.reply(OrderAnswer(0, ResultCode.NOT_LEADER, 0, 0, '', place))
 
@@ -79,7 +79,8 @@
     assert bed.codes == [ResultCode.CHANGE_ACCEPTED]
 
 
-# Guards against a caller who waits its whole second for a dark instance.
+# Guards against a caller that waits its whole second for an instance that
+# doesn't answer.
 def test_a_silent_instance_costs_a_quarter_of_a_second():
     bed = CarrierBed()
     bed.take()
@@ -90,8 +91,8 @@
     assert bed.codes == [ResultCode.CHANGE_ACCEPTED]
 
 
-# Guards against going back to a leader that has just frozen, as often as
-# the others name it: the next one is found within 0.1 s of its election.
+# Guards against returning to a leader that has just frozen whenever another
+# instance names it: the next leader is found within 0.1 s of its election.
 def test_a_leader_that_froze_is_not_asked_again_on_a_hint():
     bed = CarrierBed()
     bed.take()
@@ -120,7 +121,7 @@
     assert not bed.carrier.errands
 
 
-# Guards against holding callers where nobody can be reached.
+# Guards against holding callers while no instance is reachable.
 def test_an_instance_that_is_cut_off_gives_up_once_it_has_asked_all():
     bed = CarrierBed()
     bed.network.links.clear()
@@ -132,7 +133,7 @@
     assert len(bed.places) == len(CONTROL)
 
 
-# Guards against reads and orders that go to a leader of long ago.
+# Guards against reads and orders sent to an outdated leader.
 def test_a_leader_whose_connection_is_down_is_passed_over():
     bed = CarrierBed()
     bed.carrier.finder.note_leader(CONTROL[0])
@@ -159,7 +160,7 @@
     assert bed.places[-1] == leader
 
 
-# Guards against a flood of orders that fills an instance's memory.
+# Guards against a flood of orders that exhausts an instance's memory.
 def test_orders_beyond_the_bound_are_refused_at_once():
     bed = CarrierBed()
     for _ in range(MOST_CARRIED + 1):
@@ -180,8 +181,8 @@
     assert CarrierBed().door.takes(length) == taken
 
 
-# Guards against a connection, and the calls on it, lost for an order that
-# came to a daemon: seeds are machines that take orders, so one may be asked.
+# Guards against closing a connection, and losing the calls on it, because of
+# an order sent to a daemon: seeds may be daemons and are asked as well.
 def test_a_daemon_that_is_asked_as_control_says_that_it_does_not_lead():
     bed = CarrierBed()
     bed.network.deliver(CONTROL[0], OrderRequest(7, 'whole', 'x', 1, 2, b''))
@@ -189,8 +190,8 @@
     assert (answer.request_id, answer.code) == (7, ResultCode.NOT_LEADER)
 
 
-# Guards against callers of an instance that is cut off from the others: it
-# refused them for as long as the cut lasted, though daemons reach both sides.
+# Guards against a partitioned control instance that rejects its callers for as
+# long as the partition lasts, although daemons reach both sides.
 def test_an_instance_that_finds_no_leader_asks_a_daemon_to_carry():
     bed = CarrierBed()
     relay = Address('127.0.0.1', 77)
--- a/tests/events/test_changes.py
+++ b/tests/events/test_changes.py
@@ -1,4 +1,4 @@
-"""Changes between documents: small, exact, and refused where they misfit."""
+"""Document diffs: small, exact, and rejected for the wrong base."""
 
 import random
 
@@ -16,7 +16,7 @@
 
 
 def edited(lines, rng):
-    """Return lines with some removed, moved, doubled and added."""
+    """Return lines with some removed, moved, duplicated and added."""
     result = [line for line in lines if rng.random() < 0.9]
     for _ in range(rng.randrange(4)):
         new = b'n%d' % rng.randrange(1000)
--- a/tests/events/test_chosen_versions.py
+++ b/tests/events/test_chosen_versions.py
@@ -1,4 +1,4 @@
-"""Versions that operators number, and changes of a part."""
+"""Versions numbered by operators, and partial changes."""
 
 import pytest
 from returns.result import Failure
@@ -130,8 +130,8 @@
     assert report.code == ResultCode.NOT_LEADER
 
 
-# Guards against an order that stops the replica of the leader, and then of
-# the next one that it is carried to.
+# Guards against an order that stops the replica of the leader, and then that
+# of the next leader it is forwarded to.
 def test_an_edit_that_fails_is_refused_and_stops_nobody():
     def fail(document):
         raise RecursionError('too deep')
--- a/tests/events/test_control_side.py
+++ b/tests/events/test_control_side.py
@@ -1,4 +1,4 @@
-"""Document server, commands and queries over a scripted replica."""
+"""Document server, commands and queries over a fake replica."""
 
 import json
 import random
@@ -33,7 +33,7 @@
 
 
 def run(command, context, *arguments):
-    """Run a command or query and return its one report."""
+    """Run a command or query and return its only report."""
     reports = []
     command(context, *arguments, reports.append)
     context.replica.finish_reads()
@@ -189,7 +189,7 @@
 
 
 def test_who_asked_before_there_was_a_leader_hears_from_it_once_it_leads():
-    # The load: after a restart of all, daemons wait for just that.
+    # After a full restart, daemons wait for exactly this answer.
     context = control_context(leader='')
     server = server_of(context)
     link = FakeLink()
@@ -203,8 +203,8 @@
 
 
 def test_a_follower_that_knows_only_ways_of_its_own_names_no_leader():
-    # Regression: a daemon that was cut off went around the cut on the way
-    # that control instances have to each other.
+    # Regression: a partitioned daemon bypassed the partition over the
+    # network that control instances use among themselves.
     context = control_context(leader='b')
     server = server_of(context)
     link = FakeLink()
--- a/tests/events/test_dark_peers.py
+++ b/tests/events/test_dark_peers.py
@@ -1,19 +1,15 @@
-"""Versions that were named by members which then lost power.
-
-Seen in this model: a daemon had a new version 4.03 s after it was committed,
-and was told of it 15 times meanwhile, 11 of them by members that were well.
-
-How it came about: two of five control instances were dark; each of 16
-daemons told others of the version and lost power 9 ms later. Who asked one
-of them waited 0.5 s, then asked a control instance by chance, over and over
-also those that had just not answered. Who else named the version was
-forgotten.
-
-Proved by: what that daemon heard and whom it asked, with this model.
-
-Load and bounds: 65 daemons; members exchange packets five times a second or
-once. A change must be in force everywhere within 2 s, the users' bound, on
-all that have power.
+"""Versions announced by members that then lose power.
+
+Failure: a daemon got a new version 4.03 s after the commit, although it had
+been announced to it 15 times, 11 of them by healthy members. Two of five
+control instances were dark, and each of 16 daemons announced the version and
+lost power 9 ms later. A daemon that asked one of them waited 0.5 s, then asked
+random control instances, repeatedly including those that had just failed, and
+forgot the other members that had announced the version.
+
+The simulation has 65 daemons; members exchange packets five times a second or
+once. A change must be in force within 2 s, the bound set by users, on all
+daemons that have power.
 """
 
 import random
@@ -25,8 +21,8 @@
 DAEMONS = 65
 VICTIMS = 16
 CONTROL_DARK = 2
-# How long a victim lives after it has a version, in seconds: it has told
-# others, and most of those that ask it get no answer.
+# How long a victim stays up after it gets a version, in seconds: it has
+# announced the version, and most of its requesters get no answer.
 LIVES_SECONDS = 0.009
 ROUTES = 200
 MORE_ROUTES = 8
@@ -52,7 +48,7 @@
 
 
 def time_to_all(seed: int, ping_seconds: float) -> float:
-    """Return when the last daemon that is well has a change."""
+    """Return the delay until the last healthy daemon has a change."""
     fleet = ThinFleet(DAEMONS, seed, ping_seconds)
     fleet.add_routes(ROUTES)
     fleet.run(30.0)
@@ -66,8 +62,8 @@
     return fleet.delays(version)[-1]
 
 
-# Guards against pulls that ask one dark member after the other while members
-# that are well name the version.
+# Guards against pulls that try one dark member after another while healthy
+# members announce the version.
 def test_a_version_that_dark_members_named_is_in_force_in_time():
     for ping_seconds, seeds in PLAYS:
         for seed in seeds:
--- a/tests/events/test_desk.py
+++ b/tests/events/test_desk.py
@@ -1,4 +1,4 @@
-"""The desk of a control instance, over a scripted replica."""
+"""Order processing on a control instance, over a fake replica."""
 
 import random
 
@@ -33,7 +33,7 @@
 
 
 class SlowReplica:
-    """Keeps what is proposed until the test lets it through."""
+    """Holds proposals back until the test releases them."""
 
     def __init__(self, context):
         self.real = context.replica
@@ -51,7 +51,7 @@
 
 
 class DeskBed:
-    """An instance called ``a`` with its desk."""
+    """An instance ``a`` with its order handler."""
 
     def __init__(self, leader='a'):
         self.context = control_context(leader)
@@ -86,7 +86,7 @@
         self.root.scheduler.run_due()
 
     def refuse_all(self) -> None:
-        """Let all who were asked say that they do not lead."""
+        """Let all addresses asked answer that they do not lead."""
         sent, self.network.sent = self.network.sent, []
         for address, request in sent:
             answer = OrderAnswer(request.request_id, ResultCode.NOT_LEADER)
@@ -119,8 +119,8 @@
     assert bed.context.store.version == 3
 
 
-# Guards against copies of one order, carried by several instances, that are
-# each read, checked and written into the log.
+# Guards against copies of one order, forwarded by several instances, that are
+# each parsed, validated and written into the log.
 def test_an_order_that_comes_again_while_under_way_waits_for_its_outcome():
     bed = DeskBed()
     slow = SlowReplica(bed.context)
@@ -165,7 +165,7 @@
     assert isinstance(bed.network.sent[-1][1], OrderRequest)
 
 
-# Guards against 'certainly not' for an order that is in a log.
+# Guards against reporting an order as not executed although it is in a log.
 @pytest.mark.parametrize('seconds', [0.0, 0.8])
 def test_an_order_that_may_be_in_the_log_is_never_said_not_to_be(seconds):
     bed = DeskBed()
@@ -182,7 +182,8 @@
     assert bed.codes == [ResultCode.CHANGE_UNKNOWN]
 
 
-# The same for one that was sent to another instance before this one led.
+# The same for an order that was sent to another instance before this one
+# became the leader.
 def test_an_order_that_others_may_have_taken_is_never_said_not_to_be():
     bed = DeskBed(leader='')
     bed.take()
@@ -195,7 +196,7 @@
     assert bed.codes == [ResultCode.CHANGE_UNKNOWN]
 
 
-# Guards against an operator who hears nothing while a commit hangs.
+# Guards against an operator that gets no answer while a commit hangs.
 def test_an_order_that_is_not_decided_is_answered_within_the_patience():
     bed = DeskBed()
     SlowReplica(bed.context).hold()
@@ -204,8 +205,8 @@
     assert bed.codes == [ResultCode.CHANGE_UNKNOWN]
 
 
-# Guards against a connection, and all that it brings, lost for one order.
-# Nor is it carried to one leader after the other.
+# Guards against closing a connection because of one malformed order, and
+# against forwarding that order to one leader after another.
 def test_an_order_that_cannot_be_read_is_refused_for_good():
     bed = DeskBed()
     assert bed.ask(BROKEN).code == ResultCode.DOCUMENT_INVALID
@@ -214,8 +215,8 @@
     assert bed.ask().code == ACCEPTED
 
 
-# Guards against callers who stay with an instance that is cut off from all
-# others: they are told of a daemon, which they may reach.
+# Guards against callers that stay with a partitioned instance: they are
+# redirected to a daemon, which they may reach.
 def test_an_instance_that_finds_no_leader_knows_who_else_takes_orders():
     bed = DeskBed(leader='')
     assert bed.desk.elsewhere() is None
--- a/tests/events/test_lagging.py
+++ b/tests/events/test_lagging.py
@@ -1,9 +1,9 @@
 """A daemon that knows of a newer document than its own.
 
-Seen: callers were told 404, which is final, for routes that had been added,
-by daemons that were pulling the document with these routes; and a daemon
-that had just started took callers with its first document while it knew
-that others had a newer one.
+Failures: callers got 404, which is final, for newly added routes from daemons
+that were still pulling the document with these routes; and a daemon that had
+just started served callers with its first document although it knew of a newer
+one.
 """
 
 from cyclamenlift.events.lagging import CATCH_UP_SECONDS
--- a/tests/events/test_sources.py
+++ b/tests/events/test_sources.py
@@ -1,4 +1,4 @@
-"""Contract of the memory of who named a version."""
+"""Order and limit of the sources remembered for a version."""
 
 from cyclamenlift.core.streams import Address
 from cyclamenlift.events.sources import MOST_NAMED
@@ -8,7 +8,7 @@
 
 
 def chosen(sources: Sources) -> list[Address]:
-    """Return who is chosen, one after the other, while all of them fail."""
+    """Return the addresses chosen in turn while all of them fail."""
     found = []
     while (address := sources.next_named()) is not None:
         sources.tried.add(address)
@@ -20,7 +20,7 @@
     sources = Sources()
     for address in MEMBERS:
         sources.name(address)
-    # One that names it again is the newest.
+    # A repeated announcement makes a peer the newest.
     sources.name(MEMBERS[5])
     others = [a for a in MEMBERS[2:] if a != MEMBERS[5]]
     assert chosen(sources) == [MEMBERS[5], *reversed(others)]
--- a/tests/events/test_state.py
+++ b/tests/events/test_state.py
@@ -1,4 +1,4 @@
-"""The store of documents: compare-and-set, change ids, bounds."""
+"""The document store: compare-and-set, change ids, limits."""
 
 import dataclasses
 
@@ -20,7 +20,8 @@
 A = document('a')
 B = document('b')
 
-# Each step: change id, base, document; then code, version made, current.
+# Each step: change id, base, document; then the expected code, created version
+# and current version.
 CASES = {
     'of two with one base the first wins': [
         ('x', 0, A, ACCEPTED, 1, 1),
--- a/tests/events/test_tasks.py
+++ b/tests/events/test_tasks.py
@@ -1,4 +1,4 @@
-"""Contract of the follower, with a scripted network."""
+"""The configuration follower over a fake network."""
 
 import itertools
 
@@ -22,7 +22,7 @@
 from tests.events.builders import PEERS
 
 FIRST = Address.parse(PEERS[0])
-# A change must be in force everywhere within it, the users' bound.
+# The bound set by users for a change to be in force everywhere.
 BOUND_SECONDS = 2.0
 
 
@@ -167,7 +167,7 @@
 
 
 def test_a_control_instance_that_tells_of_its_start_is_asked_at_once():
-    """Power is back everywhere: the first questions reached nobody."""
+    """After a full power failure the first requests reach no instance."""
     bed = FollowerBed()
     bed.follower.start()
     bed.asked()
@@ -214,7 +214,7 @@
     assert bed.follower.version == 4
 
 
-# Guards against waiting for one that has answered without the version.
+# Guards against waiting for a source that has answered without the version.
 def test_a_pull_that_is_answered_with_nothing_goes_on_at_once():
     bed = running(3)
     bed.follower.note_version(4, PEERS[0])
@@ -224,7 +224,7 @@
     assert bed.asked() == [Address.parse(PEERS[1])]
 
 
-# Guards against copies of a document that a starting daemon holds already.
+# Guards against fetching a document that a starting daemon already holds.
 def test_a_document_that_waits_for_others_word_is_not_asked_for_again():
     bed = FollowerBed()
     bed.follower.start()
@@ -242,8 +242,8 @@
     assert bed.follower.version == 6
 
 
-# Guards against one that named a version being forgotten when the pull from
-# another one has failed with nobody left.
+# Guards against ignoring a peer that announces a version after the pull has
+# failed with no source left.
 def test_who_names_a_version_when_nobody_is_left_is_asked_at_once():
     bed = running(3)
     bed.follower.note_version(4, PEERS[0])
@@ -266,7 +266,7 @@
         assert lose(bed, FIRST) == [up]
 
 
-# Guards against calls' bytes that pass for a document for longer than a
+# Guards against mistaking the bytes of calls for a document for longer than a
 # change may take.
 def test_a_pull_over_a_connection_with_calls_ends_within_the_bound():
     bed = running(3)
@@ -280,7 +280,7 @@
 
 
 def lose(bed, address, was_up=True) -> list:
-    """Lose the connection to ``address``; return who is asked for it."""
+    """Drop the connection to ``address``; return who is asked next."""
     link = FakeLink(address)
     link.was_up = was_up
     for hook in bed.network.lost_hooks:
@@ -297,7 +297,8 @@
     for _ in CONTROL:
         (other,) = lose(bed, asked[-1], was_up)
         asked.append(other)
-    # Each one once, lest it go on for ever; then the watch begins anew.
+    # Each source is asked once, which prevents a loop; then the pull restarts
+    # at its next check.
     assert sorted(asked[1:]) == sorted(CONTROL)
     for address in asked:
         assert lose(bed, address, was_up) == []
@@ -314,8 +315,7 @@
     assert asked in CONTROL
 
 
-# Guards against peers that are all busy with the same version and send
-# whoever asks from one to the other.
+# Guards against busy peers that redirect requesters to one another.
 def test_a_busy_peer_is_left_for_control_though_others_named_the_version():
     bed = running(3)
     for peer in PEERS:
@@ -342,7 +342,7 @@
 
 
 def test_a_link_that_is_taken_sends_others_elsewhere():
-    """One daemon is asked by all who heard of a version from it first."""
+    """All daemons that learn of a version from one daemon ask that one."""
     bed = running(3)
     link = FakeLink()
     # A document takes longer than others may wait.
@@ -371,7 +371,7 @@
 
 
 def test_a_document_that_can_not_be_read_is_not_pulled_again_and_again():
-    """One of a later release; the polls look for its successor."""
+    """It may need a later release; polls look for its successor."""
     bed = running(3)
     bed.follower.note_version(4, PEERS[0])
     bed.asked()
@@ -386,8 +386,8 @@
     assert bed.follower.version == 5
 
 
-# Guards against a daemon that passes for a control instance, as a seed may:
-# its word must not count as that of a majority.
+# Guards against a daemon that is mistaken for a control instance, as a seed
+# may be: its answer must not count as confirmed by a majority.
 def test_a_daemon_never_answers_that_a_version_is_committed():
     bed = FollowerBed()
     bed.follower.start()
@@ -399,8 +399,8 @@
     assert not peer.sent[-1].committed
 
 
-# Guards against reads that are sent on twice: a daemon that carries no order
-# knew no leader, though it is told of it with each poll.
+# Guards against reads that are redirected twice: a daemon that forwarded no
+# order knew no leader, although each poll reports it.
 def test_the_leader_is_learned_from_polls():
     bed = FollowerBed()
     told = []
--- a/tests/events/test_thin_links.py
+++ b/tests/events/test_thin_links.py
@@ -1,23 +1,21 @@
-"""Changes of a large configuration over thin links.
-
-Seen: daemons with links of 2 Mbit/s answered as the version before said
-more than 2 s after a change was acknowledged, and daemons that had just
-been added needed 10 to 15 s for their first document. Calls in the seconds
-of a change failed, their frames stood behind documents.
-
-How it came about: 1,400 routes more, 2,800 and 4,200 in all, and 0.15 s
-later other weights, while daemons were being added. Each version went whole
-to each daemon, 81 to 125 KB, whatever it changed; all who heard of it from
-the same peer asked that peer, whose link then held seconds of copies; and a
-daemon that starts asked five control instances for the document, again and
-again while the copies were on their way.
-
-Proved by: sizes and times in the logs of such a day, and this model, which
-has the same links and sizes and no calls at all.
-
-Load and bounds: 65 daemons; a document of 80 KB packed, a change of 40 KB,
-a small one behind it. A change must be in force everywhere within 2 s, the
-users' bound; the part of it that crosses one link takes 0.16 s.
+"""Changes of a large configuration over slow links.
+
+Failure: daemons with links of 2 Mbit/s answered by the previous version more
+than 2 s after a change was acknowledged, and newly added daemons needed 10 to
+15 s for their first document. Calls failed during a change because their
+frames were queued behind documents.
+
+Cause: 1,400 routes were added twice, to 2,800 and 4,200 in all, and 0.15 s
+later weights changed, while daemons were being added. Each version was sent in
+full to each daemon, 81 to 125 KB, whatever it changed; all daemons that
+learned of it from the same peer asked that peer, whose link then queued
+seconds of copies; and a starting daemon asked five control instances for the
+document, repeatedly while the copies were in transit. This simulation has the
+same links and sizes and no calls.
+
+Load: 65 daemons; a document of 80 KB compressed, a change of 40 KB and a small
+one after it. A change must be in force everywhere within 2 s, the bound set by
+users; its transfer over one link takes 0.16 s.
 """
 
 from tests.events.fleet import DAEMON_RATE
@@ -26,16 +24,16 @@
 BOUND_SECONDS = 2.0
 DAEMONS = 65
 HUNDREDS = 195
-# The first document has about 80 KB when packed, like one of 2,800 routes.
+# The first document has about 80 KB compressed, like one of 2,800 routes.
 ROUTES = 230
 MORE_ROUTES = 115
-# How long a small document takes to reach all, with room: one exchange of
-# gossip and one pull, as measured with documents of 1 KB (0.25 s).
+# How long a small document may take to reach all daemons: one gossip exchange
+# and one pull, measured as 0.25 s with documents of 1 KB, plus a margin.
 SMALL_SECONDS = 0.5
-# What a daemon may spend for control in a second, in bytes: the aim.
+# What a daemon may spend on configuration per second, in bytes.
 CONTROL_BYTES = 5_000
-# A daemon may be the one whom all hear it from: eight whom it tells, and
-# as many who meet it before they hear it from others.
+# A daemon may be the source for many others: the eight it pushes a version to,
+# and as many that contact it before they learn of the version elsewhere.
 PULLS_AT_ONE = 16
 
 
@@ -59,7 +57,7 @@
 
 
 def test_hundreds_of_daemons_have_two_changes_in_time():
-    """Seen once on 195 daemons: a version 2.9 s late, on such links."""
+    """Observed once with 195 daemons on such links: a version 2.9 s late."""
     fleet = running_fleet(seed=1, daemons=HUNDREDS)
     large = fleet.add_routes(MORE_ROUTES)
     fleet.run(0.15)
--- a/tests/membership/builders.py
+++ b/tests/membership/builders.py
@@ -20,7 +20,7 @@
 
 
 def record(name: str = 'b', **fields) -> MemberRecord:
-    """Return a sound record; ``fields`` replace."""
+    """Return a valid record; ``fields`` override its values."""
     values = {
         'instance': name,
         'incarnation': START_UNIX_MS,
@@ -38,7 +38,7 @@
 
 
 def packet(name: str = 'b', records=(), **fields) -> GossipPacket:
-    """Return a ping of the member ``name``; ``fields`` replace."""
+    """Return a ping of the member ``name``; ``fields`` override values."""
     values = {
         'kind': GossipKind.PING,
         'sequence': 1,
@@ -76,7 +76,7 @@
 
 
 class SocketCluster:
-    """Members with real sockets under one loop."""
+    """Members with real sockets in one event loop."""
 
     def __init__(self) -> None:
         self.root = build_root()
@@ -106,7 +106,7 @@
         self.members.pop(name).stop()
 
     def wait(self, condition) -> bool:
-        """Run the loop until the condition holds; False if it never does."""
+        """Run the loop until the condition holds; False on timeout."""
         deadline = time.monotonic() + WAIT_SECONDS
         while not condition():
             if time.monotonic() > deadline:
@@ -115,14 +115,14 @@
         return True
 
     def all_see(self, names: str) -> bool:
-        """Tell whether every member sees exactly these, one letter each."""
+        """Return whether all members see exactly these, one letter each."""
         return all(
             {r.instance for r in m.members()} == set(names)
             for m in self.members.values()
         )
 
     def records_of(self, name: str) -> list[MemberRecord]:
-        """Return the record of an instance at each member that has one."""
+        """Return the instance's record at each member that has one."""
         return [
             r
             for member in self.members.values()
--- a/tests/membership/test_ends.py
+++ b/tests/membership/test_ends.py
@@ -1,4 +1,4 @@
-"""Reports of ends ride on packets, with a digest of what is known."""
+"""Reports of ended targets in packets, with a digest of known ones."""
 
 from cyclamenlift.membership.budget import BURST_BYTES
 from cyclamenlift.membership.packets import MAX_PACKET_BYTES
@@ -50,7 +50,7 @@
 
 
 def test_many_ends_at_once_are_passed_on_within_the_budget_of_bytes():
-    """A hundred targets of a large fleet end together, and come again."""
+    """A hundred targets of a large fleet end together, repeatedly."""
     one = member()
     largest = report(MOST_FINGERPRINTS)
     sent = [
--- a/tests/membership/test_joining.py
+++ b/tests/membership/test_joining.py
@@ -1,10 +1,10 @@
-"""All instances start at once, and those that all are told of come last.
+"""All instances start at once, and the seeds start last.
 
-The load: power returns everywhere, nine daemons and five control instances
-start within 0.4 s in any order, and each knows three addresses, at which
-nobody listens yet when most of them ask. Their callers are back at once and
-are refused until a daemon knows targets. Packets take 1 ms; what is sent to
-an instance that does not run is lost.
+After a power failure, nine daemons and five control instances start within 0.4
+s in any order. Each is configured with three seeds, which do not listen yet
+when most instances ask them. Callers are back at once and are rejected until a
+daemon knows targets. Packets take 1 ms; a packet to an instance that is not
+running is lost.
 """
 
 import heapq
@@ -26,14 +26,14 @@
 SEEDS = CONTROL[:3]
 PORT = 7101
 WAY = 0.001
-# Daemons were seen to listen within 0.05 s of each other, control
+# Daemons were observed to listen within 0.05 s of each other, control
 # instances up to 0.25 s after them.
 SPREAD = 0.05
 CONTROL_LATER = 0.25
 
 
 class Fleet:
-    """Members on one event heap; the time is the test's own."""
+    """Members on one event heap with simulated time."""
 
     def __init__(self, seed: int):
         self.rng = random.Random(seed)
@@ -90,7 +90,7 @@
             self.send(now, member.on_packet(packet, now))
 
     def strangers(self) -> int:
-        """Return how many pairs do not know each other."""
+        """Return the number of pairs that do not know each other."""
         hosts = set(self.members)
         return sum(
             len(hosts - {r.instance for r in member.members()})
@@ -130,7 +130,7 @@
 
 
 def test_steps_cost_little_once_all_are_known():
-    """A step is one small question; equal tables are not answered."""
+    """A step is one small request, and equal tables need no answer."""
     fleet = Fleet(5)
     for host in CONTROL + DAEMONS:
         fleet.at(0.0, fleet.start, host)
--- a/tests/membership/test_near_news.py
+++ b/tests/membership/test_near_news.py
@@ -1,8 +1,8 @@
-"""News that must reach all at once, over few bytes between data centres.
+"""Urgent changes reach all members with few bytes between data centres.
 
-The load: each of two dozen members in five data centres passes a drain on as
-it hears of it. Sent to members whatever their place, four packets in five
-went to another data centre.
+Each of two dozen members in five data centres forwards a drain as soon as it
+learns of it. When members were chosen regardless of their data centre, four
+packets in five went to another one.
 """
 
 import pytest
@@ -28,7 +28,7 @@
 
 
 def places_of(one, sample) -> list[bool]:
-    """Tell for each member of a sample whether it is near."""
+    """Return for each sampled member whether it is in the same data centre."""
     return [r.data_centre == one.settings.data_centre for r in sample]
 
 
--- a/tests/membership/test_properties.py
+++ b/tests/membership/test_properties.py
@@ -1,4 +1,4 @@
-"""Any order of periods, lost, doubled and late packets keeps the rules."""
+"""Invariants under any order, loss, duplication and delay of packets."""
 
 import random
 
@@ -28,7 +28,7 @@
 
 
 class Bag(GossipLoop):
-    """Members whose packets wait in a bag until a step picks one."""
+    """Members whose packets are delivered in an arbitrary order."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -37,7 +37,7 @@
             self.add(number)
 
     def step(self, action: str, pick: int) -> None:
-        """Do one step; ``pick`` chooses the member or the packet."""
+        """Perform one step; ``pick`` selects the member or the packet."""
         address = address_of(pick % MEMBERS)
         state = self.members[address]
         if action == 'period':
@@ -69,7 +69,7 @@
             self.send(address, state.on_packet(packet, self.now))
 
     def forget(self, address) -> None:
-        """A new life of an observer starts from nothing."""
+        """Reset the minimum incarnations of a restarted observer."""
         self.floors = {
             key: floor
             for key, floor in self.floors.items()
@@ -77,7 +77,7 @@
         }
 
     def check_floors(self) -> None:
-        """No member may ever go back to an older record."""
+        """Check that no member ever returns to an older record."""
         for address, state in self.members.items():
             for name, entry in state.table.entries.items():
                 key = (address, name)
@@ -86,7 +86,7 @@
                 self.floors[key] = incarnation
 
     def settle(self) -> int | None:
-        """Deliver everything without loss until all agree."""
+        """Deliver everything without loss until all members agree."""
         self.deliver()
         return self.run_until(self.all_agree, SETTLE_PERIODS)
 
--- a/tests/membership/test_records.py
+++ b/tests/membership/test_records.py
@@ -1,4 +1,4 @@
-"""Which of two records stands, and which may enter the table."""
+"""Precedence and validation of member records."""
 
 import pytest
 
--- a/tests/membership/test_state.py
+++ b/tests/membership/test_state.py
@@ -1,4 +1,4 @@
-"""Decisions of one member, and of a few members in a plain loop."""
+"""The protocol state machine of one member and of simulated clusters."""
 
 import pytest
 
