--- a/cyclamenlift/console/pages.py
+++ b/cyclamenlift/console/pages.py
@@ -15,10 +15,10 @@
 from cyclamenlift.console.views import FormBuilder
 from cyclamenlift.core.codes import ResultCode
 from cyclamenlift.core.problems import Problem
-from cyclamenlift.events.border import StorageReplacement
 from cyclamenlift.events.reports import DocumentReport
 from cyclamenlift.events.reports import PublishReport
 from cyclamenlift.events.reports import StorageReport
+from cyclamenlift.events.request_models import StorageReplacement
 from cyclamenlift.http.pages import Deferred
 from cyclamenlift.http.pages import form_of
 from cyclamenlift.http.pages import problem_answer
--- a/cyclamenlift/console/port.py
+++ b/cyclamenlift/console/port.py
@@ -3,8 +3,6 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from cyclamenlift.events.border import Publication
-from cyclamenlift.events.border import StorageReplacement
 import cyclamenlift.events.commands as commands
 from cyclamenlift.events.context import ControlContext
 import cyclamenlift.events.queries as queries
@@ -13,6 +11,8 @@
 from cyclamenlift.events.reports import HistoryReport
 from cyclamenlift.events.reports import PublishReport
 from cyclamenlift.events.reports import StorageReport
+from cyclamenlift.events.request_models import Publication
+from cyclamenlift.events.request_models import StorageReplacement
 
 
 class ControlPort(Protocol):
--- a/cyclamenlift/events/adoption.py
+++ b/cyclamenlift/events/adoption.py
@@ -69,7 +69,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Step:
+class VersionStep:
     """The lines of one version and the change that produced them, if any."""
 
     version: int
@@ -86,7 +86,7 @@
         self.confirmed = False
         # The highest version that a majority read has confirmed.
         self.majority_version = 0
-        self.heard: dict[str, Offer] = {}
+        self.reported: dict[str, Offer] = {}
 
     @property
     def version(self) -> int:
@@ -98,7 +98,7 @@
         """Whether this daemon accepts newer versions from any source."""
         return self.confirmed or self.rules is not None
 
-    def believes(self, version: int) -> bool:
+    def is_trusted(self, version: int) -> bool:
         """Return whether a document of this version may be adopted.
 
         Every offered document was committed, so any source is acceptable for a
@@ -118,23 +118,23 @@
             self.confirmed = True
         if offer.version <= self.version:
             return Success(False)
-        if not self.believes(offer.version):
-            self.hear(offer)
+        if not self.is_trusted(offer.version):
+            self.record_offer(offer)
             return Success(False)
         return self.adopt(offer)
 
-    def hear(self, offer: Offer) -> None:
+    def record_offer(self, offer: Offer) -> None:
         """Record the latest offer of a source."""
-        before = self.heard.get(offer.source)
+        before = self.reported.get(offer.source)
         known = before is not None and before.version == offer.version
         if known and not offer.is_whole:
             return
-        self.heard[offer.source] = offer
+        self.reported[offer.source] = offer
 
     def adopt(self, offer: Offer) -> Result[bool, Problem]:
         """Adopt the offered document completely or not at all."""
         try:
-            steps = self.steps_of(offer)
+            steps = self.resolve_steps(offer)
             if not steps or steps[-1].version != offer.version:
                 return Success(False)
             known = known_routes(self.history.lines, self.rules)
@@ -146,12 +146,12 @@
         for step in steps:
             self.history.put(step.version, step.lines, step.packed)
         self.rules = rules
-        named = 0 < self.majority_version <= offer.version
-        self.confirmed = self.confirmed or named
-        self.heard.clear()
+        is_confirmed = 0 < self.majority_version <= offer.version
+        self.confirmed = self.confirmed or is_confirmed
+        self.reported.clear()
         return Success(True)
 
-    def steps_of(self, offer: Offer) -> list[Step]:
+    def resolve_steps(self, offer: Offer) -> list[VersionStep]:
         """Return the versions between the current and the offered one.
 
         The list is empty or ends early if the offer has no document or its
@@ -161,36 +161,38 @@
         if offer.document:
             data = unpack(offer.document, MAX_CANONICAL_BYTES)
             document_from_bytes(data)
-            return [Step(offer.version, lines_from_canonical(data))]
-        steps: list[Step] = []
+            return [VersionStep(offer.version, lines_from_canonical(data))]
+        steps: list[VersionStep] = []
         version, lines = self.version, self.history.lines
         for change in offer.changes:
             if not change.base_version:
                 lines = apply_change((), change.packed)
-                steps.append(Step(change.version, lines))
+                steps.append(VersionStep(change.version, lines))
             elif change.base_version == version:
                 lines = apply_change(lines, change.packed)
-                steps.append(Step(change.version, lines, change.packed))
+                steps.append(VersionStep(change.version, lines, change.packed))
             else:
                 continue
             version = change.version
         return steps
 
-    def best_heard(self) -> Offer | None:
+    def best_reported(self) -> Offer | None:
         """Return the highest reported version.
 
         Returns None while fewer than ``MIN_SOURCES`` sources have reported
         one: a single source is not trusted. The offer may lack the document,
         which then has to be fetched from its source.
         """
-        offers = [o for o in self.heard.values() if o.version > self.version]
+        offers = [
+            o for o in self.reported.values() if o.version > self.version
+        ]
         if len(offers) < MIN_SOURCES:
             return None
         return max(offers, key=lambda o: (o.version, o.is_whole))
 
     def fall_back(self) -> Result[bool, Problem]:
         """Adopt the highest reported version as unconfirmed, if complete."""
-        best = self.best_heard()
+        best = self.best_reported()
         if self.running or best is None or not best.is_whole:
             return Success(False)
         return self.adopt(best)
--- a/cyclamenlift/events/changes.py
+++ b/cyclamenlift/events/changes.py
@@ -65,7 +65,7 @@
         if part[:1] == NEW:
             lines.append(part[1:])
         elif part[:1] == COPY:
-            lines.extend(copied(base, part[1:]))
+            lines.extend(copied_lines(base, part[1:]))
         else:
             raise ValueError('the change contains an unknown instruction')
     result = tuple(lines)
@@ -74,7 +74,7 @@
     return result
 
 
-def copied(base: Lines, words: bytes) -> Lines:
+def copied_lines(base: Lines, words: bytes) -> Lines:
     """Return the lines of ``base`` that a copy instruction selects."""
     start, count = (int(word) for word in words.split(b' '))
     if start < 0 or count < 1 or start + count > len(base):
--- a/cyclamenlift/events/commands.py
+++ b/cyclamenlift/events/commands.py
@@ -10,12 +10,12 @@
 from cyclamenlift.core.packing import pack
 from cyclamenlift.core.problems import brief
 from cyclamenlift.core.problems import Problem
-from cyclamenlift.events.border import Publication
-from cyclamenlift.events.border import StorageReplacement
 from cyclamenlift.events.context import ControlContext
 from cyclamenlift.events.reports import FieldProblem
 from cyclamenlift.events.reports import PublishReport
 from cyclamenlift.events.reports import StorageReport
+from cyclamenlift.events.request_models import Publication
+from cyclamenlift.events.request_models import StorageReplacement
 from cyclamenlift.events.state import PublishOutcome
 from cyclamenlift.models.document import document_from_text
 from cyclamenlift.models.document import document_to_bytes
@@ -26,9 +26,9 @@
 from cyclamenlift.wire.gen.protocol.ttypes import PublishCommand
 
 # Number of characters of a change id in log lines.
-SHOWN_ID = 12
+LOGGED_ID_LENGTH = 12
 # Maximum length of the detail reported for an unexpected error.
-MOST_DETAIL = 200
+MAX_DETAIL_LENGTH = 200
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -44,9 +44,9 @@
     chosen_version: int = 0
 
     @property
-    def shown_id(self) -> str:
+    def short_id(self) -> str:
         """The prefix of the id that log lines show."""
-        return self.change_id[:SHOWN_ID]
+        return self.change_id[:LOGGED_ID_LENGTH]
 
 
 def publish(
@@ -151,9 +151,11 @@
     )
 
 
-def failed_report(context: ControlContext, error: Exception) -> PublishReport:
+def internal_error_report(
+    context: ControlContext, error: Exception
+) -> PublishReport:
     """Return the rejection of a change that raised an internal error."""
-    detail = brief(f'{type(error).__name__}: {error}', MOST_DETAIL)
+    detail = brief(f'{type(error).__name__}: {error}', MAX_DETAIL_LENGTH)
     problem = Problem(ResultCode.DOCUMENT_INVALID, detail)
     return invalid_report(context, [problem])
 
--- a/cyclamenlift/events/desk.py
+++ b/cyclamenlift/events/control_orders.py
@@ -6,21 +6,21 @@
 
 from cyclamenlift.core.codes import ResultCode
 from cyclamenlift.core.streams import Address
-from cyclamenlift.events.carrying import answer_of
-from cyclamenlift.events.carrying import order_of
-from cyclamenlift.events.carrying import OrderCarrier
 from cyclamenlift.events.commands import Change
-from cyclamenlift.events.commands import failed_report
+from cyclamenlift.events.commands import internal_error_report
 from cyclamenlift.events.commands import not_leader_report
 from cyclamenlift.events.commands import outcome_report
 from cyclamenlift.events.context import ControlContext
-from cyclamenlift.events.orders import log_taken
-from cyclamenlift.events.orders import MOST_DESK_BYTES
-from cyclamenlift.events.orders import OPEN_CODES
+from cyclamenlift.events.order_forwarding import answer_from_report
+from cyclamenlift.events.order_forwarding import order_from_request
+from cyclamenlift.events.order_forwarding import OrderForwarder
+from cyclamenlift.events.orders import log_received
+from cyclamenlift.events.orders import MAX_ORDER_BYTES
 from cyclamenlift.events.orders import Order
 from cyclamenlift.events.orders import ORDER_KINDS
+from cyclamenlift.events.orders import ORDER_TIMEOUT_SECONDS
 from cyclamenlift.events.orders import OrderDone
-from cyclamenlift.events.orders import PATIENCE_SECONDS
+from cyclamenlift.events.orders import UNDECIDED_CODES
 from cyclamenlift.events.queries import show
 from cyclamenlift.events.reports import DocumentReport
 from cyclamenlift.events.reports import PublishReport
@@ -31,7 +31,7 @@
 LOG = structlog.get_logger('orders')
 
 
-class OutcomeWait:
+class PendingExecution:
     """Waits for the outcome of an order that this instance executes.
 
     If the instance loses leadership meanwhile, the order is forwarded to the
@@ -41,19 +41,19 @@
 
     def __init__(
         self,
-        carrier: OrderCarrier,
+        forwarder: OrderForwarder,
         order: Order,
         give_up_at: float,
         done: OrderDone,
         was_taken: bool,
     ):
-        self.carrier = carrier
+        self.forwarder = forwarder
         self.order = order
         self.was_taken = was_taken
         self.give_up_at = give_up_at
         self.done = done
         self.over = False
-        self.timer = carrier.loop.scheduler.at(give_up_at, self.give_up)
+        self.timer = forwarder.loop.scheduler.at(give_up_at, self.give_up)
 
     def take(self, report: PublishReport) -> None:
         """Return a final outcome, or forward an undecided order."""
@@ -61,23 +61,23 @@
             return
         self.over = True
         self.timer.cancel()
-        if report.code not in OPEN_CODES:
+        if report.code not in UNDECIDED_CODES:
             self.done(report)
             return
         if report.code == ResultCode.CHANGE_UNKNOWN:
             self.was_taken = True
-        self.carrier.carry(
+        self.forwarder.forward(
             self.order, self.give_up_at, self.done, self.was_taken
         )
 
     def give_up(self) -> None:
         self.over = True
-        LOG.warning('order_not_decided', order=self.order.change.shown_id)
+        LOG.warning('order_not_decided', order=self.order.change.short_id)
         code = ResultCode.CHANGE_UNKNOWN
-        self.done(PublishReport(code, self.carrier.instance))
+        self.done(PublishReport(code, self.forwarder.instance))
 
 
-class OrderDesk:
+class ControlOrderHandler:
     """Executes orders while this instance leads, else forwards them.
 
     Committed log entries are final, so an order whose outcome is in the local
@@ -90,12 +90,12 @@
         self,
         context: ControlContext,
         network: PeerNetwork,
-        carrier: OrderCarrier,
+        forwarder: OrderForwarder,
     ):
         self.context = context
-        self.carrier = carrier
+        self.forwarder = forwarder
         # Callbacks that wait for orders in progress here, by change id.
-        self.under_way: dict[str, list[OrderDone]] = {}
+        self.in_progress: dict[str, list[OrderDone]] = {}
         network.subscribe(OrderRequest, self.on_request)
         context.replica.leader_hooks.append(self.on_leader)
 
@@ -104,36 +104,36 @@
     @property
     def busy(self) -> bool:
         """Whether any order is still unanswered."""
-        return bool(self.under_way or self.carrier.errands)
+        return bool(self.in_progress or self.forwarder.errands)
 
-    def takes(self, body_length: int | None) -> bool:
+    def accepts_size(self, body_length: int | None) -> bool:
         """Return whether an order body of this length is accepted."""
         if self.context.leads():
             return True
-        return body_length is not None and body_length <= MOST_DESK_BYTES
+        return body_length is not None and body_length <= MAX_ORDER_BYTES
 
-    def known(self, change: Change) -> PublishReport | None:
+    def recorded_outcome(self, change: Change) -> PublishReport | None:
         """Return the outcome of a change if the local store has it."""
         record = self.context.store.changes.get(change.change_id)
         return outcome_report(self.context, record.outcome) if record else None
 
-    def place(self) -> Address | None:
+    def location(self) -> Address | None:
         """Return the leader's address, None if there is no leader."""
         return self.context.replica.address_of(self.context.leader_hint())
 
-    def elsewhere(self) -> Address | None:
+    def alternate_address(self) -> Address | None:
         """Return a live daemon, since this instance may be partitioned."""
-        return self.carrier.find_relay()
+        return self.forwarder.find_relay_daemon()
 
     # -- commands ---------------------------------------------------------
 
     def take(self, order: Order, remote: Address, done: OrderDone) -> None:
         """Process an order from an operator."""
-        log_taken(order, remote, self.context.leads())
-        give_up_at = self.carrier.now() + PATIENCE_SECONDS
-        self.see_through(order, give_up_at, done)
+        log_received(order, remote, self.context.leads())
+        give_up_at = self.forwarder.now() + ORDER_TIMEOUT_SECONDS
+        self.process(order, give_up_at, done)
 
-    def see_through(
+    def process(
         self,
         order: Order,
         give_up_at: float,
@@ -144,36 +144,36 @@
 
         ``was_taken`` means that the order may already be in the log.
         """
-        known = self.known(order.change)
+        known = self.recorded_outcome(order.change)
         if known is not None:
             done(known)
         elif self.context.leads():
-            wait = OutcomeWait(
-                self.carrier, order, give_up_at, done, was_taken
+            wait = PendingExecution(
+                self.forwarder, order, give_up_at, done, was_taken
             )
-            self.carry_out(order, wait.take)
+            self.execute(order, wait.take)
         else:
-            self.carrier.carry(order, give_up_at, done, was_taken)
+            self.forwarder.forward(order, give_up_at, done, was_taken)
 
-    def carry_out(self, order: Order, done: OrderDone) -> None:
+    def execute(self, order: Order, done: OrderDone) -> None:
         """Execute an order as the leader, once for all callbacks."""
         change_id = order.change.change_id
-        waiting = self.under_way.get(change_id)
+        waiting = self.in_progress.get(change_id)
         if waiting is not None:
             waiting.append(done)
             return
-        self.under_way[change_id] = [done]
+        self.in_progress[change_id] = [done]
         try:
             kind = ORDER_KINDS.get(order.kind)
             kind(self.context, order, lambda r: self.finish(change_id, r))
         except Exception as error:
             # Parsing the body may raise any error. It must not close the
             # connection, which carries other messages as well.
-            LOG.exception('order_failed', order=order.change.shown_id)
-            self.finish(change_id, failed_report(self.context, error))
+            LOG.exception('order_failed', order=order.change.short_id)
+            self.finish(change_id, internal_error_report(self.context, error))
 
     def finish(self, change_id: str, report: PublishReport) -> None:
-        for done in self.under_way.pop(change_id, ()):
+        for done in self.in_progress.pop(change_id, ()):
             done(report)
 
     def read(self, done: Callable[[DocumentReport], None]) -> bool:
@@ -187,30 +187,30 @@
 
     def on_request(self, link: Link, request: OrderRequest) -> None:
         """Answer another instance with the outcome or the leader."""
-        order = order_of(request)
+        order = order_from_request(request)
 
         def reply(report: PublishReport) -> None:
-            link.send(answer_of(request, report, self.place()))
+            link.send(answer_from_report(request, report, self.location()))
 
-        known = self.known(order.change)
+        known = self.recorded_outcome(order.change)
         if known is not None:
             reply(known)
         elif self.context.leads():
-            self.carry_out(order, reply)
+            self.execute(order, reply)
         else:
             reply(not_leader_report(self.context))
 
     def on_leader(self, leader: str) -> None:
         """Resume the orders that were waiting for a leader."""
         if leader == self.context.instance:
-            for errand in self.carrier.take_back():
-                self.see_through(
-                    order_of(errand.message),
+            for errand in self.forwarder.withdraw():
+                self.process(
+                    order_from_request(errand.message),
                     errand.give_up_at,
                     errand.done,
                     errand.maybe_taken(),
                 )
             return
-        place = self.place()
-        if place is not None:
-            self.carrier.note_leader(place)
+        address = self.location()
+        if address is not None:
+            self.forwarder.note_leader(address)
--- a/cyclamenlift/events/door.py
+++ b/cyclamenlift/events/daemon_orders.py
@@ -2,14 +2,14 @@
 
 from cyclamenlift.core.codes import ResultCode
 from cyclamenlift.core.streams import Address
-from cyclamenlift.events.carrying import answer_of
-from cyclamenlift.events.carrying import order_of
-from cyclamenlift.events.carrying import OrderCarrier
-from cyclamenlift.events.orders import log_taken
-from cyclamenlift.events.orders import MOST_CARRIED_BYTES
+from cyclamenlift.events.order_forwarding import answer_from_report
+from cyclamenlift.events.order_forwarding import order_from_request
+from cyclamenlift.events.order_forwarding import OrderForwarder
+from cyclamenlift.events.orders import log_received
+from cyclamenlift.events.orders import MAX_FORWARDED_BYTES
 from cyclamenlift.events.orders import Order
+from cyclamenlift.events.orders import ORDER_TIMEOUT_SECONDS
 from cyclamenlift.events.orders import OrderDone
-from cyclamenlift.events.orders import PATIENCE_SECONDS
 from cyclamenlift.events.reports import PublishReport
 from cyclamenlift.wire.gen.protocol.ttypes import OrderRequest
 from cyclamenlift.wire.tasks import Link
@@ -18,22 +18,22 @@
 RELAY_SECONDS = 0.4
 
 
-class OrderDoor:
+class DaemonOrderHandler:
     """Accepts orders on a daemon and forwards all of them."""
 
-    def __init__(self, carrier: OrderCarrier):
-        self.carrier = carrier
-        carrier.network.subscribe(OrderRequest, self.on_request)
+    def __init__(self, forwarder: OrderForwarder):
+        self.forwarder = forwarder
+        forwarder.network.subscribe(OrderRequest, self.on_request)
 
     def take(self, order: Order, remote: Address, done: OrderDone) -> None:
         """Process an order from an operator."""
-        log_taken(order, remote, leads=False)
-        give_up_at = self.carrier.now() + PATIENCE_SECONDS
-        self.carrier.carry(order, give_up_at, done)
+        log_received(order, remote, leads=False)
+        give_up_at = self.forwarder.now() + ORDER_TIMEOUT_SECONDS
+        self.forwarder.forward(order, give_up_at, done)
 
-    def takes(self, body_length: int | None) -> bool:
+    def accepts_size(self, body_length: int | None) -> bool:
         """Return whether an order body of this length is accepted."""
-        return body_length is not None and body_length <= MOST_CARRIED_BYTES
+        return body_length is not None and body_length <= MAX_FORWARDED_BYTES
 
     def read(self, _done) -> bool:
         """Return False: only control instances serve documents."""
@@ -47,20 +47,22 @@
         """
 
         def reply(report: PublishReport) -> None:
-            link.send(answer_of(request, report))
+            link.send(answer_from_report(request, report))
 
         if request.relayed:
-            give_up_at = self.carrier.now() + RELAY_SECONDS
-            self.carrier.carry(order_of(request), give_up_at, reply)
+            give_up_at = self.forwarder.now() + RELAY_SECONDS
+            self.forwarder.forward(
+                order_from_request(request), give_up_at, reply
+            )
         else:
             code = ResultCode.NOT_LEADER
-            reply(PublishReport(code, self.carrier.instance))
+            reply(PublishReport(code, self.forwarder.instance))
 
-    def elsewhere(self) -> Address | None:
+    def alternate_address(self) -> Address | None:
         """Return None: callers know other daemons to retry at."""
         return None
 
-    def place(self) -> Address | None:
+    def location(self) -> Address | None:
         """Return the leader, or a control instance that is connected."""
-        network = self.carrier.network
-        return self.carrier.finder.choose(None, network.is_up)
+        network = self.forwarder.network
+        return self.forwarder.finder.choose(None, network.is_up)
--- a/cyclamenlift/events/giving.py
+++ b/cyclamenlift/events/document_answers.py
@@ -17,11 +17,11 @@
 # How long queued documents may occupy a link before further requests are
 # redirected, in seconds: an eighth of the 2 s in which a change has to be in
 # force.
-MOST_OCCUPIED_SECONDS = 0.25
+MAX_QUEUED_SECONDS = 0.25
 LOG = structlog.get_logger('events')
 
 
-class LinkShare:
+class LinkBudget:
     """Limits the documents queued on the link of one daemon."""
 
     def __init__(self) -> None:
@@ -29,25 +29,25 @@
         self.link_rate = 0.0
         self.free_at = 0.0
 
-    def take(self, size: int, now: float) -> bool:
+    def reserve(self, size: int, now: float) -> bool:
         """Reserve link time for ``size`` bytes, unless too much is queued."""
         if not self.link_rate:
             return True
         begins_at = max(now, self.free_at)
-        if begins_at - now > MOST_OCCUPIED_SECONDS:
+        if begins_at - now > MAX_QUEUED_SECONDS:
             return False
         self.free_at = begins_at + size / self.link_rate
         return True
 
 
-def lacks(history: DocumentHistory, request: DocumentRequest) -> bool:
+def needs_document(history: DocumentHistory, request: DocumentRequest) -> bool:
     """Return whether the sender needs a newer document."""
     if request.without_document:
         return False
     return history.version > (request.known_version or 0)
 
 
-def bare_answer(
+def version_answer(
     version: int, request: DocumentRequest, committed: bool
 ) -> DocumentAnswer:
     """Return an answer that contains only the version."""
@@ -61,16 +61,16 @@
     )
 
 
-def given_bytes(answer: DocumentAnswer) -> int:
+def document_size(answer: DocumentAnswer) -> int:
     """Return the size of the document data in an answer."""
     return len(answer.packed_document) + packed_size(answer.changes)
 
 
-def log_given(
+def log_document_answer(
     link: Link, request: DocumentRequest, answer: DocumentAnswer
 ) -> None:
     """Log that a document was sent, or not sent to save the link."""
-    size = given_bytes(answer)
+    size = document_size(answer)
     if not size and not answer.busy:
         return
     LOG.info(
--- a/cyclamenlift/events/pulling.py
+++ b/cyclamenlift/events/document_pulling.py
@@ -14,7 +14,7 @@
 
 from cyclamenlift.core.streams import Address
 from cyclamenlift.events.adoption import Offer
-from cyclamenlift.events.sources import Sources
+from cyclamenlift.events.sources import DocumentSources
 from cyclamenlift.wire.tasks import Link
 
 if typing.TYPE_CHECKING:
@@ -23,12 +23,12 @@
 # How long a pull may make no progress before another source is asked, in
 # seconds: a quarter of the 2 s in which a change has to be in force, and many
 # round trips (25 ms between regions).
-PULL_SECONDS = 0.5
+PULL_STALL_SECONDS = 0.5
 # Limit of a pull that makes progress, in seconds: half of those 2 s, since
 # bytes of calls on the connection count as progress too. The largest
 # documents, 65 KB compressed, need 0.26 s on a link of 2 Mbit/s and may be
 # queued for 0.25 s behind others.
-MOST_PULL_SECONDS = 1.0
+MAX_PULL_SECONDS = 1.0
 LOG = structlog.get_logger('events')
 
 
@@ -50,7 +50,7 @@
     deadline: float = 0.0
 
     def __post_init__(self) -> None:
-        self.deadline = self.began_at + PULL_SECONDS
+        self.deadline = self.began_at + PULL_STALL_SECONDS
 
     def covers(self, version: int, now: float) -> bool:
         """Return whether this pull is expected to deliver ``version``."""
@@ -58,23 +58,23 @@
             return False
         return now < self.deadline
 
-    def goes_on(self, received: int, now: float) -> bool:
+    def extend(self, received: int, now: float) -> bool:
         """Extend the deadline if bytes arrived; return whether it was."""
         moved = received > self.received
         self.received = received
-        if not moved or now >= self.began_at + MOST_PULL_SECONDS:
+        if not moved or now >= self.began_at + MAX_PULL_SECONDS:
             return False
-        self.deadline = now + PULL_SECONDS
+        self.deadline = now + PULL_STALL_SECONDS
         return True
 
 
-class Puller:
+class DocumentPuller:
     """Manages the single pull of a follower."""
 
     def __init__(self, follower: 'ConfigFollower'):
         self.follower = follower
-        self.under_way: Pull | None = None
-        self.sources = Sources()
+        self.current: Pull | None = None
+        self.sources = DocumentSources()
 
     def pull(self, version: int, address: str) -> None:
         """Fetch a version unless the current pull should deliver it."""
@@ -83,13 +83,13 @@
         except ValueError:
             LOG.warning('document_peer_unreadable', address=address[:100])
             return
-        pull = self.under_way
-        if not self.awaits(pull) or version > pull.version:
-            self.sources = Sources()
+        pull = self.current
+        if not self.is_pending(pull) or version > pull.version:
+            self.sources = DocumentSources()
         elif version < pull.version:
             return
-        self.sources.name(peer)
-        if self.awaits(pull) and pull.covers(version, self.follower.now()):
+        self.sources.add(peer)
+        if self.is_pending(pull) and pull.covers(version, self.follower.now()):
             return
         if peer not in self.sources.tried:
             self.begin(version, peer)
@@ -102,7 +102,7 @@
             began_at=follower.now(),
             received=follower.network.received_from(address),
         )
-        self.under_way = pull
+        self.current = pull
         self.sources.tried.add(address)
         LOG.info(
             'document_asked',
@@ -118,33 +118,33 @@
     def watch(self, pull: Pull) -> None:
         """Schedule a check for when the document should have arrived."""
         scheduler = self.follower.loop.scheduler
-        scheduler.after(PULL_SECONDS, lambda: self.check(pull))
+        scheduler.after(PULL_STALL_SECONDS, lambda: self.check(pull))
 
     def check(self, pull: Pull) -> None:
         """Keep waiting while bytes arrive, else ask another source."""
-        if not self.awaits(pull):
+        if not self.is_pending(pull):
             return
-        if not pull.failed and self.moves(pull):
+        if not pull.failed and self.made_progress(pull):
             self.watch(pull)
             return
-        self.ask_another(pull, 'silent')
-        if pull is self.under_way:
-            self.begin_anew(pull)
+        self.try_next_source(pull, 'silent')
+        if pull is self.current:
+            self.restart(pull)
 
-    def moves(self, pull: Pull) -> bool:
+    def made_progress(self, pull: Pull) -> bool:
         """Return whether a pull made progress since the last check."""
         received = self.follower.network.received_from(pull.address)
-        return pull.goes_on(received, self.follower.now())
+        return pull.extend(received, self.follower.now())
 
-    def awaits(self, pull: Pull | None) -> bool:
+    def is_pending(self, pull: Pull | None) -> bool:
         """Return whether this pull is the current one and unfinished."""
-        if pull is None or pull is not self.under_way:
+        if pull is None or pull is not self.current:
             return False
         if pull.version == self.follower.unreadable_version:
             return False
         return pull.version > self.follower.version
 
-    def ask_another(self, pull: Pull, why: str) -> None:
+    def try_next_source(self, pull: Pull, why: str) -> None:
         """Move a failed pull to a source that has not been tried yet.
 
         If there is none, the pull restarts at its next check, or when another
@@ -168,27 +168,27 @@
         """Return an untried source, None if there is none."""
         sources = self.sources
         follower = self.follower
-        named = sources.next_named()
-        if named is not None and not control_first:
-            return named
+        announcer = sources.next_announcer()
+        if announcer is not None and not control_first:
+            return announcer
         is_up = follower.network.is_up
         up = sources.next_control(follower.control, is_up, follower.rng)
-        if up is not None or named is not None:
-            return up or named
+        if up is not None or announcer is not None:
+            return up or announcer
         return sources.next_control(
             follower.control, lambda _address: True, follower.rng
         )
 
-    def begin_anew(self, pull: Pull) -> None:
+    def restart(self, pull: Pull) -> None:
         """Make all sources available again, preferring another one."""
-        self.sources.begin_anew(pull.address)
+        self.sources.reset(pull.address)
         self.begin(pull.version, self.choose() or pull.address)
 
-    def leave(self, source: str) -> None:
+    def leave_busy_source(self, source: str) -> None:
         """Move the pull away from ``source``, which is busy."""
-        pull = self.under_way
-        if self.awaits(pull) and str(pull.address) == source:
-            self.ask_another(pull, 'busy')
+        pull = self.current
+        if self.is_pending(pull) and str(pull.address) == source:
+            self.try_next_source(pull, 'busy')
 
     def on_answered(self, offer: Offer, request_id: int) -> None:
         """Ask another source if the answer did not bring the version.
@@ -196,15 +196,17 @@
         A complete document may be held back until other sources confirm its
         version.
         """
-        pull = self.under_way
-        if not self.awaits(pull) or str(pull.address) != offer.source:
+        pull = self.current
+        if not self.is_pending(pull) or str(pull.address) != offer.source:
             return
-        brought = offer.is_whole and offer.version >= pull.version
-        if request_id == pull.request_id and not brought:
-            self.ask_another(pull, 'empty')
+        is_complete = offer.is_whole and offer.version >= pull.version
+        if request_id == pull.request_id and not is_complete:
+            self.try_next_source(pull, 'empty')
 
     def on_link_lost(self, link: Link) -> None:
         """Ask another source at once when the current one disconnects."""
-        pull = self.under_way
-        if self.awaits(pull) and link.address == pull.address:
-            self.ask_another(pull, 'lost' if link.was_up else 'not reached')
+        pull = self.current
+        if self.is_pending(pull) and link.address == pull.address:
+            self.try_next_source(
+                pull, 'lost' if link.was_up else 'not reached'
+            )
--- a/cyclamenlift/events/carrying.py
+++ b/cyclamenlift/events/order_forwarding.py
@@ -8,10 +8,10 @@
 from cyclamenlift.core.streams import Address
 from cyclamenlift.core.tasks import Root
 from cyclamenlift.events.commands import Change
-from cyclamenlift.events.commands import SHOWN_ID
-from cyclamenlift.events.orders import OPEN_CODES
+from cyclamenlift.events.commands import LOGGED_ID_LENGTH
 from cyclamenlift.events.orders import Order
 from cyclamenlift.events.orders import OrderDone
+from cyclamenlift.events.orders import UNDECIDED_CODES
 from cyclamenlift.events.reports import PublishReport
 from cyclamenlift.ledger.errands import Errand
 from cyclamenlift.ledger.errands import LeaderErrands
@@ -23,17 +23,17 @@
 
 # Limit of orders that one instance forwards at a time. At the largest size
 # they take 2 MB of memory. Operators have eight orders in flight.
-MOST_CARRIED = 64
+MAX_FORWARDED_ORDERS = 64
 # Without a leader hint, one in this many requests goes to a control instance,
 # the others to a relaying daemon.
-RELAY_EACH = 2
+CONTROL_REQUEST_INTERVAL = 2
 # Result codes that decide an order. Unknown codes of a later release are not
 # final.
-FINAL_CODES = frozenset(ResultCode) - set(OPEN_CODES)
+FINAL_CODES = frozenset(ResultCode) - set(UNDECIDED_CODES)
 LOG = structlog.get_logger('orders')
 
 
-class OrderCarrier(LeaderErrands):
+class OrderForwarder(LeaderErrands):
     """Forwards orders to the leader from a daemon or a control instance.
 
     An order that reaches the leader twice is executed once, because its change
@@ -54,12 +54,12 @@
         self.instance = instance
         self.own_address = own_address
         # Returns a daemon that may be able to reach a leader, or None.
-        self.find_relay: Callable[[], Address | None] = lambda: None
+        self.find_relay_daemon: Callable[[], Address | None] = lambda: None
         network.subscribe(OrderAnswer, self.on_answer)
 
     # -- commands ---------------------------------------------------------
 
-    def carry(
+    def forward(
         self,
         order: Order,
         give_up_at: float,
@@ -71,9 +71,9 @@
         An order above the limit of concurrent ones is rejected at once.
         ``was_taken`` means that the order may already be in the log.
         """
-        if len(self.errands) >= MOST_CARRIED:
-            LOG.warning('order_not_carried', order=order.change.shown_id)
-            done(PublishReport(open_code(was_taken), self.instance))
+        if len(self.errands) >= MAX_FORWARDED_ORDERS:
+            LOG.warning('order_not_carried', order=order.change.short_id)
+            done(PublishReport(undecided_code(was_taken), self.instance))
             return
         change = order.change
         request = OrderRequest(
@@ -93,7 +93,7 @@
             errand.asked = None
             self.ask(errand)
 
-    def take_back(self) -> list[Errand]:
+    def withdraw(self) -> list[Errand]:
         """Stop forwarding and return all pending orders."""
         errands = list(self.errands.values())
         self.errands.clear()
@@ -111,8 +111,8 @@
         """
         errand.message.relayed = False
         relay = None
-        if errand.hinted is None and errand.hops % RELAY_EACH:
-            relay = self.find_relay()
+        if errand.hinted is None and errand.hops % CONTROL_REQUEST_INTERVAL:
+            relay = self.find_relay_daemon()
         if relay is None:
             return super().next_place(errand)
         errand.message.relayed = True
@@ -132,14 +132,14 @@
             self.plan(errand, self.now(), self.give_up)
 
     def give_up(self, errand: Errand) -> None:
-        code = open_code(errand.maybe_taken())
-        self.conclude(errand, PublishReport(code, self.instance))
+        code = undecided_code(errand.maybe_taken())
+        self.report_outcome(errand, PublishReport(code, self.instance))
 
-    def conclude(self, errand: Errand, report: PublishReport) -> None:
+    def report_outcome(self, errand: Errand, report: PublishReport) -> None:
         """Report the outcome and log how it was obtained."""
         LOG.info(
             'order_carried',
-            order=errand.message.change_id[:SHOWN_ID],
+            order=errand.message.change_id[:LOGGED_ID_LENGTH],
             code=int(report.code),
             via=str(errand.asked or ''),
             asked=errand.hops,
@@ -158,7 +158,9 @@
         elif answer.code in FINAL_CODES:
             if not errand.message.relayed:
                 self.finder.note_leader(link.address)
-            self.conclude(errand, report_of(answer, self.instance))
+            self.report_outcome(
+                errand, report_from_answer(answer, self.instance)
+            )
         else:
             self.on_lost_leader(errand, link)
 
@@ -171,14 +173,14 @@
         return None if address == self.own_address else address
 
 
-def open_code(maybe_taken: bool) -> ResultCode:
+def undecided_code(maybe_taken: bool) -> ResultCode:
     """Return the result code of an order without an outcome."""
     if maybe_taken:
         return ResultCode.CHANGE_UNKNOWN
     return ResultCode.NOT_LEADER
 
 
-def order_of(request: OrderRequest) -> Order:
+def order_from_request(request: OrderRequest) -> Order:
     """Return the order that a request contains."""
     change = Change(
         change_id=request.change_id or '',
@@ -188,7 +190,7 @@
     return Order(request.kind or '', change, request.body or b'')
 
 
-def answer_of(
+def answer_from_report(
     request: OrderRequest, report: PublishReport, leader: Address | None = None
 ) -> OrderAnswer:
     """Return the answer message for the outcome of an order."""
@@ -202,7 +204,7 @@
     )
 
 
-def report_of(answer: OrderAnswer, instance: str) -> PublishReport:
+def report_from_answer(answer: OrderAnswer, instance: str) -> PublishReport:
     return PublishReport(
         ResultCode(answer.code),
         instance,
--- a/cyclamenlift/events/orders.py
+++ b/cyclamenlift/events/orders.py
@@ -17,14 +17,14 @@
 
 # How long an instance tries to get an outcome before it reports that there is
 # none, in seconds. Callers wait for one second.
-PATIENCE_SECONDS = 0.7
+ORDER_TIMEOUT_SECONDS = 0.7
 # Larger orders are not forwarded; their callers send them to the leader. They
 # would saturate the links of daemons and, between control instances, delay the
 # replicated log.
-MOST_CARRIED_BYTES = 32 * 1024
-MOST_DESK_BYTES = 256 * 1024
+MAX_FORWARDED_BYTES = 32 * 1024
+MAX_ORDER_BYTES = 256 * 1024
 # Result codes that leave the outcome of an order undecided.
-OPEN_CODES = (ResultCode.NOT_LEADER, ResultCode.CHANGE_UNKNOWN)
+UNDECIDED_CODES = (ResultCode.NOT_LEADER, ResultCode.CHANGE_UNKNOWN)
 LOG = structlog.get_logger('orders')
 
 
@@ -63,7 +63,7 @@
 ORDER_KINDS: Registry[OrderKind] = Registry('kind of order')
 
 
-class OrderTaker(Protocol):
+class OrderHandler(Protocol):
     """Accepts operators' orders, on a control instance or a daemon."""
 
     def take(self, order: Order, remote: Address, done: OrderDone) -> None:
@@ -73,24 +73,24 @@
         CHANGE_UNKNOWN that it may have been.
         """
 
-    def takes(self, body_length: int | None) -> bool:
+    def accepts_size(self, body_length: int | None) -> bool:
         """Return whether a body of this length is accepted (None: unknown)."""
 
     def read(self, done: Callable[[DocumentReport], None]) -> bool:
         """Report the current document; False if this instance can't."""
 
-    def place(self) -> Address | None:
+    def location(self) -> Address | None:
         """Return the leader's address, or one that may know the leader."""
 
-    def elsewhere(self) -> Address | None:
+    def alternate_address(self) -> Address | None:
         """Return an instance to retry at if no leader is reachable here."""
 
 
-def log_taken(order: Order, remote: Address, leads: bool) -> None:
+def log_received(order: Order, remote: Address, leads: bool) -> None:
     """Log that an operator's order was received."""
     LOG.info(
         'order_taken',
-        order=order.change.shown_id,
+        order=order.change.short_id,
         kind=order.kind,
         base=order.change.base_version,
         chosen=order.change.chosen_version,
@@ -99,7 +99,7 @@
     )
 
 
-def log_sent_on(path: str, place: Address | None) -> None:
+def log_redirected(path: str, place: Address | None) -> None:
     """Log where a caller was redirected, if anywhere."""
     LOG.info('caller_sent_on', path=path[:100], place=str(place or ''))
 
@@ -109,7 +109,7 @@
     LOG.info(
         'change_answered',
         code=int(report.code),
-        change=order.change.shown_id,
+        change=order.change.short_id,
         base=order.change.base_version,
         chosen=order.change.chosen_version,
         current=report.current_version,
--- a/cyclamenlift/events/partial.py
+++ b/cyclamenlift/events/partial_changes.py
@@ -15,7 +15,7 @@
 from cyclamenlift.core.codes import ResultCode
 from cyclamenlift.core.problems import Problem
 from cyclamenlift.events.commands import Change
-from cyclamenlift.events.commands import failed_report
+from cyclamenlift.events.commands import internal_error_report
 from cyclamenlift.events.commands import invalid_report
 from cyclamenlift.events.commands import not_leader_report
 from cyclamenlift.events.commands import outcome_report
@@ -67,8 +67,8 @@
         edited = edit(document_from_bytes(data))
     except Exception as error:
         # This runs inside the replica, which stops on an unhandled error.
-        LOG.exception('order_failed', order=change.shown_id)
-        done(failed_report(context, error))
+        LOG.exception('order_failed', order=change.short_id)
+        done(internal_error_report(context, error))
         return
     if isinstance(edited, Failure):
         done(invalid_report(context, [edited.failure()]))
--- a/cyclamenlift/events/border.py
+++ b/cyclamenlift/events/request_models.py
@@ -36,7 +36,7 @@
     storage_id: Annotated[str, pydantic.Field(min_length=1, max_length=128)]
 
 
-def read_border(
+def parse_request_body(
     kind: type[pydantic.BaseModel], body: bytes
 ) -> Result[pydantic.BaseModel, Problem]:
     """Parse a JSON body as ``kind``; report the first invalid field."""
--- a/cyclamenlift/events/server.py
+++ b/cyclamenlift/events/server.py
@@ -5,9 +5,9 @@
 
 from returns.result import Success
 
-from cyclamenlift.events.giving import bare_answer
-from cyclamenlift.events.giving import lacks
-from cyclamenlift.events.giving import log_given
+from cyclamenlift.events.document_answers import log_document_answer
+from cyclamenlift.events.document_answers import needs_document
+from cyclamenlift.events.document_answers import version_answer
 from cyclamenlift.events.history import DocumentHistory
 from cyclamenlift.events.history import packed_size
 from cyclamenlift.events.state import EventStore
@@ -18,11 +18,11 @@
 from cyclamenlift.wire.tasks import PeerNetwork
 
 LINKS_KEPT = 1024
-LINKS_TOLD = 8
+PUSH_FANOUT = 8
 # Maximum size of a change that is pushed unrequested, in bytes: one packet.
 # Several instances may push to the same daemon, and larger changes are pulled
 # by the daemons that need them.
-MOST_TOLD_BYTES = 1_400
+MAX_PUSHED_BYTES = 1_400
 
 
 class DocumentServer:
@@ -62,7 +62,7 @@
         ] = collections.OrderedDict()
         self.waiting: list[tuple[Link, DocumentRequest]] = []
         # Requests received while no leader was known, by link number.
-        self.unsure: dict[int, tuple[Link, DocumentRequest]] = {}
+        self.awaiting_leader: dict[int, tuple[Link, DocumentRequest]] = {}
         self.reading = False
         network.subscribe(DocumentRequest, self.on_request)
         network.subscribe_lost(self.on_link_lost)
@@ -74,23 +74,23 @@
             self.links.popitem(last=False)
         if self.replica.leader != self.instance:
             if not self.replica.leader:
-                self.unsure[link.number] = (link, request)
-            self.give(link, request, False)
+                self.awaiting_leader[link.number] = (link, request)
+            self.send_answer(link, request, False)
             return
         self.waiting.append((link, request))
         if not self.reading:
-            self.read_for_waiting()
+            self.answer_waiting()
 
     def on_leader(self, leader: str) -> None:
         """Answer again the requests received while no leader was known."""
         if not leader:
             return
-        asked = list(self.unsure.values())
-        self.unsure.clear()
+        asked = list(self.awaiting_leader.values())
+        self.awaiting_leader.clear()
         for link, request in asked:
             self.on_request(link, request)
 
-    def read_for_waiting(self) -> None:
+    def answer_waiting(self) -> None:
         """Confirm leadership once for all waiting requests.
 
         Requests that arrive during the read wait for the next one: a read says
@@ -103,25 +103,25 @@
             self.reading = False
             committed = isinstance(result, Success)
             for link, request in batch:
-                self.give(link, request, committed)
+                self.send_answer(link, request, committed)
             if self.waiting:
-                self.read_for_waiting()
+                self.answer_waiting()
 
         self.replica.read_barrier(finish)
 
-    def give(
+    def send_answer(
         self, link: Link, request: DocumentRequest, committed: bool
     ) -> None:
         answer = self.answer(request, committed)
         link.send(answer)
-        log_given(link, request, answer)
+        log_document_answer(link, request, answer)
 
     def answer(
         self, request: DocumentRequest, committed: bool
     ) -> DocumentAnswer:
         history = self.newest()
-        answer = bare_answer(history.version, request, committed)
-        if lacks(history, request):
+        answer = version_answer(history.version, request, committed)
+        if needs_document(history, request):
             if request.takes_changes:
                 answer.changes = history.since(request.known_version or 0)
             else:
@@ -143,24 +143,24 @@
             self.history.put(version, lines)
         return self.history
 
-    def tell(self, version: int) -> None:
+    def push_version(self, version: int) -> None:
         """Push a new version to a random sample of recent requesters."""
         asked = list(self.links.values())
-        chosen = self.rng.sample(asked, min(LINKS_TOLD, len(asked)))
+        chosen = self.rng.sample(asked, min(PUSH_FANOUT, len(asked)))
         for link, request in chosen:
-            link.send(self.news(request))
+            link.send(self.pushed_answer(request))
 
-    def news(self, request: DocumentRequest) -> DocumentAnswer:
+    def pushed_answer(self, request: DocumentRequest) -> DocumentAnswer:
         """Return a pushed answer, with the newest change if it is small."""
         if not request.takes_changes:
             return self.answer(DocumentRequest(0, 0), False)
         history = self.newest()
-        answer = bare_answer(history.version, DocumentRequest(0, 0), False)
+        answer = version_answer(history.version, DocumentRequest(0, 0), False)
         last = history.last()
-        if packed_size(last) <= MOST_TOLD_BYTES:
+        if packed_size(last) <= MAX_PUSHED_BYTES:
             answer.changes = last
         return answer
 
     def on_link_lost(self, link: Link) -> None:
         self.links.pop(link.number, None)
-        self.unsure.pop(link.number, None)
+        self.awaiting_leader.pop(link.number, None)
--- a/cyclamenlift/events/sources.py
+++ b/cyclamenlift/events/sources.py
@@ -12,34 +12,34 @@
 
 # Number of peers remembered for a version: as many as one peer that has it
 # notifies at once.
-MOST_NAMED = 8
+MAX_ANNOUNCERS = 8
 
 
-class Sources:
+class DocumentSources:
     """The peers that announced a version, newest last, and those tried.
 
-    Each address is chosen once until ``begin_anew``, so that connections that
+    Each address is chosen once until ``reset``, so that connections that
     fail immediately can't cause an endless loop.
     """
 
     def __init__(self) -> None:
-        self.named: dict[Address, None] = {}
+        self.announcers: dict[Address, None] = {}
         self.tried: set[Address] = set()
 
-    def name(self, address: Address) -> None:
+    def add(self, address: Address) -> None:
         """Record that a peer has the version."""
-        self.named.pop(address, None)
-        self.named[address] = None
-        if len(self.named) > MOST_NAMED:
-            del self.named[next(iter(self.named))]
+        self.announcers.pop(address, None)
+        self.announcers[address] = None
+        if len(self.announcers) > MAX_ANNOUNCERS:
+            del self.announcers[next(iter(self.announcers))]
 
-    def begin_anew(self, last: Address) -> None:
+    def reset(self, last: Address) -> None:
         """Make all sources available again except the last one."""
         self.tried = {last}
 
-    def next_named(self) -> Address | None:
+    def next_announcer(self) -> Address | None:
         """Return the untried peer with the most recent announcement."""
-        for address in reversed(self.named):
+        for address in reversed(self.announcers):
             if address not in self.tried:
                 return address
         return None
--- a/cyclamenlift/events/state.py
+++ b/cyclamenlift/events/state.py
@@ -77,7 +77,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class KeptDocument:
+class StoredDocument:
     """The canonical bytes of one version, usually compressed.
 
     ``packed`` is false in snapshots of releases that stored documents
@@ -97,7 +97,7 @@
     version: int
     versions: list[VersionRecord]
     changes: list[ChangeRecord]
-    documents: list[KeptDocument]
+    documents: list[StoredDocument]
 
 
 PUBLISH_OUTCOME = pydantic.TypeAdapter(PublishOutcome)
@@ -168,7 +168,7 @@
                 'the change id belongs to another document',
             )
         parsed = parse_document(document)
-        outcome = self.decide(
+        outcome = self.evaluate(
             change_id, base_version, document, parsed, chosen_version
         )
         accepted = outcome.code == ResultCode.CHANGE_ACCEPTED
@@ -181,11 +181,11 @@
                 stamp_unix_ms,
                 digest,
             )
-            self.take(record, document, parsed)
-        self.remember(ChangeRecord(change_id, digest, outcome))
+            self.put_in_force(record, document, parsed)
+        self.record_change(ChangeRecord(change_id, digest, outcome))
         return outcome
 
-    def decide(
+    def evaluate(
         self,
         change_id: str,
         base_version: int,
@@ -225,7 +225,7 @@
     def refuse(self, code: ResultCode, detail: str) -> PublishOutcome:
         return PublishOutcome(int(code), 0, self.version, detail)
 
-    def take(
+    def put_in_force(
         self, record: VersionRecord, document: bytes, parsed: EventDocument
     ) -> None:
         """Make an accepted document the current one."""
@@ -236,7 +236,7 @@
             del self.documents[next(iter(self.documents))]
         self.rules = rules_from_document(parsed, record.version)
 
-    def remember(self, record: ChangeRecord) -> None:
+    def record_change(self, record: ChangeRecord) -> None:
         """Record the outcome of a change id and evict the oldest ones."""
         self.changes[record.change_id] = record
         while len(self.changes) > CHANGE_IDS_KEPT:
@@ -270,7 +270,7 @@
     def encode(self) -> bytes:
         """Serialize the state as the JSON of an ``EventSnapshot``."""
         kept = [
-            KeptDocument(version, packed, packed=True)
+            StoredDocument(version, packed, packed=True)
             for version, packed in sorted(self.documents.items())
         ]
         state = EventSnapshot(
--- a/cyclamenlift/events/tasks.py
+++ b/cyclamenlift/events/tasks.py
@@ -16,13 +16,13 @@
 from cyclamenlift.core.tasks import Root
 from cyclamenlift.events.adoption import Adoption
 from cyclamenlift.events.adoption import Offer
-from cyclamenlift.events.giving import bare_answer
-from cyclamenlift.events.giving import given_bytes
-from cyclamenlift.events.giving import lacks
-from cyclamenlift.events.giving import LinkShare
-from cyclamenlift.events.giving import log_given
-from cyclamenlift.events.lagging import Lag
-from cyclamenlift.events.pulling import Puller
+from cyclamenlift.events.document_answers import document_size
+from cyclamenlift.events.document_answers import LinkBudget
+from cyclamenlift.events.document_answers import log_document_answer
+from cyclamenlift.events.document_answers import needs_document
+from cyclamenlift.events.document_answers import version_answer
+from cyclamenlift.events.document_pulling import DocumentPuller
+from cyclamenlift.events.version_lag import VersionLag
 from cyclamenlift.models.lines import canonical_from_lines
 from cyclamenlift.models.rules import EventRules
 from cyclamenlift.wire.gen.protocol.ttypes import DocumentAnswer
@@ -72,15 +72,15 @@
         self.control = list(control)
         self.rng = rng
         self.adoption = Adoption()
-        self.numbers = itertools.count(1)
+        self.request_ids = itertools.count(1)
         self.hooks: list[Callable[[EventRules], None]] = []
         # Called with the leader's address each time it is reported.
         self.leader_hooks: list[Callable[[Address], None]] = []
-        self.puller = Puller(self)
-        self.share = LinkShare()
-        self.lag = Lag()
+        self.puller = DocumentPuller(self)
+        self.link_budget = LinkBudget()
+        self.lag = VersionLag()
         # Request the full document next, since the last diff did not apply.
-        self.wants_whole = False
+        self.needs_full_document = False
         # The newest version that failed to parse here. It would fail from any
         # source.
         self.unreadable_version = 0
@@ -157,15 +157,15 @@
     def stop(self) -> None:
         """Stop polling; the current document stays in force."""
         self.started = False
-        self.puller.under_way = None
+        self.puller.current = None
 
     def note_version(self, version: int, peer_address: str) -> None:
         """Handle the gossip that a peer has this version in force."""
         if version <= self.version:
             return
-        self.lag.hear(version, self.now())
+        self.lag.record_report(version, self.now())
         if not self.adoption.running:
-            self.adoption.hear(Offer(peer_address, version))
+            self.adoption.record_offer(Offer(peer_address, version))
             return
         self.pull(version, peer_address)
 
@@ -180,20 +180,20 @@
             return
         period = POLL_SECONDS if self.confirmed else self.confirm_wait
         self.confirm_wait = min(CONFIRM_SECONDS, 2 * self.confirm_wait)
-        spread = self.rng.uniform(1 - JITTER, 1 + JITTER)
-        self.loop.scheduler.after(period * spread, self.poll)
+        factor = self.rng.uniform(1 - JITTER, 1 + JITTER)
+        self.loop.scheduler.after(period * factor, self.poll)
         if not self.control:
             self.try_fall_back()
             return
         if self.confirmed:
-            self.ask_strangers()
+            self.ask_unlinked()
             self.ask(self.rng.choice(self.control))
             return
         for address in self.control:
             self.ask(address, with_document=False)
         self.try_fall_back()
 
-    def ask_strangers(self) -> None:
+    def ask_unlinked(self) -> None:
         """Ask unconnected control instances, so that all can push."""
         for address in self.control:
             if not self.network.is_linked(address):
@@ -206,8 +206,8 @@
         """
         self.asked_at[str(address)] = self.now()
         request = DocumentRequest(
-            request_id=next(self.numbers),
-            known_version=0 if self.wants_whole else self.version,
+            request_id=next(self.request_ids),
+            known_version=0 if self.needs_full_document else self.version,
             takes_changes=True,
             without_document=not with_document,
         )
@@ -225,13 +225,13 @@
         """Adopt the highest reported version if no majority answers."""
         if self.adoption.running or self.now() < self.fall_back_at:
             return
-        best = self.adoption.best_heard()
-        if best is None:
+        reported = self.adoption.best_reported()
+        if reported is None:
             return
-        if not best.is_whole:
-            self.pull(best.version, best.source)
+        if not reported.is_whole:
+            self.pull(reported.version, reported.source)
             return
-        self.conclude(self.adoption.fall_back(), best)
+        self.handle_result(self.adoption.fall_back(), reported)
 
     # -- messages ---------------------------------------------------------
 
@@ -241,27 +241,27 @@
         offer = Offer(
             source=str(link.address or link.stream.remote),
             version=answer.version or 0,
-            document=packed_of(answer),
+            document=packed_document_of(answer),
             majority=from_control and bool(answer.committed),
             changes=tuple(answer.changes or ()),
         )
-        self.conclude(self.adoption.consider(offer), offer)
-        self.go_on(offer, bool(answer.busy))
+        self.handle_result(self.adoption.consider(offer), offer)
+        self.pull_missing(offer, bool(answer.busy))
         self.puller.on_answered(offer, answer.request_id or 0)
         if offer.majority:
             self.note_leader(link.address)
         if from_control and answer.leader_address:
-            self.follow_hint(answer.leader_address)
+            self.ask_hinted_leader(answer.leader_address)
 
-    def go_on(self, offer: Offer, busy: bool) -> None:
+    def pull_missing(self, offer: Offer, busy: bool) -> None:
         """Pull a version that an answer named but did not include."""
         if offer.version <= self.version:
             return
-        self.lag.hear(offer.version, self.now())
-        if not self.adoption.believes(offer.version):
+        self.lag.record_report(offer.version, self.now())
+        if not self.adoption.is_trusted(offer.version):
             return
         if busy:
-            self.puller.leave(offer.source)
+            self.puller.leave_busy_source(offer.source)
         else:
             self.pull(offer.version, offer.source)
 
@@ -274,7 +274,7 @@
         for hook in self.leader_hooks:
             hook(address)
 
-    def follow_hint(self, leader_address: str) -> None:
+    def ask_hinted_leader(self, leader_address: str) -> None:
         """Ask the leader that a follower named, unless just asked."""
         try:
             address = Address.parse(leader_address)
@@ -296,33 +296,37 @@
         """Send a peer the changes it needs, or report that we are busy."""
         history = self.adoption.history
         # Only the leader can confirm that nothing newer is committed.
-        answer = bare_answer(history.version, request, committed=False)
-        if lacks(history, request):
-            self.fill(answer, request)
+        answer = version_answer(history.version, request, committed=False)
+        if needs_document(history, request):
+            self.add_document(answer, request)
         link.send(answer)
-        log_given(link, request, answer)
+        log_document_answer(link, request, answer)
 
-    def fill(self, answer: DocumentAnswer, request: DocumentRequest) -> None:
+    def add_document(
+        self, answer: DocumentAnswer, request: DocumentRequest
+    ) -> None:
         history = self.adoption.history
         if request.takes_changes:
             answer.changes = history.since(request.known_version or 0)
         else:
             answer.packed_document = pack(canonical_from_lines(history.lines))
-        if not self.share.take(given_bytes(answer), self.now()):
+        if not self.link_budget.reserve(document_size(answer), self.now()):
             answer.changes = []
             answer.packed_document = b''
             answer.busy = True
 
-    def conclude(self, result: Result[bool, Problem], offer: Offer) -> None:
+    def handle_result(
+        self, result: Result[bool, Problem], offer: Offer
+    ) -> None:
         """Log a rejected document, or notify subscribers of a new one."""
         if isinstance(result, Failure):
             problem = result.failure()
             LOG.warning('document_refused', problem=problem.line())
-            self.note_refused(offer)
+            self.note_rejected(offer)
             return
         if not result.unwrap():
             return
-        self.wants_whole = False
+        self.needs_full_document = False
         LOG.info(
             'document_in_force',
             version=self.version,
@@ -334,19 +338,19 @@
         for hook in self.hooks:
             hook(self.rules)
 
-    def note_refused(self, offer: Offer) -> None:
+    def note_rejected(self, offer: Offer) -> None:
         """Request the full document next, after a diff that failed.
 
         A diff may have been applied to the wrong base. A full document is the
         same from every source and may need a later release; the polls look for
         its successor.
         """
-        self.wants_whole = True
+        self.needs_full_document = True
         if offer.is_whole:
             self.unreadable_version = offer.version
 
 
-def packed_of(answer: DocumentAnswer) -> bytes:
+def packed_document_of(answer: DocumentAnswer) -> bytes:
     """Return the compressed document of an answer, empty if none."""
     if answer.packed_document:
         return answer.packed_document
--- a/cyclamenlift/events/lagging.py
+++ b/cyclamenlift/events/version_lag.py
@@ -8,31 +8,31 @@
 # How long a report of a newer version is valid, in seconds. Members include
 # their version in every packet, several times a second. If a report isn't
 # repeated for this long, the member that had the version may be gone.
-WORD_COUNTS_SECONDS = 5.0
+REPORT_VALID_SECONDS = 5.0
 # How long a starting daemon waits for the newest document before it serves
 # callers anyway, in seconds. Equals the time after which it stops waiting for
 # a majority.
 CATCH_UP_SECONDS = 3.0
 
 
-class Lag:
+class VersionLag:
     """Compares the newest reported version with the current one."""
 
     def __init__(self) -> None:
         self.version = 0
-        self.word_counts_until = 0.0
+        self.report_valid_until = 0.0
         self.catch_up_by = 0.0
         self.caught_up = False
 
-    def hear(self, version: int, now: float) -> None:
+    def record_report(self, version: int, now: float) -> None:
         """Record that a member has this version."""
         if version >= self.version:
             self.version = version
-            self.word_counts_until = now + WORD_COUNTS_SECONDS
+            self.report_valid_until = now + REPORT_VALID_SECONDS
 
     def is_behind(self, in_force: int, now: float) -> bool:
         """Return whether a version newer than the current one is known."""
-        return self.version > in_force and now < self.word_counts_until
+        return self.version > in_force and now < self.report_valid_until
 
     def has_caught_up(self, in_force: int, now: float) -> bool:
         """Return whether the daemon has once had the newest known version.
--- a/cyclamenlift/membership/budget.py
+++ b/cyclamenlift/membership/budget.py
@@ -10,7 +10,7 @@
 # A pull is sent only while the budget could also cover an answer: otherwise
 # the bytes go into requests that no member can answer.
 PULL_RESERVE = 1_500
-LEAST_ANSWER = 400
+MIN_ANSWER_BYTES = 400
 CREDIT_BYTES = 20_000
 
 
@@ -30,7 +30,7 @@
         self.tokens = burst
         self.filled_at = now
 
-    def room(self, now: float) -> int:
+    def available(self, now: float) -> int:
         """Return the number of bytes that may be sent now."""
         if now > self.filled_at:
             grown = self.tokens + (now - self.filled_at) * self.rate
@@ -40,17 +40,19 @@
 
     def may_pull(self, now: float) -> bool:
         """Return whether the budget allows a pull now."""
-        return self.room(now) >= PULL_RESERVE
+        return self.available(now) >= PULL_RESERVE
 
-    def answer_room(self, now: float, newcomer: bool) -> int:
+    def answer_allowance(self, now: float, newcomer: bool) -> int:
         """Return the bytes of records that an answer to a pull may contain.
 
         A newcomer gets a short answer even on credit, because it knows no
         other member to ask.
         """
-        room = self.room(now)
-        if not newcomer or room > REFERRAL_SHARE * self.burst:
-            return room if room >= LEAST_ANSWER else 0
+        available_bytes = self.available(now)
+        if not newcomer or available_bytes > REFERRAL_SHARE * self.burst:
+            return (
+                available_bytes if available_bytes >= MIN_ANSWER_BYTES else 0
+            )
         return REFERRAL_BYTES if self.tokens > -CREDIT_BYTES else 0
 
     def spend(self, size: int) -> None:
--- a/cyclamenlift/membership/digests.py
+++ b/cyclamenlift/membership/digests.py
@@ -21,10 +21,10 @@
 MAX_MARKS_SIZE = 240
 
 
-def short(mark: int) -> str:
+def short_mark(mark: int) -> str:
     """Return the low bits of a fingerprint as hexadecimal text.
 
-    >>> short(0x1234ABCD)
+    >>> short_mark(0x1234ABCD)
     'abcd'
     """
     return f'{mark & MASK:0{DIGITS}x}'
@@ -35,12 +35,12 @@
     return [text[i : i + DIGITS] for i in range(0, len(text), DIGITS)]
 
 
-def write_digests(table: MemberTable) -> str:
+def encode_digests(table: MemberTable) -> str:
     """Return the short digests of all buckets."""
-    return ''.join(short(mark) for mark in table.marks)
+    return ''.join(short_mark(mark) for mark in table.marks)
 
 
-def write_marks(table: MemberTable, rng: random.Random) -> str:
+def encode_marks(table: MemberTable, rng: random.Random) -> str:
     """Return the fingerprints of as many buckets as fit.
 
     Starts at a random bucket.
@@ -59,17 +59,19 @@
 
 def bucket_marks(table: MemberTable, number: int) -> str:
     entries = table.buckets[number].values()
-    marks = ''.join(short(e.mark) for e in entries if is_live(e.record))
+    marks = ''.join(short_mark(e.mark) for e in entries if is_live(e.record))
     return f'{number}:{marks}'
 
 
-def wanted(table: MemberTable, text: str, rng: random.Random) -> list[Entry]:
+def select_entries(
+    table: MemberTable, text: str, rng: random.Random
+) -> list[Entry]:
     """Return the entries that answer a pull, in sending order.
 
     A malformed text requests nothing.
     """
     if not text:
-        return everything(table, rng)
+        return all_live_entries(table, rng)
     if ':' in text:
         return missing_entries(table, text)
     if len(text) != DIGESTS_SIZE:
@@ -77,7 +79,7 @@
     return differing_entries(table, split_marks(text), rng)
 
 
-def everything(table: MemberTable, rng: random.Random) -> list[Entry]:
+def all_live_entries(table: MemberTable, rng: random.Random) -> list[Entry]:
     entries = [e for e in table.entries.values() if is_live(e.record)]
     rng.shuffle(entries)
     return entries
@@ -88,7 +90,7 @@
 ) -> list[Entry]:
     """Return all entries of differing buckets, tombstones included."""
     numbers = [
-        n for n in range(BUCKETS) if digests[n] != short(table.marks[n])
+        n for n in range(BUCKETS) if digests[n] != short_mark(table.marks[n])
     ]
     rng.shuffle(numbers)
     return [e for n in numbers for e in table.buckets[n].values()]
@@ -103,7 +105,7 @@
             continue
         known = set(split_marks(marks))
         for entry in table.buckets[int(name)].values():
-            listed = short(fingerprint(entry.record)) in known
+            listed = short_mark(fingerprint(entry.record)) in known
             if listed != is_live(entry.record):
                 result.append(entry)
     return result
--- a/cyclamenlift/membership/dissemination.py
+++ b/cyclamenlift/membership/dissemination.py
@@ -10,7 +10,7 @@
 # With more pending changes than this, each is sent less often: pulls by digest
 # recover what was missed for a fraction of the bytes.
 FULL_QUEUE = 48
-LEAST_TRANSMISSIONS = 2
+MIN_TRANSMISSIONS = 2
 
 
 def retransmissions(members: int) -> int:
@@ -61,7 +61,7 @@
         most = retransmissions(members)
         if len(self.sent) <= FULL_QUEUE:
             return most
-        return max(LEAST_TRANSMISSIONS, most * FULL_QUEUE // len(self.sent))
+        return max(MIN_TRANSMISSIONS, most * FULL_QUEUE // len(self.sent))
 
     def count(self, name: str, limit: int) -> None:
         self.sent[name] += 1
--- a/cyclamenlift/membership/health.py
+++ b/cyclamenlift/membership/health.py
@@ -9,7 +9,7 @@
 import math
 
 # Each side of a partition keeps at least this share of the members it knew.
-HOLD_SHARE = 0.4
+MAX_FAILING_SHARE = 0.4
 WINDOW = 10
 SUSPICION_FACTOR = 1.5
 SUSPICION_FLOOR = 4.0
@@ -39,12 +39,12 @@
         """Return the share of recent probes that were not answered."""
         return self.outcomes.count(False) / WINDOW
 
-    def must_hold(self, failing: int, known: int) -> bool:
+    def must_defer_death(self, failing: int, known: int) -> bool:
         """Return whether another death may not be declared or accepted.
 
         ``failing`` counts SUSPECT and DEAD records including the one in
         question, ``known`` all records except LEFT ones.
         """
-        if self.failing_share() > HOLD_SHARE:
+        if self.failing_share() > MAX_FAILING_SHARE:
             return True
-        return failing > HOLD_SHARE * known
+        return failing > MAX_FAILING_SHARE * known
--- a/cyclamenlift/membership/joining.py
+++ b/cyclamenlift/membership/joining.py
@@ -18,7 +18,7 @@
 # records reach the others; 64 packets of 200 bytes are two and a half seconds
 # of an instance's send budget.
 INTRODUCE_SECONDS = 3.0
-MOST_INTRODUCTIONS = 4
+MAX_INTRODUCTIONS = 4
 INTRODUCE_FANOUT = 16
 
 
@@ -27,7 +27,7 @@
 
     def __init__(self, now: float) -> None:
         self.deadline = now + INTRODUCE_SECONDS
-        self.left = MOST_INTRODUCTIONS
+        self.left = MAX_INTRODUCTIONS
 
     def take(self, now: float) -> bool:
         """Consume one introduction; return False if none may be sent."""
--- a/cyclamenlift/membership/verdicts.py
+++ b/cyclamenlift/membership/liveness.py
@@ -16,7 +16,7 @@
 TOMBSTONE_PERIODS = 120
 # Far longer than a partition between regions; a suspect is then declared dead
 # regardless of local health.
-HOLD_SECONDS = 6 * 3600.0
+MAX_DEFERRAL_SECONDS = 6 * 3600.0
 
 
 @dataclasses.dataclass(slots=True)
@@ -24,14 +24,14 @@
     """A suspect may refute until ``deadline``.
 
     If its death may not be declared then, it stays suspected until
-    ``hold_until`` at the latest.
+    ``defer_until`` at the latest.
     """
 
     deadline: float
-    hold_until: float
+    defer_until: float
 
 
-class Verdicts:
+class LivenessTracker:
     """The member table and the rules for state changes."""
 
     def __init__(self, period: float) -> None:
@@ -50,7 +50,7 @@
         if record.state == MemberState.SUSPECT:
             periods = suspicion_periods(self.table.live_count())
             self.suspicions[record.instance] = Suspicion(
-                now + periods * self.period, now + HOLD_SECONDS
+                now + periods * self.period, now + MAX_DEFERRAL_SECONDS
             )
 
     def consider(
@@ -67,7 +67,7 @@
             return None
         if record.state != MemberState.DEAD or known is None:
             return record
-        if not is_live(known) or not self.must_hold(known):
+        if not is_live(known) or not self.must_defer_death(known):
             return record
         held = revise(record, state=MemberState.SUSPECT)
         return held if supersedes(held, known) else None
@@ -91,12 +91,12 @@
     def known(self) -> int:
         return len(self.table) - self.table.counts[MemberState.LEFT]
 
-    def must_hold(self, record: MemberRecord) -> bool:
+    def must_defer_death(self, record: MemberRecord) -> bool:
         """Return whether this member may not be declared dead now."""
         failing = self.failing()
         if record.state == MemberState.ALIVE:
             failing += 1
-        return self.health.must_hold(failing, self.known())
+        return self.health.must_defer_death(failing, self.known())
 
     def due_deaths(self, now: float) -> list[MemberRecord]:
         """Return the DEAD record of a suspect whose deadline has passed."""
@@ -104,7 +104,9 @@
             if suspicion.deadline > now:
                 continue
             record = self.table.entries[name].record
-            held = self.must_hold(record) and now < suspicion.hold_until
+            held = (
+                self.must_defer_death(record) and now < suspicion.defer_until
+            )
             if not held:
                 return [revise(record, state=MemberState.DEAD)]
         return []
@@ -113,7 +115,7 @@
         """Extend all suspicions by the time that this process was stalled."""
         for suspicion in self.suspicions.values():
             suspicion.deadline += seconds
-            suspicion.hold_until += seconds
+            suspicion.defer_until += seconds
 
     def forget_expired(self, now: float) -> None:
         """Remove expired tombstones, unless many members are missing.
@@ -122,7 +124,9 @@
         each below the share at which it keeps them.
         """
         names = self.table.expired(now)
-        if not names or self.health.must_hold(self.failing(), self.known()):
+        if not names or self.health.must_defer_death(
+            self.failing(), self.known()
+        ):
             return
         for name in names:
             self.table.remove(name)
--- a/cyclamenlift/membership/receiving.py
+++ b/cyclamenlift/membership/packet_handlers.py
@@ -3,8 +3,8 @@
 from collections.abc import Callable
 
 from cyclamenlift.core.registry import Registry
-from cyclamenlift.membership.digests import wanted
-from cyclamenlift.membership.packets import DigestSeen
+from cyclamenlift.membership.digests import select_entries
+from cyclamenlift.membership.packets import EndsDigest
 from cyclamenlift.membership.packets import Outgoing
 from cyclamenlift.membership.probing import RELAY_PERIODS
 from cyclamenlift.wire.gen.protocol.ttypes import GossipKind
@@ -27,41 +27,41 @@
     def __init__(self, state) -> None:
         self.state = state
         self.mismatches = 0
-        self.hungry = False
-        self.differs_at = ''
+        self.transferring = False
+        self.differing_address = ''
         self.sender_is_new = False
 
     def receive(self, packet: GossipPacket, now: float) -> list[Outgoing]:
         """Handle a valid packet of this cluster."""
         self.sender_is_new = self.state.table.get(packet.sender) is None
-        urgent, news = self.take_records(packet, now)
+        urgent, any_new = self.merge_records(packet, now)
         self.note_sender(packet)
         self.state.ends.extend(packet.ends or ())
         self.compare(packet)
         handle = HANDLERS.get(GossipKind(packet.kind).name)
         result = handle(self, packet, now)
-        if news and is_transfer(packet):
+        if any_new and is_transfer(packet):
             result.extend(self.pull_more(packet, now))
             result.extend(self.state.introduce(now))
-        if urgent and self.state.budget.room(now):
+        if urgent and self.state.budget.available(now):
             result.extend(self.state.push(urgent, FORWARD_FANOUT, now))
         return result
 
-    def take_records(
+    def merge_records(
         self, packet: GossipPacket, now: float
     ) -> tuple[list[MemberRecord], bool]:
         """Return records to forward at once and whether any was new."""
         urgent = []
-        news = False
+        any_new = False
         for record in packet.records:
             known = self.state.table.get(record.instance)
-            if not self.state.take(record, now, not is_transfer(packet)):
+            if not self.state.merge(record, now, not is_transfer(packet)):
                 continue
-            news = True
+            any_new = True
             current = self.state.table.get(record.instance)
             if is_urgent(current, known):
                 urgent.append(current)
-        return urgent, news
+        return urgent, any_new
 
     def note_sender(self, packet: GossipPacket) -> None:
         sender = self.state.table.get(packet.sender)
@@ -72,7 +72,7 @@
     def note_digest(self, packet: GossipPacket, sender: MemberRecord) -> None:
         """Report the sender's digest of ended targets."""
         if packet.ends_digest is not None:
-            seen = DigestSeen(
+            seen = EndsDigest(
                 packet.ends_digest,
                 sender.peer_address,
                 sender.role == MemberRole.CONTROL,
@@ -87,15 +87,15 @@
         """
         if packet.members_digest == self.state.table.digest:
             self.mismatches = 0
-            self.note_hunger(False)
+            self.set_transferring(False)
             return
         self.mismatches += UNKNOWN_WEIGHT if self.sender_is_new else 1
-        self.differs_at = packet.sender_address
+        self.differing_address = packet.sender_address
 
-    def note_hunger(self, hungry: bool) -> None:
+    def set_transferring(self, transferring: bool) -> None:
         """Record whether a table transfer is in progress here."""
-        self.hungry = hungry
-        self.state.packer.note_transfer(hungry)
+        self.transferring = transferring
+        self.state.packet_builder.set_transfer_mode(transferring)
 
     def correction(self, packet: GossipPacket) -> list[MemberRecord]:
         """Return the sender's record if it is outdated or not ALIVE here.
@@ -115,7 +115,7 @@
         state = self.state
         if packet.members_digest == state.table.digest:
             return []
-        self.note_hunger(True)
+        self.set_transferring(True)
         if not state.budget.may_pull(now):
             return []
         count = 1 if state.joined else FIRST_PULLS
@@ -145,10 +145,14 @@
 def on_ping(receiver, packet, now):
     """Answer at once."""
     state = receiver.state
-    answer = state.packer.bare(GossipKind.ACK, packet.sequence)
+    answer = state.packet_builder.new_packet(GossipKind.ACK, packet.sequence)
     answer.subject = state.settings.instance
-    must = receiver.correction(packet)
-    return [state.packer.finish(packet.sender_address, answer, must, now)]
+    required = receiver.correction(packet)
+    return [
+        state.packet_builder.finish(
+            packet.sender_address, answer, required, now
+        )
+    ]
 
 
 @HANDLERS.register('ACK')
@@ -158,13 +162,13 @@
     state.joined = True
     probe = state.prober.answered(packet.sequence)
     if probe is not None and probe.fresh:
-        state.verdicts.health.note(True)
+        state.liveness.health.note(True)
     relay = state.prober.relayed(packet.sequence)
     if relay is None:
         return []
-    answer = state.packer.bare(GossipKind.ACK, relay.sequence)
+    answer = state.packet_builder.new_packet(GossipKind.ACK, relay.sequence)
     answer.subject = relay.subject
-    return [state.packer.finish(relay.address, answer, [], now)]
+    return [state.packet_builder.finish(relay.address, answer, [], now)]
 
 
 @HANDLERS.register('PING_REQUEST')
@@ -178,23 +182,23 @@
     sequence = state.prober.relay(
         packet.sender_address, packet.sequence, packet.subject, deadline
     )
-    ping = state.packer.bare(GossipKind.PING, sequence)
+    ping = state.packet_builder.new_packet(GossipKind.PING, sequence)
     ping.subject = packet.subject
-    return [state.packer.finish(subject.gossip_address, ping, [], now)]
+    return [state.packet_builder.finish(subject.gossip_address, ping, [], now)]
 
 
 @HANDLERS.register('JOIN')
 def on_join(receiver, packet, now):
     """Answer with the records in which the tables differ."""
     state = receiver.state
-    entries = wanted(state.table, packet.subject, state.rng)
-    must = receiver.correction(packet)
+    entries = select_entries(state.table, packet.subject, state.rng)
+    required = receiver.correction(packet)
     newcomer = receiver.sender_is_new or not packet.subject
-    room = state.budget.answer_room(now, newcomer)
-    if not must and not (entries and room):
+    room = state.budget.answer_allowance(now, newcomer)
+    if not required and not (entries and room):
         return []
-    answer = state.packer.answer(
-        packet.sender_address, packet.sequence, must, entries, room
+    answer = state.packet_builder.answer(
+        packet.sender_address, packet.sequence, required, entries, room
     )
     return [answer]
 
--- a/cyclamenlift/membership/packets.py
+++ b/cyclamenlift/membership/packets.py
@@ -41,7 +41,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class DigestSeen:
+class EndsDigest:
     """A peer's digest of the ended targets that it knows."""
 
     digest: int
@@ -49,7 +49,7 @@
     from_control: bool
 
 
-def is_sound_packet(packet: GossipPacket) -> bool:
+def is_valid_packet(packet: GossipPacket) -> bool:
     """Return whether all fields other than the records are valid."""
     return (
         packet.kind in KINDS
@@ -68,7 +68,7 @@
     )
 
 
-class Packer:
+class PacketBuilder:
     """Builds packets from required records, changes and a table slice."""
 
     def __init__(
@@ -90,13 +90,13 @@
         # track them, in which case peers don't compare it.
         self.ends_digest: int | None = None
 
-    def note_transfer(self, going_on: bool) -> None:
+    def set_transfer_mode(self, in_progress: bool) -> None:
         """Shrink piggybacking during a transfer to save bytes for answers."""
         self.piggyback_bytes = (
-            TRANSFER_PIGGYBACK_BYTES if going_on else PIGGYBACK_BYTES
+            TRANSFER_PIGGYBACK_BYTES if in_progress else PIGGYBACK_BYTES
         )
 
-    def bare(self, kind: GossipKind, sequence: int) -> GossipPacket:
+    def new_packet(self, kind: GossipKind, sequence: int) -> GossipPacket:
         """Return a packet with this instance's own fields set."""
         own = self.table.get(self.settings.instance)
         return GossipPacket(
@@ -116,14 +116,14 @@
 
     def overhead(self, packet: GossipPacket) -> int:
         """Return an upper bound of the packet's size without records."""
-        texts = (
+        strings = (
             packet.cluster,
             packet.sender,
             packet.subject,
             packet.subject_address,
             packet.sender_address,
         )
-        return FIXED_BYTES + sum(len(text.encode()) for text in texts)
+        return FIXED_BYTES + sum(len(text.encode()) for text in strings)
 
     def add(
         self, packet: GossipPacket, records: Iterable[MemberRecord], limit: int
@@ -140,29 +140,29 @@
         self,
         address: str,
         packet: GossipPacket,
-        must: Iterable[MemberRecord],
+        required: Iterable[MemberRecord],
         now: float,
         piggyback: bool = True,
     ) -> Outgoing:
         """Fill a packet, charge its bytes and return it for sending.
 
-        Records in ``must`` are included regardless of the budget; they are
+        Records in ``required`` are included regardless of the budget; they are
         few.
         """
         room = MAX_PACKET_BYTES - self.overhead(packet)
-        room = self.add(packet, must, room)
-        room = min(room, self.piggyback_bytes, self.budget.room(now))
+        room = self.add(packet, required, room)
+        room = min(room, self.piggyback_bytes, self.budget.available(now))
         if piggyback and room > 0:
-            self.fill(packet, room)
-        return self.close(address, packet)
+            self.add_piggyback(packet, room)
+        return self.encode(address, packet)
 
-    def fill(self, packet: GossipPacket, room: int) -> None:
+    def add_piggyback(self, packet: GossipPacket, room: int) -> None:
         for record in self.queue.take(self.table, room):
             packet.records.append(record)
             room -= self.table.entries[record.instance].size
         packet.records.extend(self.slice.take(self.table, room))
 
-    def close(self, address: str, packet: GossipPacket) -> Outgoing:
+    def encode(self, address: str, packet: GossipPacket) -> Outgoing:
         data = encode_packet(packet)
         self.budget.spend(len(data))
         return Outgoing(Address.parse(address), packet, data)
@@ -171,14 +171,14 @@
         self,
         address: str,
         sequence: int,
-        must: Iterable[MemberRecord],
+        required: Iterable[MemberRecord],
         entries: list[Entry],
         limit: int,
     ) -> Outgoing:
         """Return a SYNC packet with the entries that fit in ``limit``."""
-        packet = self.bare(GossipKind.SYNC, sequence)
+        packet = self.new_packet(GossipKind.SYNC, sequence)
         room = MAX_PACKET_BYTES - self.overhead(packet)
-        room = self.add(packet, must, room)
+        room = self.add(packet, required, room)
         room = min(room, limit)
         self.add(packet, (entry.record for entry in entries), room)
-        return self.close(address, packet)
+        return self.encode(address, packet)
--- a/cyclamenlift/membership/rounds.py
+++ b/cyclamenlift/membership/period_round.py
@@ -31,14 +31,14 @@
         state = self.state
         self.count += 1
         self.note_stall(now)
-        state.verdicts.forget_expired(now)
+        state.liveness.forget_expired(now)
         state.prober.drop_late_relays(now)
         result = []
         for probe in state.prober.unanswered():
-            result.extend(self.pursue(probe, now))
+            result.extend(self.follow_up(probe, now))
         self.declare_deaths(now)
         result.extend(self.probe_next(now))
-        result.extend(self.reach_out(now))
+        result.extend(self.sync_tables(now))
         return result
 
     def note_stall(self, now: float) -> None:
@@ -47,27 +47,29 @@
         self.last_at = now
         if gap > STALL_PERIODS * self.state.settings.period:
             self.state.prober.waiting.clear()
-            self.state.verdicts.postpone(gap)
+            self.state.liveness.postpone(gap)
 
-    def pursue(self, probe: Probe, now: float) -> list[Outgoing]:
+    def follow_up(self, probe: Probe, now: float) -> list[Outgoing]:
         """Send indirect probes for an unanswered one, then suspect."""
         state = self.state
         if probe.stage is Stage.DIRECT and probe.fresh:
             probe.stage = Stage.INDIRECT
-            return self.ask_others(probe, now)
+            return self.send_indirect_probes(probe, now)
         state.prober.give_up(probe)
         if probe.fresh:
-            state.verdicts.health.note(False)
+            state.liveness.health.note(False)
             state.suspect(probe.instance, probe.incarnation, now)
         return []
 
-    def ask_others(self, probe: Probe, now: float) -> list[Outgoing]:
+    def send_indirect_probes(self, probe: Probe, now: float) -> list[Outgoing]:
         state = self.state
         result = []
         for helper in state.sample(INDIRECT_PROBES, probe.instance):
-            packet = state.packer.bare(GossipKind.PING_REQUEST, probe.sequence)
+            packet = state.packet_builder.new_packet(
+                GossipKind.PING_REQUEST, probe.sequence
+            )
             packet.subject = probe.instance
-            sent = state.packer.finish(
+            sent = state.packet_builder.finish(
                 helper.gossip_address, packet, [], now, piggyback=False
             )
             result.append(sent)
@@ -76,7 +78,7 @@
     def declare_deaths(self, now: float) -> None:
         """Declare deaths one at a time, each based on updated counts."""
         while True:
-            due = self.state.verdicts.due_deaths(now)
+            due = self.state.liveness.due_deaths(now)
             if not due:
                 return
             for record in due:
@@ -91,24 +93,30 @@
         member = live[name]
         fresh = member.state == MemberState.ALIVE
         probe = state.prober.begin(name, member.incarnation, fresh)
-        packet = state.packer.bare(GossipKind.PING, probe.sequence)
+        packet = state.packet_builder.new_packet(
+            GossipKind.PING, probe.sequence
+        )
         packet.subject = name
         # A suspect learns here that it is suspected; it may also have lost our
         # record.
-        must = [] if fresh else [member, state.own]
-        return [state.packer.finish(member.gossip_address, packet, must, now)]
+        required = [] if fresh else [member, state.own]
+        return [
+            state.packet_builder.finish(
+                member.gossip_address, packet, required, now
+            )
+        ]
 
-    def reach_out(self, now: float) -> list[Outgoing]:
+    def sync_tables(self, now: float) -> list[Outgoing]:
         """Join, reconcile tables, and look for other partitions."""
         state = self.state
         if not state.joined:
-            return self.join_again(now)
-        result = self.mend(now)
+            return self.retry_join(now)
+        result = self.reconcile(now)
         if self.contact_due():
             result.extend(self.contact(now))
         return result
 
-    def join_again(self, now: float) -> list[Outgoing]:
+    def retry_join(self, now: float) -> list[Outgoing]:
         """Ask seeds at growing intervals, since all may start at once."""
         if self.count < self.next_join:
             return []
@@ -116,7 +124,7 @@
         self.next_join = self.count + self.state.rng.randint(1, self.join_wait)
         return self.state.join(now)
 
-    def mend(self, now: float) -> list[Outgoing]:
+    def reconcile(self, now: float) -> list[Outgoing]:
         """Pull when the digests of others keep differing from ours.
 
         A change in transit makes them differ for a short time, so a single
@@ -124,12 +132,12 @@
         """
         state = self.state
         receiver = state.receiver
-        enough = 1 if receiver.hungry else PULL_MISMATCHES
+        enough = 1 if receiver.transferring else PULL_MISMATCHES
         if receiver.mismatches < enough or not state.budget.may_pull(now):
             return []
         receiver.mismatches = 0
-        addresses = [receiver.differs_at]
-        if receiver.hungry:
+        addresses = [receiver.differing_address]
+        if receiver.transferring:
             addresses.extend(r.gossip_address for r in state.sample(1))
         return [state.pull(address, now) for address in addresses]
 
--- a/cyclamenlift/membership/records.py
+++ b/cyclamenlift/membership/records.py
@@ -76,7 +76,7 @@
         return False
 
 
-def is_sound(record: MemberRecord) -> bool:
+def is_valid_record(record: MemberRecord) -> bool:
     """Return whether a received record is valid.
 
     The decoder leaves absent fields and unknown enum values as None.
--- a/cyclamenlift/membership/state.py
+++ b/cyclamenlift/membership/state.py
@@ -12,23 +12,23 @@
 from cyclamenlift.membership.budget import ByteBudget
 from cyclamenlift.membership.budget import BYTES_PER_PERIOD
 from cyclamenlift.membership.contacts import Contacts
-from cyclamenlift.membership.digests import write_digests
-from cyclamenlift.membership.digests import write_marks
+from cyclamenlift.membership.digests import encode_digests
+from cyclamenlift.membership.digests import encode_marks
 from cyclamenlift.membership.dissemination import DisseminationQueue
 from cyclamenlift.membership.joining import INTRODUCE_FANOUT
 from cyclamenlift.membership.joining import Introductions
-from cyclamenlift.membership.packets import DigestSeen
-from cyclamenlift.membership.packets import is_sound_packet
+from cyclamenlift.membership.liveness import LivenessTracker
+from cyclamenlift.membership.packet_handlers import PacketReceiver
+from cyclamenlift.membership.packets import EndsDigest
+from cyclamenlift.membership.packets import is_valid_packet
 from cyclamenlift.membership.packets import Outgoing
-from cyclamenlift.membership.packets import Packer
+from cyclamenlift.membership.packets import PacketBuilder
+from cyclamenlift.membership.period_round import PeriodRound
 from cyclamenlift.membership.probing import Prober
-from cyclamenlift.membership.receiving import PacketReceiver
-from cyclamenlift.membership.records import is_sound
+from cyclamenlift.membership.records import is_valid_record
 from cyclamenlift.membership.records import revise
 from cyclamenlift.membership.records import same_announcement
-from cyclamenlift.membership.rounds import PeriodRound
 from cyclamenlift.membership.settings import MembershipSettings
-from cyclamenlift.membership.verdicts import Verdicts
 from cyclamenlift.wire.gen.protocol.ttypes import EndReport
 from cyclamenlift.wire.gen.protocol.ttypes import GossipKind
 from cyclamenlift.wire.gen.protocol.ttypes import GossipPacket
@@ -43,7 +43,7 @@
 # learns of a change sends it to one of them, many copies cross in total. The
 # time until all of 200 members have learned of a change was not measured with
 # it.
-FAR_PUSHES = 1
+REMOTE_PUSHES = 1
 
 
 @dataclasses.dataclass(slots=True)
@@ -63,7 +63,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class VersionSeen:
+class VersionReport:
     """A configuration version newer than ours and the peer that has it."""
 
     version: int
@@ -83,12 +83,12 @@
     ) -> None:
         self.settings = settings
         self.rng = rng
-        self.verdicts = Verdicts(settings.period)
-        self.table = self.verdicts.table
+        self.liveness = LivenessTracker(settings.period)
+        self.table = self.liveness.table
         self.queue = DisseminationQueue()
         rate = BYTES_PER_PERIOD / settings.period
         self.budget = ByteBudget(now, rate)
-        self.packer = Packer(
+        self.packet_builder = PacketBuilder(
             settings, address, self.table, self.queue, self.budget
         )
         self.prober = Prober(rng)
@@ -96,14 +96,14 @@
         self.contacts = Contacts(seeds, rng)
         self.counters = Counters()
         self.changes: list[MemberRecord] = []
-        self.versions: list[VersionSeen] = []
+        self.versions: list[VersionReport] = []
         self.ends: list[EndReport] = []
-        self.digests: list[DigestSeen] = []
+        self.digests: list[EndsDigest] = []
         self.left = False
         self.joined = not seeds
         self.introductions = Introductions(now)
         self.receiver = PacketReceiver(self)
-        self.rounds = PeriodRound(self, now)
+        self.period_round = PeriodRound(self, now)
         self.store(self.first_record(address, unix_ms), now)
 
     def first_record(self, address: str, unix_ms: int) -> MemberRecord:
@@ -145,12 +145,12 @@
         own = self.settings.instance
         return [r for r in self.table.live() if r.instance != own]
 
-    def sample(self, count: int, without: str = '') -> list[MemberRecord]:
+    def sample(self, count: int, exclude: str = '') -> list[MemberRecord]:
         """Return up to ``count`` random other members."""
-        others = [r for r in self.others() if r.instance != without]
+        others = [r for r in self.others() if r.instance != exclude]
         return self.rng.sample(others, min(count, len(others)))
 
-    def sample_near(self, count: int) -> list[MemberRecord]:
+    def sample_nearby(self, count: int) -> list[MemberRecord]:
         """Return up to ``count`` others, one of another data centre.
 
         A change that each member passes on reaches every member of a data
@@ -162,7 +162,7 @@
         self.rng.shuffle(others)
         near = [r for r in others if r.data_centre == own]
         far = [r for r in others if r.data_centre != own]
-        chosen = near[: max(count - FAR_PUSHES, count - len(far))]
+        chosen = near[: max(count - REMOTE_PUSHES, count - len(far))]
         return chosen + far[: count - len(chosen)]
 
     # -- records ----------------------------------------------------------
@@ -171,7 +171,7 @@
         self, record: MemberRecord, now: float, spread: bool = True
     ) -> None:
         """Store a record that supersedes the known one and spread it."""
-        self.verdicts.store(record, now)
+        self.liveness.store(record, now)
         if spread:
             self.queue.add(record.instance)
         self.changes.append(record)
@@ -181,7 +181,7 @@
         else:
             self.contacts.discard(record.instance)
 
-    def take(
+    def merge(
         self, record: MemberRecord, now: float, spread: bool = True
     ) -> bool:
         """Merge a received record; return whether it was accepted.
@@ -189,13 +189,13 @@
         Records of unknown members in a table transfer are not spread: the
         others know them already.
         """
-        if not is_sound(record):
+        if not is_valid_record(record):
             self.counters.bad_records += 1
             return False
         if record.instance == self.settings.instance:
             return self.refute(record, now)
         self.note_version(record.config_version, record.peer_address)
-        accepted = self.verdicts.consider(record, now)
+        accepted = self.liveness.consider(record, now)
         if accepted is None:
             return False
         fresh = spread or self.table.get(record.instance) is not None
@@ -228,13 +228,13 @@
     def note_version(self, version: int, peer_address: str) -> None:
         """Report a configuration newer than the announced one."""
         if version > self.own.config_version and peer_address:
-            self.versions.append(VersionSeen(version, peer_address))
+            self.versions.append(VersionReport(version, peer_address))
 
     # -- commands ---------------------------------------------------------
 
     def join(self, now: float) -> list[Outgoing]:
         """Ask a random seed for its table."""
-        own = self.packer.address
+        own = self.packet_builder.address
         seeds = [seed for seed in self.contacts.seeds if seed != own]
         if not seeds:
             return []
@@ -261,21 +261,25 @@
 
     def pull(self, address: str, now: float) -> Outgoing:
         """Ask a member for the records that differ."""
-        packet = self.packer.bare(GossipKind.JOIN, self.prober.next_sequence())
-        if self.receiver.hungry:
-            packet.subject = write_marks(self.table, self.rng)
+        packet = self.packet_builder.new_packet(
+            GossipKind.JOIN, self.prober.next_sequence()
+        )
+        if self.receiver.transferring:
+            packet.subject = encode_marks(self.table, self.rng)
         elif len(self.table) > 1:
-            packet.subject = write_digests(self.table)
-        return self.packer.finish(address, packet, [self.own], now, False)
+            packet.subject = encode_digests(self.table)
+        return self.packet_builder.finish(
+            address, packet, [self.own], now, False
+        )
 
     def push(
         self, records: list[MemberRecord], fanout: int, now: float
     ) -> list[Outgoing]:
         """Send records to some members at once, mostly nearby ones."""
         result = []
-        for member in self.sample_near(fanout):
-            packet = self.packer.bare(GossipKind.SYNC, 0)
-            sent = self.packer.finish(
+        for member in self.sample_nearby(fanout):
+            packet = self.packet_builder.new_packet(GossipKind.SYNC, 0)
+            sent = self.packet_builder.finish(
                 member.gossip_address, packet, records, now
             )
             result.append(sent)
@@ -290,14 +294,16 @@
         budget is spent: when many targets end together, every member forwards
         all of them.
         """
-        if not own and not self.budget.room(now):
+        if not own and not self.budget.available(now):
             return []
         result = []
-        for member in self.sample_near(fanout):
-            packet = self.packer.bare(GossipKind.SYNC, 0)
+        for member in self.sample_nearby(fanout):
+            packet = self.packet_builder.new_packet(GossipKind.SYNC, 0)
             packet.ends = [report]
             address = member.gossip_address
-            result.append(self.packer.finish(address, packet, [], now, False))
+            result.append(
+                self.packet_builder.finish(address, packet, [], now, False)
+            )
         return result
 
     def announce(
@@ -318,17 +324,17 @@
             own = revise(own, config_version=config_version)
             self.table.put(own)
         state = own.target_state if target_state is None else target_state
-        room = own.slots if slots is None else slots
-        moved = (state, room) != (own.target_state, own.slots)
-        if moved:
+        slot_count = own.slots if slots is None else slots
+        changed = (state, slot_count) != (own.target_state, own.slots)
+        if changed:
             own = revise(
                 own,
                 target_state=state,
-                slots=room,
+                slots=slot_count,
                 incarnation=own.incarnation + 1,
             )
             self.store(own, now)
-        if not newer and not moved:
+        if not newer and not changed:
             return []
         return self.push([own], ANNOUNCE_FANOUT, now)
 
@@ -351,7 +357,7 @@
         if packet.cluster != self.settings.cluster:
             self.counters.strangers += 1
             return []
-        if not is_sound_packet(packet):
+        if not is_valid_packet(packet):
             self.counters.malformed += 1
             return []
         if self.left or packet.sender == self.settings.instance:
@@ -362,4 +368,4 @@
         """Do the work of one period."""
         if self.left:
             return []
-        return self.rounds.run(now)
+        return self.period_round.run(now)
--- a/cyclamenlift/membership/table.py
+++ b/cyclamenlift/membership/table.py
@@ -62,7 +62,7 @@
         self.entries[record.instance] = entry
         self.buckets[number][record.instance] = entry
         self.counts[record.state] += 1
-        self.mix(number, mark)
+        self.toggle_mark(number, mark)
 
     def remove(self, instance: str) -> None:
         entry = self.entries.pop(instance, None)
@@ -71,9 +71,9 @@
         number = bucket_of(instance)
         del self.buckets[number][instance]
         self.counts[entry.record.state] -= 1
-        self.mix(number, entry.mark)
+        self.toggle_mark(number, entry.mark)
 
-    def mix(self, number: int, mark: int) -> None:
+    def toggle_mark(self, number: int, mark: int) -> None:
         self.marks[number] ^= mark
         self.digest ^= mark
 
--- a/cyclamenlift/membership/tasks.py
+++ b/cyclamenlift/membership/tasks.py
@@ -10,7 +10,7 @@
 from cyclamenlift.core.streams import Address
 from cyclamenlift.core.tasks import Root
 from cyclamenlift.membership.joining import JOIN_STEPS
-from cyclamenlift.membership.packets import DigestSeen
+from cyclamenlift.membership.packets import EndsDigest
 from cyclamenlift.membership.packets import MAX_PACKET_BYTES
 from cyclamenlift.membership.packets import Outgoing
 from cyclamenlift.membership.settings import MembershipSettings
@@ -30,7 +30,7 @@
 RecordHook = Callable[[MemberRecord], None]
 VersionHook = Callable[[int, str], None]
 EndHook = Callable[[EndReport], object]
-DigestHook = Callable[[DigestSeen], None]
+DigestHook = Callable[[EndsDigest], None]
 
 
 class Membership(BaseComponent):
@@ -121,7 +121,7 @@
             self.set_ends_digest(0)
         self.register(self.loop)
         self.loop.poller.addReader(self, sock)
-        self.finish(self.state.join(clock.now()))
+        self.dispatch(self.state.join(clock.now()))
         for seconds in self.join_steps:
             self.loop.scheduler.after(seconds, self.run_join_step)
         self.plan_period()
@@ -146,7 +146,7 @@
         """Announce a change of our target or our configuration."""
         if self.state is not None:
             now = self.loop.scheduler.clock.now()
-            self.finish(
+            self.dispatch(
                 self.state.announce(target_state, config_version, now, slots)
             )
 
@@ -157,12 +157,12 @@
         """
         if self.state is not None:
             now = self.loop.scheduler.clock.now()
-            self.finish(self.state.push_ends(report, fanout, now, own))
+            self.dispatch(self.state.push_ends(report, fanout, now, own))
 
     def set_ends_digest(self, digest: int) -> None:
         """Set the digest of ended targets that packets carry."""
         if self.state is not None:
-            self.state.packer.ends_digest = digest
+            self.state.packet_builder.ends_digest = digest
 
     def set_seeds(self, seeds: list[Address]) -> None:
         """Replace the seeds."""
@@ -172,26 +172,26 @@
     def leave(self) -> None:
         """Announce that this instance leaves; call ``stop`` afterwards."""
         if self.state is not None:
-            self.finish(self.state.leave(self.loop.scheduler.clock.now()))
+            self.dispatch(self.state.leave(self.loop.scheduler.clock.now()))
 
     # -- loop -------------------------------------------------------------
 
     def plan_period(self) -> None:
         """Schedule the next period, with jitter to desynchronize members."""
-        stray = self.rng.uniform(1 - JITTER, 1 + JITTER)
+        factor = self.rng.uniform(1 - JITTER, 1 + JITTER)
         self.timer = self.loop.scheduler.after(
-            self.settings.period * stray, self.run_period
+            self.settings.period * factor, self.run_period
         )
 
     def run_join_step(self) -> None:
         """Repeat the join request unless this instance has stopped."""
         if self.sock is not None:
             now = self.loop.scheduler.clock.now()
-            self.finish(self.state.join_step(now))
+            self.dispatch(self.state.join_step(now))
 
     def run_period(self) -> None:
         self.plan_period()
-        self.finish(self.state.on_period(self.loop.scheduler.clock.now()))
+        self.dispatch(self.state.on_period(self.loop.scheduler.clock.now()))
 
     def on_poll_read(self, sock: socket.socket) -> None:
         """Read waiting datagrams, up to the limit of one loop iteration."""
@@ -201,7 +201,7 @@
             except OSError:
                 # The queue is empty, or an earlier packet hit a closed port.
                 return
-            self.take(data)
+            self.on_datagram(data)
             if self.sock is None:
                 return
 
@@ -212,7 +212,7 @@
         """Clear the socket's error; the next packet shows its state."""
         sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
 
-    def take(self, data: bytes) -> None:
+    def on_datagram(self, data: bytes) -> None:
         """Handle one datagram."""
         counters = self.state.counters
         counters.packets_in += 1
@@ -227,9 +227,9 @@
         outgoing = self.state.on_packet(packet, now)
         if counters.refutations > refuted:
             LOG.info('gossip_refuted', sender=packet.sender)
-        self.finish(outgoing)
+        self.dispatch(outgoing)
 
-    def finish(self, outgoing: list[Outgoing]) -> None:
+    def dispatch(self, outgoing: list[Outgoing]) -> None:
         """Send the resulting packets and notify subscribers."""
         for item in outgoing:
             self.send(item)
@@ -241,9 +241,9 @@
         for seen in set(versions):
             for hook in self.version_hooks:
                 hook(seen.version, seen.peer_address)
-        self.tell_ends()
+        self.notify_ends()
 
-    def tell_ends(self) -> None:
+    def notify_ends(self) -> None:
         """Notify subscribers of ended targets and of peers' digests."""
         ends, self.state.ends = self.state.ends, []
         digests, self.state.digests = self.state.digests, []
--- a/cyclamenlift/platform/operators.py
+++ b/cyclamenlift/platform/operators.py
@@ -10,14 +10,14 @@
 from cyclamenlift.events.commands import publish_document
 from cyclamenlift.events.context import ControlContext
 from cyclamenlift.events.orders import log_answered
-from cyclamenlift.events.orders import log_sent_on
-from cyclamenlift.events.orders import OPEN_CODES
+from cyclamenlift.events.orders import log_redirected
 from cyclamenlift.events.orders import Order
 from cyclamenlift.events.orders import order_from
 from cyclamenlift.events.orders import ORDER_KINDS
 from cyclamenlift.events.orders import OrderDone
-from cyclamenlift.events.orders import OrderTaker
-from cyclamenlift.events.partial import publish_partial
+from cyclamenlift.events.orders import OrderHandler
+from cyclamenlift.events.orders import UNDECIDED_CODES
+from cyclamenlift.events.partial_changes import publish_partial
 from cyclamenlift.events.reports import DocumentReport
 from cyclamenlift.events.reports import PublishReport
 from cyclamenlift.http.exchange import Exchange
@@ -77,7 +77,7 @@
     sent to the leader's place, which is the same port on its host.
     """
 
-    def __init__(self, orders: OrderTaker, port: int):
+    def __init__(self, orders: OrderHandler, port: int):
         self.orders = orders
         self.port = port
 
@@ -88,8 +88,8 @@
             self.take_get(exchange)
         elif exchange.method != 'POST' or path not in ORDER_KINDS.items:
             refuse(exchange, 404, Problem(ResultCode.NOT_FOUND, path[:100]))
-        elif not self.orders.takes(exchange.body_length):
-            self.send_on(exchange, self.orders.place())
+        elif not self.orders.accepts_size(exchange.body_length):
+            self.send_on(exchange, self.orders.location())
         else:
             read_whole(
                 exchange,
@@ -100,7 +100,7 @@
     def take_get(self, exchange: Exchange) -> None:
         """Answer with the newest configuration, if sure to have it."""
         if not self.orders.read(lambda report: self.give(exchange, report)):
-            self.send_on(exchange, self.orders.place())
+            self.send_on(exchange, self.orders.location())
 
     def give(self, exchange: Exchange, report: DocumentReport) -> None:
         if not report.confirmed or not report.document:
@@ -138,9 +138,9 @@
     ) -> None:
         """Answer with what became of a change."""
         log_answered(order, report)
-        elsewhere = self.orders.elsewhere()
-        if report.code in OPEN_CODES and elsewhere is not None:
-            self.send_on(exchange, elsewhere)
+        alternate_address = self.orders.alternate_address()
+        if report.code in UNDECIDED_CODES and alternate_address is not None:
+            self.send_on(exchange, alternate_address)
             return
         status = STATUS_OF.get(report.code, NOT_SURE)
         if status == 200:
@@ -148,11 +148,11 @@
         else:
             refuse(exchange, status, Problem(report.code, report.summary()))
 
-    def send_on(self, exchange: Exchange, place: Address | None) -> None:
+    def send_on(self, exchange: Exchange, location: Address | None) -> None:
         """Name the place of another instance, or say that none is known."""
-        log_sent_on(exchange.path, place)
-        if place is None:
+        log_redirected(exchange.path, location)
+        if location is None:
             self.refuse_unsure(exchange, 'no leader is known')
             return
-        there = f'http://{place.host}:{self.port}{exchange.path}'
+        there = f'http://{location.host}:{self.port}{exchange.path}'
         answer(exchange, 307, None, (('Location', there),))
--- a/cyclamenlift/quarantine/tasks.py
+++ b/cyclamenlift/quarantine/tasks.py
@@ -26,7 +26,7 @@
 from cyclamenlift.wire.gen.protocol.ttypes import EndsRequest
 
 if typing.TYPE_CHECKING:
-    from cyclamenlift.membership.packets import DigestSeen
+    from cyclamenlift.membership.packets import EndsDigest
     from cyclamenlift.membership.tasks import Membership
     from cyclamenlift.wire.tasks import Link
     from cyclamenlift.wire.tasks import PeerNetwork
@@ -235,7 +235,7 @@
             return False
         return self.take(report, fanout)
 
-    def on_digest(self, seen: 'DigestSeen') -> None:
+    def on_digest(self, seen: 'EndsDigest') -> None:
         """Compare what a peer knows with what is known here."""
         if seen.digest == self.evidence.digest:
             self.note_same(seen)
@@ -254,7 +254,7 @@
         self.ask_seconds = min(MOST_ASK_SECONDS, 2 * self.ask_seconds)
         self.network.send(address, EndsRequest(self.evidence.keys()))
 
-    def note_same(self, seen: 'DigestSeen') -> None:
+    def note_same(self, seen: 'EndsDigest') -> None:
         """Take it that a peer knows just as much.
 
         Daemons that start together all know nothing at first; control
--- a/cyclamenlift/runtime/admin.py
+++ b/cyclamenlift/runtime/admin.py
@@ -9,7 +9,7 @@
 
 from cyclamenlift.core.codes import ResultCode
 from cyclamenlift.core.problems import Problem
-from cyclamenlift.events.border import read_border
+from cyclamenlift.events.request_models import parse_request_body
 from cyclamenlift.http.pages import json_answer
 from cyclamenlift.http.pages import problem_answer
 from cyclamenlift.http.pages import WebAnswer
@@ -40,7 +40,7 @@
     def quarantine(self) -> WebAnswer:
         """Return the requests that are not clear; a POST lifts some."""
         if self.request.method == 'POST':
-            order = read_border(LiftOrder, self.request.content)
+            order = parse_request_body(LiftOrder, self.request.content)
             if isinstance(order, Failure):
                 return problem_answer(order.failure())
             names = order.unwrap().fingerprints
--- a/cyclamenlift/runtime/control.py
+++ b/cyclamenlift/runtime/control.py
@@ -18,9 +18,9 @@
 from cyclamenlift.core.problems import Problem
 from cyclamenlift.core.streams import Address
 from cyclamenlift.core.tasks import build_root
-from cyclamenlift.events.carrying import OrderCarrier
 from cyclamenlift.events.context import ControlContext
-from cyclamenlift.events.desk import OrderDesk
+from cyclamenlift.events.control_orders import ControlOrderHandler
+from cyclamenlift.events.order_forwarding import OrderForwarder
 from cyclamenlift.events.server import DocumentServer
 from cyclamenlift.http.lazy_web import LazyWebServer
 from cyclamenlift.ledger.finder import LeaderFinder
@@ -76,8 +76,10 @@
             self.machine.events,
             self.machine.ledger,
         )
-        self.carrier = self.make_carrier(peers)
-        self.orders = OrderDesk(self.context, self.network, self.carrier)
+        self.forwarder = self.make_forwarder(peers)
+        self.orders = ControlOrderHandler(
+            self.context, self.network, self.forwarder
+        )
         self.metrics = ControlMetrics(self.context, self.claims)
         self.membership = self.make_membership()
         self.quarantine = Quarantine(
@@ -146,7 +148,7 @@
         """Tell the others of this instance and learn of them."""
         if self.membership is None:
             return
-        self.carrier.find_relay = self.find_relay
+        self.forwarder.find_relay_daemon = self.find_relay_daemon
         self.membership.subscribe(self.on_member)
         # Control instances remember while all daemons are restarted.
         self.quarantine.join(self.network, self.membership)
@@ -156,7 +158,7 @@
         self.membership.start()
         self.membership.announce(config_version=self.machine.events.version)
 
-    def find_relay(self) -> Address | None:
+    def find_relay_daemon(self) -> Address | None:
         """Return any daemon that is alive, None if none is known."""
         daemons = [
             record
@@ -184,7 +186,7 @@
         address = Address.parse(record.peer_address)
         live = is_control and is_live(record)
         self.replica.note_peer(record.instance, address, live)
-        self.carrier.finder.note_control(address, live)
+        self.forwarder.finder.note_control(address, live)
 
     def make_claim_server(self) -> ClaimServer:
         return ClaimServer(
@@ -196,10 +198,10 @@
             self.settings.recorded_answer_bytes,
         )
 
-    def make_carrier(self, peers: dict[str, Address]) -> OrderCarrier:
+    def make_forwarder(self, peers: dict[str, Address]) -> OrderForwarder:
         settings = self.settings
         others = [a for n, a in peers.items() if n != settings.instance]
-        return OrderCarrier(
+        return OrderForwarder(
             self.loop,
             self.network,
             LeaderFinder(others, self.rng),
@@ -216,7 +218,7 @@
             self.rng,
             names_leader=bool(self.settings.gossip_listen),
         )
-        self.machine.subscribe_version(server.tell)
+        self.machine.subscribe_version(server.push_version)
         return server
 
     def make_pages(self) -> list:
--- a/cyclamenlift/runtime/control_api.py
+++ b/cyclamenlift/runtime/control_api.py
@@ -9,9 +9,6 @@
 from cyclamenlift.core.codes import describe
 from cyclamenlift.core.codes import ResultCode
 from cyclamenlift.core.problems import Problem
-from cyclamenlift.events.border import Publication
-from cyclamenlift.events.border import read_border
-from cyclamenlift.events.border import StorageReplacement
 from cyclamenlift.events.commands import publish
 from cyclamenlift.events.commands import replace_storage
 from cyclamenlift.events.context import ControlContext
@@ -20,6 +17,9 @@
 from cyclamenlift.events.queries import show
 from cyclamenlift.events.queries import status
 from cyclamenlift.events.reports import report_to_json
+from cyclamenlift.events.request_models import parse_request_body
+from cyclamenlift.events.request_models import Publication
+from cyclamenlift.events.request_models import StorageReplacement
 from cyclamenlift.http.pages import Deferred
 from cyclamenlift.http.pages import JSON
 from cyclamenlift.http.pages import problem_answer
@@ -73,7 +73,7 @@
     """Read the JSON body as ``kind`` and run a command with it."""
     if page.request.method != 'POST':
         return problem_answer(Problem(ResultCode.METHOD_NOT_ALLOWED))
-    order = read_border(kind, page.request.content)
+    order = parse_request_body(kind, page.request.content)
     if isinstance(order, Failure):
         return problem_answer(order.failure())
     deferred = Deferred()
--- a/cyclamenlift/runtime/daemon.py
+++ b/cyclamenlift/runtime/daemon.py
@@ -18,8 +18,8 @@
 from cyclamenlift.core.problems import Problem
 from cyclamenlift.core.streams import Address
 from cyclamenlift.core.tasks import build_root
-from cyclamenlift.events.carrying import OrderCarrier
-from cyclamenlift.events.door import OrderDoor
+from cyclamenlift.events.daemon_orders import DaemonOrderHandler
+from cyclamenlift.events.order_forwarding import OrderForwarder
 from cyclamenlift.events.tasks import ConfigFollower
 from cyclamenlift.gate.health import HealthCheck
 from cyclamenlift.gate.tasks import Gate
@@ -82,10 +82,10 @@
         self.routing.instance = settings.instance
         self.routing.link_rate = settings.link_mbps * BYTES_OF_MEGABIT
         self.claims = ClaimClient(self.loop, self.network, self.control, rng)
-        self.carrier = OrderCarrier(
+        self.forwarder = OrderForwarder(
             self.loop, self.network, self.claims.finder, settings.instance
         )
-        self.orders = OrderDoor(self.carrier)
+        self.orders = DaemonOrderHandler(self.forwarder)
         self.quarantine = Quarantine(self.scheduler, settings.instance, rng)
         self.calls = self.make_calls()
         self.gate = self.make_gate() if settings.target else None
@@ -95,7 +95,9 @@
         )
         self.follower.leader_hooks.append(self.claims.finder.note_leader)
         self.calls.is_behind = self.follower.is_behind
-        self.follower.share.link_rate = settings.link_mbps * BYTES_OF_MEGABIT
+        self.follower.link_budget.link_rate = (
+            settings.link_mbps * BYTES_OF_MEGABIT
+        )
         self.entry = self.make_entry()
         self.entry_address = self.entry.listen(
             Address.parse(settings.entry_listen)
--- a/cyclamenlift/runtime/stopping.py
+++ b/cyclamenlift/runtime/stopping.py
@@ -64,7 +64,7 @@
         node = self.node
         if node.entry.busy or not node.calls.is_idle():
             return False
-        if node.claims.errands or node.carrier.errands:
+        if node.claims.errands or node.forwarder.errands:
             return False
         return node.gate is None or node.gate.is_idle()
 
--- a/tests/events/fleet.py
+++ b/tests/events/fleet.py
@@ -52,7 +52,7 @@
     return json.dumps(value, sort_keys=True, separators=(',', ':')).encode()
 
 
-class ThinLink:
+class SimulatedLink:
     """One end of a connection between two instances."""
 
     def __init__(self, network, peer, address, number):
@@ -65,7 +65,7 @@
         self.closed = False
         self.pending = 0
         self.received = 0
-        self.twin: ThinLink | None = None
+        self.twin: SimulatedLink | None = None
 
     @property
     def stream(self):
@@ -88,10 +88,10 @@
         self.peer.take(self.twin, message)
 
 
-class ThinNetwork:
+class SimulatedNetwork:
     """The network of one instance, over a link of ``rate`` bytes/s."""
 
-    def __init__(self, fleet: 'ThinFleet', address: Address, rate: float):
+    def __init__(self, fleet: 'SimulatedFleet', address: Address, rate: float):
         self.fleet = fleet
         self.address = address
         self.rate = rate
@@ -100,7 +100,7 @@
         self.bytes_in = 0
         self.document_bytes_out = 0
         self.receivers = {}
-        self.links: dict[Address, ThinLink] = {}
+        self.links: dict[Address, SimulatedLink] = {}
         self.numbers = 0
 
     def subscribe(self, kind, receiver) -> None:
@@ -122,12 +122,12 @@
     def give_up_connecting(self, address) -> None:
         """Do nothing: all connections are up."""
 
-    def link_to(self, address: Address) -> ThinLink:
+    def link_to(self, address: Address) -> SimulatedLink:
         link = self.links.get(address)
         if link is None:
             peer = self.fleet.networks[address]
-            link = ThinLink(self, peer, address, self.next_number())
-            back = ThinLink(peer, self, None, peer.next_number())
+            link = SimulatedLink(self, peer, address, self.next_number())
+            back = SimulatedLink(peer, self, None, peer.next_number())
             link.twin, back.twin = back, link
             self.links[address] = link
         return link
@@ -143,14 +143,14 @@
         if isinstance(message, DocumentAnswer):
             self.document_bytes_out += size
 
-    def take(self, link: ThinLink, message) -> None:
+    def take(self, link: SimulatedLink, message) -> None:
         self.receivers[FIELD_OF[type(message)]](link, message)
 
 
-class ThinDaemon:
+class SimulatedDaemon:
     """A follower that records when it got each version and pushes it."""
 
-    def __init__(self, fleet: 'ThinFleet', address: Address):
+    def __init__(self, fleet: 'SimulatedFleet', address: Address):
         self.fleet = fleet
         self.address = address
         self.network = fleet.add_network(address, DAEMON_RATE)
@@ -160,7 +160,7 @@
             fleet.control_addresses,
             random.Random(fleet.rng.random()),
         )
-        self.follower.share.link_rate = DAEMON_RATE
+        self.follower.link_budget.link_rate = DAEMON_RATE
         self.at: dict[int, float] = {}
         self.follower.subscribe(self.on_rules)
 
@@ -174,7 +174,7 @@
         self.fleet.push(self.network, rules.version)
 
 
-class ThinFleet:
+class SimulatedFleet:
     """Daemons and control instances; ``publish`` commits a version.
 
     Instances in ``dark`` neither send nor receive; the others are not notified
@@ -189,8 +189,8 @@
         self.dark: set[Address] = set()
         self.clock = FakeClock()
         self.root = build_root(self.clock)
-        self.networks: dict[Address, ThinNetwork] = {}
-        self.daemons: dict[Address, ThinDaemon] = {}
+        self.networks: dict[Address, SimulatedNetwork] = {}
+        self.daemons: dict[Address, SimulatedDaemon] = {}
         self.routes: list[dict] = []
         self.committed: dict[int, float] = {}
         self.store = EventStore()
@@ -204,8 +204,8 @@
 
     # -- parts ------------------------------------------------------------
 
-    def add_network(self, address: Address, rate: float) -> ThinNetwork:
-        self.networks[address] = ThinNetwork(self, address, rate)
+    def add_network(self, address: Address, rate: float) -> SimulatedNetwork:
+        self.networks[address] = SimulatedNetwork(self, address, rate)
         return self.networks[address]
 
     def add_server(self, address: Address) -> DocumentServer:
@@ -228,9 +228,9 @@
         replica.read_barrier(done)
         replica.finish_reads()
 
-    def add_daemon(self, number: int) -> ThinDaemon:
+    def add_daemon(self, number: int) -> SimulatedDaemon:
         address = Address('10.0.1.1', 8000 + number)
-        self.daemons[address] = ThinDaemon(self, address)
+        self.daemons[address] = SimulatedDaemon(self, address)
         self.daemons[address].start()
         return self.daemons[address]
 
@@ -270,7 +270,7 @@
             lambda: daemon.follower.note_version(version, str(sender.address)),
         )
 
-    def plan_ping(self, daemon: ThinDaemon) -> None:
+    def plan_ping(self, daemon: SimulatedDaemon) -> None:
         """Schedule a gossip exchange between a daemon and a random one."""
 
         def ping() -> None:
@@ -304,7 +304,7 @@
         for address, server in zip(
             self.control_addresses, self.servers, strict=True
         ):
-            server.tell(self.version)
+            server.push_version(self.version)
             self.push(self.networks[address], self.version)
         return self.version
 
--- a/tests/events/test_chosen_versions.py
+++ b/tests/events/test_chosen_versions.py
@@ -8,7 +8,7 @@
 from cyclamenlift.core.problems import Problem
 from cyclamenlift.events.commands import Change
 from cyclamenlift.events.commands import publish_document
-from cyclamenlift.events.partial import publish_partial
+from cyclamenlift.events.partial_changes import publish_partial
 from cyclamenlift.events.state import DOCUMENTS_KEPT
 from cyclamenlift.events.state import EventStore
 from cyclamenlift.models.document import document_from_bytes
--- a/tests/events/test_desk.py
+++ b/tests/events/test_control_orders.py
@@ -9,12 +9,12 @@
 from cyclamenlift.core.problems import Problem
 from cyclamenlift.core.streams import Address
 from cyclamenlift.core.tasks import build_root
-from cyclamenlift.events.carrying import OrderCarrier
 from cyclamenlift.events.commands import publish_document
-from cyclamenlift.events.desk import OrderDesk
+from cyclamenlift.events.control_orders import ControlOrderHandler
+from cyclamenlift.events.order_forwarding import OrderForwarder
 from cyclamenlift.events.orders import order_from
 from cyclamenlift.events.orders import ORDER_KINDS
-from cyclamenlift.events.orders import PATIENCE_SECONDS
+from cyclamenlift.events.orders import ORDER_TIMEOUT_SECONDS
 from cyclamenlift.ledger.finder import LeaderFinder
 from cyclamenlift.models.document import document_from_bytes
 from cyclamenlift.wire.gen.protocol.ttypes import OrderAnswer
@@ -50,7 +50,7 @@
             self.propose(command, done)
 
 
-class DeskBed:
+class HandlerBed:
     """An instance ``a`` with its order handler."""
 
     def __init__(self, leader='a'):
@@ -59,12 +59,14 @@
         self.root = build_root(self.clock)
         self.network = FakeNetwork()
         finder = LeaderFinder(list(CONTROL), random.Random(1))
-        self.carrier = OrderCarrier(self.root, self.network, finder, 'a')
-        self.desk = OrderDesk(self.context, self.network, self.carrier)
+        self.forwarder = OrderForwarder(self.root, self.network, finder, 'a')
+        self.handler = ControlOrderHandler(
+            self.context, self.network, self.forwarder
+        )
         self.reports = []
 
     def take(self, order=WHOLE) -> None:
-        self.desk.take(order, OPERATOR, self.reports.append)
+        self.handler.take(order, OPERATOR, self.reports.append)
 
     def ask(self, order=WHOLE):
         """Send an order as another instance does; return the answer."""
@@ -78,7 +80,7 @@
             change.chosen_version,
             order.body,
         )
-        self.desk.on_request(link, request)
+        self.handler.on_request(link, request)
         return link.sent[0] if link.sent else None
 
     def pass_time(self, seconds: float) -> None:
@@ -112,7 +114,7 @@
 
 
 def test_the_leader_carries_out_what_comes_and_what_is_carried_to_it():
-    bed = DeskBed()
+    bed = HandlerBed()
     assert bed.ask().code == ACCEPTED
     bed.take()
     assert bed.codes == [ACCEPTED]
@@ -122,21 +124,21 @@
 # Guards against copies of one order, forwarded by several instances, that are
 # each parsed, validated and written into the log.
 def test_an_order_that_comes_again_while_under_way_waits_for_its_outcome():
-    bed = DeskBed()
+    bed = HandlerBed()
     slow = SlowReplica(bed.context)
     slow.hold()
     bed.take()
     bed.take()
     assert bed.ask() is None
     assert len(slow.proposed) == 1
-    assert bed.desk.busy
+    assert bed.handler.busy
     slow.let_through()
     assert bed.codes == [ACCEPTED, ACCEPTED]
-    assert not bed.desk.busy
+    assert not bed.handler.busy
 
 
 def test_a_follower_answers_from_its_own_log_and_names_the_leader_else():
-    bed = DeskBed()
+    bed = HandlerBed()
     bed.take()
     bed.context.replica.elect('b')
     bed.take()
@@ -149,16 +151,16 @@
 
 
 def test_an_order_waits_for_the_election_of_this_instance():
-    bed = DeskBed(leader='')
+    bed = HandlerBed(leader='')
     bed.take()
     assert not bed.reports
     bed.context.replica.elect('a')
     assert bed.codes == [ACCEPTED]
-    assert not bed.carrier.errands
+    assert not bed.forwarder.errands
 
 
 def test_an_order_whose_leader_lost_its_place_is_carried_to_the_next_one():
-    bed = DeskBed()
+    bed = HandlerBed()
     bed.context.replica.failing = ResultCode.CHANGE_UNKNOWN
     bed.take()
     assert not bed.reports
@@ -168,7 +170,7 @@
 # Guards against reporting an order as not executed although it is in a log.
 @pytest.mark.parametrize('seconds', [0.0, 0.8])
 def test_an_order_that_may_be_in_the_log_is_never_said_not_to_be(seconds):
-    bed = DeskBed()
+    bed = HandlerBed()
     slow = SlowReplica(bed.context)
     slow.hold()
     bed.take()
@@ -185,7 +187,7 @@
 # The same for an order that was sent to another instance before this one
 # became the leader.
 def test_an_order_that_others_may_have_taken_is_never_said_not_to_be():
-    bed = DeskBed(leader='')
+    bed = HandlerBed(leader='')
     bed.take()
     bed.context.replica.failing = ResultCode.NOT_LEADER
     bed.context.replica.elect('a')
@@ -198,17 +200,17 @@
 
 # Guards against an operator that gets no answer while a commit hangs.
 def test_an_order_that_is_not_decided_is_answered_within_the_patience():
-    bed = DeskBed()
+    bed = HandlerBed()
     SlowReplica(bed.context).hold()
     bed.take()
-    bed.pass_time(PATIENCE_SECONDS + 0.05)
+    bed.pass_time(ORDER_TIMEOUT_SECONDS + 0.05)
     assert bed.codes == [ResultCode.CHANGE_UNKNOWN]
 
 
 # Guards against closing a connection because of one malformed order, and
 # against forwarding that order to one leader after another.
 def test_an_order_that_cannot_be_read_is_refused_for_good():
-    bed = DeskBed()
+    bed = HandlerBed()
     assert bed.ask(BROKEN).code == ResultCode.DOCUMENT_INVALID
     bed.take(BROKEN)
     assert bed.codes == [ResultCode.DOCUMENT_INVALID]
@@ -218,8 +220,8 @@
 # Guards against callers that stay with a partitioned instance: they are
 # redirected to a daemon, which they may reach.
 def test_an_instance_that_finds_no_leader_knows_who_else_takes_orders():
-    bed = DeskBed(leader='')
-    assert bed.desk.elsewhere() is None
+    bed = HandlerBed(leader='')
+    assert bed.handler.alternate_address() is None
     daemon = Address('127.0.0.1', 77)
-    bed.carrier.find_relay = lambda: daemon
-    assert bed.desk.elsewhere() == daemon
+    bed.forwarder.find_relay_daemon = lambda: daemon
+    assert bed.handler.alternate_address() == daemon
--- a/tests/events/test_control_side.py
+++ b/tests/events/test_control_side.py
@@ -7,17 +7,17 @@
 from returns.result import Failure
 
 from cyclamenlift.core.codes import ResultCode
-from cyclamenlift.events.border import Publication
-from cyclamenlift.events.border import read_border
-from cyclamenlift.events.border import StorageReplacement
 from cyclamenlift.events.commands import publish
 from cyclamenlift.events.commands import replace_storage
 from cyclamenlift.events.queries import history
 from cyclamenlift.events.queries import show
 from cyclamenlift.events.reports import report_to_json
+from cyclamenlift.events.request_models import parse_request_body
+from cyclamenlift.events.request_models import Publication
+from cyclamenlift.events.request_models import StorageReplacement
 from cyclamenlift.events.server import DocumentServer
-from cyclamenlift.events.server import LINKS_TOLD
-from cyclamenlift.events.server import MOST_TOLD_BYTES
+from cyclamenlift.events.server import MAX_PUSHED_BYTES
+from cyclamenlift.events.server import PUSH_FANOUT
 from cyclamenlift.runtime.machine import ControlMachine
 from cyclamenlift.wire.gen.protocol.ttypes import DocumentRequest
 from tests.events.builders import control_context
@@ -125,7 +125,7 @@
     ],
 )
 def test_a_wrong_order_names_its_field(body, where):
-    result = read_border(Publication, body)
+    result = parse_request_body(Publication, body)
     assert isinstance(result, Failure)
     assert result.failure().where.startswith(where)
 
@@ -180,9 +180,9 @@
         server.on_request(link, DocumentRequest(1, 0))
     context.replica.leader = 'a'
     run(publish, context, publication())
-    server.tell(1)
+    server.push_version(1)
     told = [link for link in links if len(link.sent) == 2]
-    assert len(told) == LINKS_TOLD
+    assert len(told) == PUSH_FANOUT
     assert told[0].sent[1].packed_document
     server.on_link_lost(links[0])
     assert len(server.links) == 39
@@ -237,7 +237,7 @@
     for base in range(3):
         text = document(f'v{base}').decode()
         run(publish, context, publication(f'x{base}', base, text))
-        server.tell(base + 1)
+        server.push_version(base + 1)
     context.replica.leader = 'b'
     link.sent.clear()
     for known in (0, 1, 2, 3):
@@ -268,12 +268,12 @@
     server, link = server_of(context), FakeLink()
     server.on_request(link, takes_changes(0))
     context.replica.leader = 'a'
-    noise = random.Random(1).randbytes(MOST_TOLD_BYTES).hex()
+    noise = random.Random(1).randbytes(MAX_PUSHED_BYTES).hex()
     texts = [document('one').decode(), document('two').decode()]
     texts.append(texts[1].replace('/sale', f'/{noise}'))
     for base, text in enumerate(texts):
         run(publish, context, publication(f'x{base}', base, text))
-        server.tell(base + 1)
+        server.push_version(base + 1)
     told = [(answer.version, len(answer.changes)) for answer in link.sent[1:]]
     assert told == [(1, 0), (2, 1), (3, 0)]
 
--- a/tests/events/test_dark_peers.py
+++ b/tests/events/test_dark_peers.py
@@ -15,7 +15,7 @@
 import random
 
 from cyclamenlift.core.streams import Address
-from tests.events.fleet import ThinFleet
+from tests.events.fleet import SimulatedFleet
 
 BOUND_SECONDS = 2.0
 DAEMONS = 65
@@ -23,25 +23,25 @@
 CONTROL_DARK = 2
 # How long a victim stays up after it gets a version, in seconds: it has
 # announced the version, and most of its requesters get no answer.
-LIVES_SECONDS = 0.009
+UPTIME_AFTER_UPDATE_SECONDS = 0.009
 ROUTES = 200
 MORE_ROUTES = 8
 # How often members exchange packets, in seconds, and the seeds.
-PLAYS = ((0.2, (1, 3, 7)), (1.0, (4, 6, 14, 15)))
+SCENARIOS = ((0.2, (1, 3, 7)), (1.0, (4, 6, 14, 15)))
 
 
-def victims_of(fleet: ThinFleet, seed: int) -> set[Address]:
+def choose_victims(fleet: SimulatedFleet, seed: int) -> set[Address]:
     """Choose daemons that lose power soon after their next version."""
     victims = set(random.Random(seed).sample(list(fleet.daemons), VICTIMS))
     for address in victims:
-        doom(fleet, address)
+        lose_power_after_update(fleet, address)
     return victims
 
 
-def doom(fleet: ThinFleet, address: Address) -> None:
+def lose_power_after_update(fleet: SimulatedFleet, address: Address) -> None:
     def die(_rules) -> None:
         fleet.root.scheduler.after(
-            LIVES_SECONDS, lambda: fleet.dark.add(address)
+            UPTIME_AFTER_UPDATE_SECONDS, lambda: fleet.dark.add(address)
         )
 
     fleet.daemons[address].follower.subscribe(die)
@@ -49,12 +49,12 @@
 
 def time_to_all(seed: int, ping_seconds: float) -> float:
     """Return the delay until the last healthy daemon has a change."""
-    fleet = ThinFleet(DAEMONS, seed, ping_seconds)
+    fleet = SimulatedFleet(DAEMONS, seed, ping_seconds)
     fleet.add_routes(ROUTES)
     fleet.run(30.0)
     fleet.dark |= set(fleet.control_addresses[-CONTROL_DARK:])
     fleet.run(4.0)
-    victims = victims_of(fleet, seed)
+    victims = choose_victims(fleet, seed)
     version = fleet.add_routes(MORE_ROUTES)
     fleet.run(6.0)
     for address in victims:
@@ -65,6 +65,6 @@
 # Guards against pulls that try one dark member after another while healthy
 # members announce the version.
 def test_a_version_that_dark_members_named_is_in_force_in_time():
-    for ping_seconds, seeds in PLAYS:
+    for ping_seconds, seeds in SCENARIOS:
         for seed in seeds:
             assert time_to_all(seed, ping_seconds) <= BOUND_SECONDS
--- a/tests/events/test_carrying.py
+++ b/tests/events/test_order_forwarding.py
@@ -6,12 +6,12 @@
 
 from cyclamenlift.core.codes import ResultCode
 from cyclamenlift.core.streams import Address
-from cyclamenlift.events.carrying import MOST_CARRIED
-from cyclamenlift.events.carrying import OrderCarrier
-from cyclamenlift.events.door import OrderDoor
-from cyclamenlift.events.orders import MOST_CARRIED_BYTES
+from cyclamenlift.events.daemon_orders import DaemonOrderHandler
+from cyclamenlift.events.order_forwarding import MAX_FORWARDED_ORDERS
+from cyclamenlift.events.order_forwarding import OrderForwarder
+from cyclamenlift.events.orders import MAX_FORWARDED_BYTES
 from cyclamenlift.events.orders import order_from
-from cyclamenlift.events.orders import PATIENCE_SECONDS
+from cyclamenlift.events.orders import ORDER_TIMEOUT_SECONDS
 from cyclamenlift.ledger.errands import SILENCE_SECONDS
 from cyclamenlift.ledger.finder import LeaderFinder
 from cyclamenlift.wire.gen.protocol.ttypes import OrderAnswer
@@ -23,18 +23,18 @@
 ORDER = order_from('whole', 1, 2, b'{}')
 
 
-class CarrierBed(ClientBed):
+class ForwarderBed(ClientBed):
     """A daemon's order handler on a fake network with a manual clock."""
 
     def __init__(self):
         super().__init__()
         finder = LeaderFinder(list(CONTROL), random.Random(1))
-        self.carrier = OrderCarrier(self.root, self.network, finder, 'd')
-        self.door = OrderDoor(self.carrier)
+        self.forwarder = OrderForwarder(self.root, self.network, finder, 'd')
+        self.handler = DaemonOrderHandler(self.forwarder)
         self.reports = []
 
     def take(self) -> None:
-        self.door.take(ORDER, OPERATOR, self.reports.append)
+        self.handler.take(ORDER, OPERATOR, self.reports.append)
 
     def refuse(self, leader: Address | None = None) -> None:
         """Let the last address asked answer that it does not lead."""
@@ -45,7 +45,7 @@
         self.reply(OrderAnswer(0, ResultCode.CHANGE_ACCEPTED, 2, 2), address)
 
     @property
-    def places(self) -> list[Address]:
+    def asked_addresses(self) -> list[Address]:
         return self.asked(OrderRequest)
 
     @property
@@ -54,27 +54,27 @@
 
 
 def test_the_outcome_is_handed_over_once_and_the_leader_remembered():
-    bed = CarrierBed()
+    bed = ForwarderBed()
     bed.take()
     bed.accept()
     bed.accept()
     assert bed.codes == [ResultCode.CHANGE_ACCEPTED]
     assert bed.reports[0].version == 2
-    leader = bed.places[0]
+    leader = bed.asked_addresses[0]
     for _ in range(4):
         bed.take()
         bed.accept()
-    assert set(bed.places) == {leader}
-    assert bed.door.place() == leader
+    assert set(bed.asked_addresses) == {leader}
+    assert bed.handler.location() == leader
 
 
 def test_the_hint_of_a_follower_is_followed_at_once():
-    bed = CarrierBed()
+    bed = ForwarderBed()
     bed.take()
-    first = bed.places[0]
+    first = bed.asked_addresses[0]
     leader = next(a for a in CONTROL if a != first)
     bed.refuse(leader)
-    assert bed.places == [first, leader]
+    assert bed.asked_addresses == [first, leader]
     bed.accept()
     assert bed.codes == [ResultCode.CHANGE_ACCEPTED]
 
@@ -82,10 +82,10 @@
 # Guards against a caller that waits its whole second for an instance that
 # doesn't answer.
 def test_a_silent_instance_costs_a_quarter_of_a_second():
-    bed = CarrierBed()
+    bed = ForwarderBed()
     bed.take()
     bed.pass_time(SILENCE_SECONDS)
-    first, second = bed.places
+    first, second = bed.asked_addresses
     assert first != second
     bed.accept()
     assert bed.codes == [ResultCode.CHANGE_ACCEPTED]
@@ -94,15 +94,15 @@
 # Guards against returning to a leader that has just frozen whenever another
 # instance names it: the next leader is found within 0.1 s of its election.
 def test_a_leader_that_froze_is_not_asked_again_on_a_hint():
-    bed = CarrierBed()
+    bed = ForwarderBed()
     bed.take()
-    frozen = bed.places[0]
+    frozen = bed.asked_addresses[0]
     bed.pass_time(SILENCE_SECONDS)
-    while bed.carrier.now() < 100.0 + 0.6:
+    while bed.forwarder.now() < 100.0 + 0.6:
         bed.refuse(frozen)
         bed.pass_time(0.1)
-    assert bed.places.count(frozen) <= 2
-    assert len(bed.places) >= 4
+    assert bed.asked_addresses.count(frozen) <= 2
+    assert len(bed.asked_addresses) >= 4
 
 
 @pytest.mark.parametrize(
@@ -110,81 +110,81 @@
     [(True, ResultCode.NOT_LEADER), (False, ResultCode.CHANGE_UNKNOWN)],
 )
 def test_giving_up_tells_whether_it_may_have_been_carried_out(refused, code):
-    bed = CarrierBed()
+    bed = ForwarderBed()
     bed.take()
     while not bed.reports:
         if refused:
             bed.refuse()
         bed.pass_time(0.05)
     assert bed.codes == [code]
-    assert bed.carrier.now() - 100.0 <= PATIENCE_SECONDS + 0.05
-    assert not bed.carrier.errands
+    assert bed.forwarder.now() - 100.0 <= ORDER_TIMEOUT_SECONDS + 0.05
+    assert not bed.forwarder.errands
 
 
 # Guards against holding callers while no instance is reachable.
 def test_an_instance_that_is_cut_off_gives_up_once_it_has_asked_all():
-    bed = CarrierBed()
+    bed = ForwarderBed()
     bed.network.links.clear()
     bed.take()
     for _ in CONTROL:
-        bed.network.lose(bed.places[-1], was_up=False)
+        bed.network.lose(bed.asked_addresses[-1], was_up=False)
         bed.pass_time(0.01)
     assert bed.codes == [ResultCode.NOT_LEADER]
-    assert len(bed.places) == len(CONTROL)
+    assert len(bed.asked_addresses) == len(CONTROL)
 
 
 # Guards against reads and orders sent to an outdated leader.
 def test_a_leader_whose_connection_is_down_is_passed_over():
-    bed = CarrierBed()
-    bed.carrier.finder.note_leader(CONTROL[0])
+    bed = ForwarderBed()
+    bed.forwarder.finder.note_leader(CONTROL[0])
     del bed.network.links[CONTROL[0]]
-    assert bed.door.place() in CONTROL[1:]
+    assert bed.handler.location() in CONTROL[1:]
     bed.take()
-    assert bed.places[0] in CONTROL[1:]
+    assert bed.asked_addresses[0] in CONTROL[1:]
 
 
 def test_a_code_of_a_later_release_decides_nothing():
-    bed = CarrierBed()
+    bed = ForwarderBed()
     bed.take()
     bed.reply(OrderAnswer(0, 5999))
     assert not bed.reports
-    assert len(bed.places) == 2
+    assert len(bed.asked_addresses) == 2
 
 
 def test_what_waits_is_asked_again_when_the_leader_becomes_known():
-    bed = CarrierBed()
+    bed = ForwarderBed()
     bed.take()
     bed.pass_time(SILENCE_SECONDS)
-    leader = next(a for a in CONTROL if a not in bed.places)
-    bed.carrier.note_leader(leader)
-    assert bed.places[-1] == leader
+    leader = next(a for a in CONTROL if a not in bed.asked_addresses)
+    bed.forwarder.note_leader(leader)
+    assert bed.asked_addresses[-1] == leader
 
 
 # Guards against a flood of orders that exhausts an instance's memory.
 def test_orders_beyond_the_bound_are_refused_at_once():
-    bed = CarrierBed()
-    for _ in range(MOST_CARRIED + 1):
+    bed = ForwarderBed()
+    for _ in range(MAX_FORWARDED_ORDERS + 1):
         bed.take()
     assert bed.codes == [ResultCode.NOT_LEADER]
-    assert len(bed.carrier.errands) == MOST_CARRIED
+    assert len(bed.forwarder.errands) == MAX_FORWARDED_ORDERS
 
 
 @pytest.mark.parametrize(
     'length, taken',
     [
         (None, False),
-        (MOST_CARRIED_BYTES, True),
-        (MOST_CARRIED_BYTES + 1, False),
+        (MAX_FORWARDED_BYTES, True),
+        (MAX_FORWARDED_BYTES + 1, False),
     ],
 )
 def test_a_daemon_carries_no_large_order(length, taken):
-    assert CarrierBed().door.takes(length) == taken
+    assert ForwarderBed().handler.accepts_size(length) == taken
 
 
 # Guards against closing a connection, and losing the calls on it, because of
 # an order sent to a daemon: seeds may be daemons and are asked as well.
 def test_a_daemon_that_is_asked_as_control_says_that_it_does_not_lead():
-    bed = CarrierBed()
+    bed = ForwarderBed()
     bed.network.deliver(CONTROL[0], OrderRequest(7, 'whole', 'x', 1, 2, b''))
     (answer,) = bed.network.links[CONTROL[0]].sent
     assert (answer.request_id, answer.code) == (7, ResultCode.NOT_LEADER)
@@ -193,31 +193,31 @@
 # Guards against a partitioned control instance that rejects its callers for as
 # long as the partition lasts, although daemons reach both sides.
 def test_an_instance_that_finds_no_leader_asks_a_daemon_to_carry():
-    bed = CarrierBed()
+    bed = ForwarderBed()
     relay = Address('127.0.0.1', 77)
-    bed.carrier.find_relay = lambda: relay
+    bed.forwarder.find_relay_daemon = lambda: relay
     bed.take()
-    assert bed.places != [relay]
+    assert bed.asked_addresses != [relay]
     bed.refuse()
-    assert bed.places[-1] == relay
+    assert bed.asked_addresses[-1] == relay
     assert bed.network.sent[-1][1].relayed
     bed.accept()
     assert bed.codes == [ResultCode.CHANGE_ACCEPTED]
-    assert bed.carrier.finder.leader is None
+    assert bed.forwarder.finder.leader is None
 
 
 def test_a_named_leader_is_asked_before_a_daemon():
-    bed = CarrierBed()
-    bed.carrier.find_relay = lambda: Address('127.0.0.1', 77)
+    bed = ForwarderBed()
+    bed.forwarder.find_relay_daemon = lambda: Address('127.0.0.1', 77)
     bed.take()
-    leader = next(a for a in CONTROL if a != bed.places[0])
+    leader = next(a for a in CONTROL if a != bed.asked_addresses[0])
     bed.refuse(leader)
-    assert bed.places[-1] == leader
+    assert bed.asked_addresses[-1] == leader
     assert not bed.network.sent[-1][1].relayed
 
 
 def test_a_daemon_carries_for_a_control_instance_and_answers_it():
-    bed = CarrierBed()
+    bed = ForwarderBed()
     request = OrderRequest(7, 'whole', 'x', 1, 2, b'', relayed=True)
     bed.network.deliver(CONTROL[0], request)
     bed.accept()
@@ -226,11 +226,11 @@
 
 
 def test_a_seed_that_is_a_daemon_is_not_asked_even_if_it_is_the_only_one():
-    bed = CarrierBed()
-    finder = bed.carrier.finder
+    bed = ForwarderBed()
+    finder = bed.forwarder.finder
     for address in CONTROL:
         finder.note_other(address)
     later = Address('127.0.0.1', 9)
     finder.note_control(later, live=True)
     bed.take()
-    assert bed.places == [later]
+    assert bed.asked_addresses == [later]
--- a/tests/events/test_state.py
+++ b/tests/events/test_state.py
@@ -8,8 +8,8 @@
 from cyclamenlift.events.state import CHANGE_IDS_KEPT
 from cyclamenlift.events.state import DOCUMENTS_KEPT
 from cyclamenlift.events.state import EventStore
-from cyclamenlift.events.state import KeptDocument
 from cyclamenlift.events.state import SNAPSHOT
+from cyclamenlift.events.state import StoredDocument
 from cyclamenlift.models.document import MAX_CANONICAL_BYTES
 from tests.events.builders import document
 
@@ -120,7 +120,7 @@
     store.publish('x', 0, A, 'eden', 1)
     earlier = dataclasses.replace(
         SNAPSHOT.validate_json(store.encode()),
-        documents=[KeptDocument(1, A)],
+        documents=[StoredDocument(1, A)],
     )
     restored = EventStore()
     restored.restore(SNAPSHOT.validate_json(SNAPSHOT.dump_json(earlier)))
--- a/tests/events/test_tasks.py
+++ b/tests/events/test_tasks.py
@@ -6,9 +6,9 @@
 
 from cyclamenlift.core.packing import pack
 from cyclamenlift.core.streams import Address
-from cyclamenlift.events.giving import MOST_OCCUPIED_SECONDS
-from cyclamenlift.events.pulling import MOST_PULL_SECONDS
-from cyclamenlift.events.pulling import PULL_SECONDS
+from cyclamenlift.events.document_answers import MAX_QUEUED_SECONDS
+from cyclamenlift.events.document_pulling import MAX_PULL_SECONDS
+from cyclamenlift.events.document_pulling import PULL_STALL_SECONDS
 from cyclamenlift.events.tasks import FALL_BACK_SECONDS
 from cyclamenlift.events.tasks import HINT_SECONDS
 from cyclamenlift.events.tasks import POLL_SECONDS
@@ -78,7 +78,7 @@
     for peer in PEERS:
         bed.follower.note_version(4, peer)
     assert bed.asked() == [FIRST]
-    bed.clock.instant += PULL_SECONDS
+    bed.clock.instant += PULL_STALL_SECONDS
     bed.follower.note_version(4, PEERS[1])
     assert bed.asked() == [Address.parse(PEERS[1])]
     bed.follower.note_version(5, PEERS[2])
@@ -191,8 +191,8 @@
     bed = running(3)
     bed.follower.note_version(4, PEERS[0])
     assert bed.asked() == [FIRST]
-    bed.pass_time(PULL_SECONDS + 0.1)
-    pulled_from = bed.follower.puller.under_way.address
+    bed.pass_time(PULL_STALL_SECONDS + 0.1)
+    pulled_from = bed.follower.puller.current.address
     assert pulled_from in CONTROL
     assert pulled_from in bed.asked()
 
@@ -205,11 +205,11 @@
     assert bed.asked() == [FIRST]
     for _ in range(10):
         came[0] += 1000
-        bed.pass_time(MOST_PULL_SECONDS / 10 - 0.01)
-        assert bed.follower.puller.under_way.address == FIRST
+        bed.pass_time(MAX_PULL_SECONDS / 10 - 0.01)
+        assert bed.follower.puller.current.address == FIRST
     came[0] += 1000
-    bed.pass_time(PULL_SECONDS)
-    assert bed.follower.puller.under_way.address in CONTROL
+    bed.pass_time(PULL_STALL_SECONDS)
+    assert bed.follower.puller.current.address in CONTROL
     bed.give(FIRST, 4)
     assert bed.follower.version == 4
 
@@ -275,7 +275,7 @@
     bed.follower.note_version(4, PEERS[0])
     bed.follower.note_version(4, PEERS[1])
     bed.asked()
-    bed.pass_time(BOUND_SECONDS - PULL_SECONDS)
+    bed.pass_time(BOUND_SECONDS - PULL_STALL_SECONDS)
     assert Address.parse(PEERS[1]) in bed.asked()
 
 
@@ -302,8 +302,8 @@
     assert sorted(asked[1:]) == sorted(CONTROL)
     for address in asked:
         assert lose(bed, address, was_up) == []
-    bed.pass_time(PULL_SECONDS + 0.1)
-    assert bed.follower.puller.under_way.address != asked[-1]
+    bed.pass_time(PULL_STALL_SECONDS + 0.1)
+    assert bed.follower.puller.current.address != asked[-1]
 
 
 def test_who_is_told_that_a_peer_is_busy_asks_control():
@@ -346,14 +346,14 @@
     bed = running(3)
     link = FakeLink()
     # A document takes longer than others may wait.
-    bed.follower.share.link_rate = 1000.0
+    bed.follower.link_budget.link_rate = 1000.0
     for number in range(3):
         request = DocumentRequest(number, 0, takes_changes=True)
         bed.follower.on_request(link, request)
     assert [bool(a.busy) for a in link.sent] == [False, True, True]
     assert [bool(a.changes) for a in link.sent] == [True, False, False]
     assert {a.version for a in link.sent} == {3}
-    bed.clock.instant += 10 * MOST_OCCUPIED_SECONDS
+    bed.clock.instant += 10 * MAX_QUEUED_SECONDS
     bed.follower.on_request(link, DocumentRequest(4, 0, takes_changes=True))
     assert link.sent[-1].changes
 
--- a/tests/events/test_thin_links.py
+++ b/tests/events/test_thin_links.py
@@ -19,7 +19,7 @@
 """
 
 from tests.events.fleet import DAEMON_RATE
-from tests.events.fleet import ThinFleet
+from tests.events.fleet import SimulatedFleet
 
 BOUND_SECONDS = 2.0
 DAEMONS = 65
@@ -37,8 +37,8 @@
 PULLS_AT_ONE = 16
 
 
-def running_fleet(seed: int, daemons: int = DAEMONS) -> ThinFleet:
-    fleet = ThinFleet(daemons, seed)
+def running_fleet(seed: int, daemons: int = DAEMONS) -> SimulatedFleet:
+    fleet = SimulatedFleet(daemons, seed)
     fleet.add_routes(ROUTES)
     fleet.run(30.0)
     assert fleet.delays(1)[-1] < float('inf')
--- a/tests/events/test_lagging.py
+++ b/tests/events/test_version_lag.py
@@ -6,46 +6,46 @@
 one.
 """
 
-from cyclamenlift.events.lagging import CATCH_UP_SECONDS
-from cyclamenlift.events.lagging import Lag
-from cyclamenlift.events.lagging import WORD_COUNTS_SECONDS
+from cyclamenlift.events.version_lag import CATCH_UP_SECONDS
+from cyclamenlift.events.version_lag import REPORT_VALID_SECONDS
+from cyclamenlift.events.version_lag import VersionLag
 from tests.events.builders import CONTROL
 from tests.events.builders import FollowerBed
 from tests.events.builders import PEERS
 
 
 def test_a_daemon_is_behind_until_it_has_what_it_heard_of():
-    lag = Lag()
+    lag = VersionLag()
     assert not lag.is_behind(3, 0.0)
-    lag.hear(4, 0.0)
+    lag.record_report(4, 0.0)
     assert lag.is_behind(3, 1.0)
     assert not lag.is_behind(4, 1.0)
     assert not lag.is_behind(5, 1.0)
 
 
 def test_a_word_that_nobody_repeats_is_forgotten():
-    lag = Lag()
-    lag.hear(9, 0.0)
-    lag.hear(4, 4.0)
-    assert not lag.is_behind(3, WORD_COUNTS_SECONDS)
-    lag.hear(9, WORD_COUNTS_SECONDS)
-    assert lag.is_behind(3, WORD_COUNTS_SECONDS + 1.0)
+    lag = VersionLag()
+    lag.record_report(9, 0.0)
+    lag.record_report(4, 4.0)
+    assert not lag.is_behind(3, REPORT_VALID_SECONDS)
+    lag.record_report(9, REPORT_VALID_SECONDS)
+    assert lag.is_behind(3, REPORT_VALID_SECONDS + 1.0)
 
 
 def test_a_starting_daemon_takes_callers_once_it_has_caught_up():
-    lag = Lag()
+    lag = VersionLag()
     assert not lag.has_caught_up(0, 0.0)
-    lag.hear(4, 0.0)
+    lag.record_report(4, 0.0)
     assert not lag.has_caught_up(3, 0.0)
     assert lag.has_caught_up(4, 0.1)
-    lag.hear(5, 0.2)
+    lag.record_report(5, 0.2)
     assert lag.has_caught_up(4, 0.3)
 
 
 def test_it_does_not_wait_for_ever():
-    lag = Lag()
+    lag = VersionLag()
     for tenth in range(round(CATCH_UP_SECONDS * 10)):
-        lag.hear(4, tenth / 10)
+        lag.record_report(4, tenth / 10)
         assert not lag.has_caught_up(3, tenth / 10)
     assert lag.has_caught_up(3, CATCH_UP_SECONDS)
 
--- a/tests/membership/test_ends.py
+++ b/tests/membership/test_ends.py
@@ -32,7 +32,7 @@
 
 def test_a_report_arrives_with_the_digest_of_its_sender():
     sender, receiver = member(), member()
-    sender.packer.ends_digest = 77
+    sender.packet_builder.ends_digest = 77
     data = sender.push_ends(report(), 1, 0.0, own=True)[0].data
     packet = decode_packet(GossipPacket, data)
     packet.sender = 'm1'
--- a/tests/membership/test_near_news.py
+++ b/tests/membership/test_near_news.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from cyclamenlift.membership.state import FAR_PUSHES
 from cyclamenlift.membership.state import FORWARD_FANOUT
+from cyclamenlift.membership.state import REMOTE_PUSHES
 from tests.membership.builders import record
 from tests.membership.builders import state
 
@@ -27,7 +27,7 @@
     return one
 
 
-def places_of(one, sample) -> list[bool]:
+def nearby_flags(one, sample) -> list[bool]:
     """Return for each sampled member whether it is in the same data centre."""
     return [r.data_centre == one.settings.data_centre for r in sample]
 
@@ -35,23 +35,23 @@
 def test_all_but_one_are_near():
     one = member()
     for _ in range(50):
-        near = places_of(one, one.sample_near(FORWARD_FANOUT))
+        near = nearby_flags(one, one.sample_nearby(FORWARD_FANOUT))
         assert len(near) == FORWARD_FANOUT
-        assert near.count(False) == FAR_PUSHES
+        assert near.count(False) == REMOTE_PUSHES
 
 
 @pytest.mark.parametrize('count', [4, 8])
 def test_where_few_are_near_the_far_ones_make_up_for_them(count):
     one = member(places=MEMBERS)
-    assert len(one.sample_near(count)) == count
+    assert len(one.sample_nearby(count)) == count
 
 
 def test_where_all_are_near_none_is_left_out():
     one = member(places=1)
-    assert places_of(one, one.sample_near(4)) == [True] * 4
+    assert nearby_flags(one, one.sample_nearby(4)) == [True] * 4
 
 
 def test_no_member_is_named_twice():
     one = member()
-    names = [r.instance for r in one.sample_near(12)]
+    names = [r.instance for r in one.sample_nearby(12)]
     assert len(set(names)) == len(names)
--- a/tests/membership/test_records.py
+++ b/tests/membership/test_records.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from cyclamenlift.membership.records import is_sound
+from cyclamenlift.membership.records import is_valid_record
 from cyclamenlift.membership.records import MAX_INCARNATION
 from cyclamenlift.membership.records import supersedes
 from cyclamenlift.wire.gen.protocol.ttypes import MemberState
@@ -62,5 +62,5 @@
     ],
 )
 def test_an_unsound_record_is_told_apart(field, value):
-    assert is_sound(record())
-    assert not is_sound(record(**{field: value}))
+    assert is_valid_record(record())
+    assert not is_valid_record(record(**{field: value}))
--- a/tests/membership/test_state.py
+++ b/tests/membership/test_state.py
@@ -5,10 +5,10 @@
 from bench.gossip_loop import address_of
 from bench.gossip_loop import GossipLoop
 from cyclamenlift.core.streams import Address
-from cyclamenlift.membership.health import HOLD_SHARE
+from cyclamenlift.membership.health import MAX_FAILING_SHARE
+from cyclamenlift.membership.liveness import TOMBSTONE_PERIODS
 from cyclamenlift.membership.packets import MAX_PACKET_BYTES
 from cyclamenlift.membership.records import revise
-from cyclamenlift.membership.verdicts import TOMBSTONE_PERIODS
 from cyclamenlift.wire.gen.protocol.ttypes import GossipKind
 from cyclamenlift.wire.gen.protocol.ttypes import MemberState
 from cyclamenlift.wire.gen.protocol.ttypes import TargetState
@@ -150,7 +150,7 @@
     for name in accused:
         one.on_packet(packet('b', [record(name, state=MemberState.DEAD)]), 1)
     dead = [r for r in one.table.entries.values() if r.expires_at is not None]
-    assert len(dead) == HOLD_SHARE * 10
+    assert len(dead) == MAX_FAILING_SHARE * 10
     for second in range(2, 3 * TOMBSTONE_PERIODS):
         one.prober.waiting.clear()
         one.on_period(float(second))
@@ -182,7 +182,7 @@
         loop.run_period()
     for one in loop.members.values():
         ejected = members - one.table.live_count()
-        assert ejected <= HOLD_SHARE * members
+        assert ejected <= MAX_FAILING_SHARE * members
     loop.cut(None)
     assert loop.run_until(loop.all_agree, 100) is not None
 
--- a/tests/quarantine/builders.py
+++ b/tests/quarantine/builders.py
@@ -4,7 +4,7 @@
 import itertools
 import random
 
-from cyclamenlift.membership.packets import DigestSeen
+from cyclamenlift.membership.packets import EndsDigest
 from cyclamenlift.quarantine import Quarantine
 from cyclamenlift.quarantine import Report
 
@@ -158,7 +158,7 @@
     def hear(self, owner: str, port: int) -> None:
         """Let a member hear what the one at ``port`` says that it knows."""
         digest = self.members[self.names[port]].membership.digest
-        seen = DigestSeen(digest, f'127.0.0.1:{port}', False)
+        seen = EndsDigest(digest, f'127.0.0.1:{port}', False)
         self.members[owner].membership.on_digest(seen)
 
     def join_by_seed(self, owner: str) -> None:
--- a/tests/quarantine/test_tasks.py
+++ b/tests/quarantine/test_tasks.py
@@ -9,7 +9,7 @@
 import pytest
 from structlog.testing import capture_logs
 
-from cyclamenlift.membership.packets import DigestSeen
+from cyclamenlift.membership.packets import EndsDigest
 from cyclamenlift.quarantine import Standing
 from tests.quarantine.builders import Group
 from tests.quarantine.builders import name
@@ -79,7 +79,7 @@
     """All daemons are restarted; a control instance has kept the reports."""
     group = Group(2, 4)
     first, second = group.members.values()
-    nothing = DigestSeen(0, '127.0.0.1:1', from_control=False)
+    nothing = EndsDigest(0, '127.0.0.1:1', from_control=False)
     second.on_digest(nothing)
     assert not second.is_synced()
     second.on_digest(dataclasses.replace(nothing, from_control=True))
--- a/tests/runtime/test_control_metrics.py
+++ b/tests/runtime/test_control_metrics.py
@@ -5,8 +5,8 @@
 from prometheus_client.parser import text_string_to_metric_families
 import pytest
 
-from cyclamenlift.events.border import Publication
 from cyclamenlift.events.commands import publish
+from cyclamenlift.events.request_models import Publication
 from cyclamenlift.ledger.server import ClaimServer
 from cyclamenlift.replication.queries import ReplicaStatus
 from cyclamenlift.replication.queries import Role
--- a/tests/runtime/test_stopping.py
+++ b/tests/runtime/test_stopping.py
@@ -66,7 +66,7 @@
         self.calls = idle
         self.gate = None
         self.claims = SimpleNamespace(errands=())
-        self.carrier = SimpleNamespace(errands=())
+        self.forwarder = SimpleNamespace(errands=())
         self.settings = SimpleNamespace(
             drain_seconds=GRACE, farewell_seconds=FAREWELL
         )
--- a/tools/mutants_control.py
+++ b/tools/mutants_control.py
@@ -142,7 +142,7 @@
     Mutant(
         'a starting daemon takes one word',
         ADOPTION,
-        'if not self.believes(offer.version):',
+        'if not self.is_trusted(offer.version):',
         'if False:',
         ADOPTION_TESTS,
     ),
@@ -156,9 +156,9 @@
     Mutant(
         'a document that does not parse counts as in force',
         ADOPTION,
-        '        try:\n            steps = self.steps_of(',
+        '        try:\n            steps = self.resolve_steps(',
         '        self.history.version = offer.version\n'
-        '        try:\n            steps = self.steps_of(',
+        '        try:\n            steps = self.resolve_steps(',
         ADOPTION_TESTS,
     ),
     Mutant(
@@ -177,16 +177,16 @@
     ),
     Mutant(
         'a link takes any number of documents at once',
-        'cyclamenlift/events/giving.py',
-        'if begins_at - now > MOST_OCCUPIED_SECONDS:',
+        'cyclamenlift/events/document_answers.py',
+        'if begins_at - now > MAX_QUEUED_SECONDS:',
         'if False:',
         'tests/events/test_tasks.py',
     ),
     Mutant(
         'the answer of a follower counts as confirmed',
         DOCUMENTS,
-        'self.give(link, request, False)\n            return',
-        'self.give(link, request, True)\n            return',
+        'self.send_answer(link, request, False)\n            return',
+        'self.send_answer(link, request, True)\n            return',
         DOCUMENT_TESTS,
     ),
     Mutant(
