--- a/cyclamenlift/events/document_answers.py
+++ b/cyclamenlift/events/document_answers.py
@@ -22,7 +22,7 @@
 
 
 class LinkBudget:
-    """Limits the documents queued on the link of one daemon."""
+    """Limits how many documents are queued on a daemon's link."""
 
     def __init__(self) -> None:
         # Bytes per second; 0 if unknown, which disables the limit.
--- a/cyclamenlift/events/document_pulling.py
+++ b/cyclamenlift/events/document_pulling.py
@@ -60,9 +60,9 @@
 
     def extend(self, received: int, now: float) -> bool:
         """Extend the deadline if bytes arrived; return whether it was."""
-        moved = received > self.received
+        progressed = received > self.received
         self.received = received
-        if not moved or now >= self.began_at + MAX_PULL_SECONDS:
+        if not progressed or now >= self.began_at + MAX_PULL_SECONDS:
             return False
         self.deadline = now + PULL_STALL_SECONDS
         return True
--- a/cyclamenlift/membership/packet_handlers.py
+++ b/cyclamenlift/membership/packet_handlers.py
@@ -98,7 +98,7 @@
         self.state.packet_builder.set_transfer_mode(transferring)
 
     def correction(self, packet: GossipPacket) -> list[MemberRecord]:
-        """Return the sender's record if it is outdated or not ALIVE here.
+        """Return our record of the sender if the sender must refute it.
 
         The sender refutes it at once, whether it is a suspicion, a death or a
         record from before its restart.
--- a/cyclamenlift/membership/period_round.py
+++ b/cyclamenlift/membership/period_round.py
@@ -113,7 +113,7 @@
             return self.retry_join(now)
         result = self.reconcile(now)
         if self.contact_due():
-            result.extend(self.contact(now))
+            result.extend(self.pull_from_contact(now))
         return result
 
     def retry_join(self, now: float) -> list[Outgoing]:
@@ -146,7 +146,7 @@
         early = self.count in EARLY_CONTACTS
         return alone or early or self.count % CONTACT_PERIODS == 0
 
-    def contact(self, now: float) -> list[Outgoing]:
+    def pull_from_contact(self, now: float) -> list[Outgoing]:
         state = self.state
         known = {r.gossip_address for r in state.members()}
         address = state.contacts.pick(known)
--- a/tests/events/test_adoption.py
+++ b/tests/events/test_adoption.py
@@ -15,38 +15,38 @@
 BROKEN = b'{"event": 1}'
 # Each step: an offer, then the expected version and confirmation.
 CASES = {
-    'a starting daemon takes no single word': [
+    'a starting daemon trusts no single source': [
         (offer(5, 'p'), 0, False),
         (offer(7, 'q'), 0, False),
     ],
-    'a majority read starts it': [
+    'a majority read lets it start': [
         (offer(5, 'p'), 0, False),
         (offer(6, 'c', majority=True), 6, True),
     ],
-    'an empty store that a majority confirms starts it, too': [
+    'a majority-confirmed empty store lets it start, too': [
         (offer(0, 'c', majority=True, data=b''), 0, True),
         (offer(1, 'p'), 1, True),
     ],
-    'a running daemon moves forward by any word': [
+    'a running daemon adopts newer versions from any source': [
         (offer(3, 'c', majority=True), 3, True),
         (offer(4, 'p'), 4, True),
         (offer(9, 'q'), 9, True),
     ],
-    'and never back': [
+    'a running daemon never adopts an older version': [
         (offer(3, 'c', majority=True), 3, True),
         (offer(2, 'c', majority=True), 3, True),
         (offer(2, 'p'), 3, True),
     ],
-    'what a majority named may come from anybody': [
+    'a majority-confirmed version may come from any source': [
         (offer(5, 'c', majority=True, data=b''), 0, False),
         (offer(4, 'p'), 0, False),
         (offer(5, 'p'), 5, True),
     ],
-    'also a later one, since all that is offered was committed': [
+    'so may a later one, since all offers are committed': [
         (offer(5, 'c', majority=True, data=b''), 0, False),
         (offer(6, 'p'), 6, True),
     ],
-    'a version without its bytes is no document': [
+    'a version without its document is not adopted': [
         (offer(3, 'c', majority=True), 3, True),
         (offer(4, 'p', data=b''), 3, True),
     ],
@@ -116,7 +116,7 @@
     return Offer('p', history.version, changes=changes)
 
 
-def test_changes_lead_from_the_version_in_force_to_the_newest():
+def test_changes_lead_from_the_current_version_to_the_newest():
     adoption = Adoption()
     adoption.consider(offer(3, 'c', majority=True))
     sender = history_of(2, 3, 5, 9)
@@ -126,7 +126,7 @@
     assert [c.version for c in adoption.history.since(3)] == [5, 9]
 
 
-def test_changes_that_begin_earlier_are_taken_from_where_they_fit():
+def test_changes_that_start_earlier_are_applied_from_the_current_version():
     adoption = Adoption()
     adoption.consider(offer(5, 'c', majority=True))
     sender = history_of(3, 5, 9)
@@ -134,7 +134,7 @@
     assert adoption.rules.event == 'v9'
 
 
-def test_changes_of_a_version_that_is_not_here_change_nothing():
+def test_changes_of_an_unknown_base_version_are_ignored():
     adoption = Adoption()
     adoption.consider(offer(3, 'c', majority=True))
     sender = history_of(4, 5)
@@ -142,7 +142,7 @@
     assert (adoption.version, adoption.rules.event) == (3, 'v3')
 
 
-def test_a_change_that_was_cut_short_is_refused_whole():
+def test_a_truncated_change_is_rejected_completely():
     adoption = Adoption()
     adoption.consider(offer(3, 'c', majority=True, data=document('other')))
     sender = history_of(3, 5)
--- a/tests/events/test_changes.py
+++ b/tests/events/test_changes.py
@@ -28,7 +28,7 @@
     return tuple(result)
 
 
-def test_a_change_makes_just_the_lines_that_it_was_made_for():
+def test_a_diff_reproduces_the_target_lines():
     rng = random.Random(1)
     lines = LINES
     for _ in range(300):
@@ -49,7 +49,7 @@
     [(), LINES[:20], (*LINES[:-1], b'other'), LINES[::-1]],
     ids=['nothing', 'too short', 'one line differs', 'another order'],
 )
-def test_a_change_of_another_base_is_refused(base):
+def test_a_diff_of_another_base_is_rejected(base):
     with pytest.raises(ValueError):
         apply_change(base, make_change(LINES, (*LINES, b'new')))
 
@@ -66,7 +66,7 @@
         [b'=0 1 2'],
     ],
 )
-def test_a_change_that_can_not_be_read_is_refused(parts):
+def test_a_malformed_diff_is_rejected(parts):
     packed = pack(b'\n'.join([digest_of_lines(LINES), *parts]))
     with pytest.raises(ValueError):
         apply_change(LINES, packed)
@@ -90,7 +90,7 @@
         (12, []),
     ],
 )
-def test_history_gives_what_is_lacked_or_all(known, steps):
+def test_history_returns_missing_changes_or_the_full_document(known, steps):
     changes = history(2, 5, 9).since(known)
     assert [(c.base_version, c.version) for c in changes] == steps
 
--- a/tests/events/test_chosen_versions.py
+++ b/tests/events/test_chosen_versions.py
@@ -26,7 +26,7 @@
     return store.publish(change, base, data, '', 1, chosen)
 
 
-def test_a_version_has_the_number_that_its_operator_chose():
+def test_a_version_gets_the_number_chosen_by_its_operator():
     store = EventStore()
     assert publish(store, 'x', 0, A, 7).version == 7
     assert publish(store, 'y', 7, B, 12).version == 12
@@ -35,7 +35,7 @@
 
 
 @pytest.mark.parametrize('chosen', [6, 7])
-def test_a_number_that_is_not_above_the_one_in_force_is_invalid(chosen):
+def test_a_number_not_above_the_current_version_is_invalid(chosen):
     store = EventStore()
     publish(store, 'x', 0, A, 7)
     assert publish(store, 'y', 7, B, chosen).code == INVALID
@@ -50,7 +50,7 @@
     assert store.document() == B
 
 
-def test_what_is_in_force_is_accepted_again_whatever_its_base():
+def test_the_current_document_is_accepted_again_with_any_base():
     store = EventStore()
     publish(store, 'x', 0, A, 7)
     again = publish(store, 'y', 3, A, 7)
@@ -89,7 +89,7 @@
     return report
 
 
-def test_a_partial_change_is_made_on_what_is_in_force():
+def test_a_partial_change_is_applied_to_the_current_document():
     context = begun()
     report = partial(context, Change('p', 5, chosen_version=8))
     assert (report.code, report.version) == (ACCEPTED, 8)
@@ -97,7 +97,7 @@
     assert newest.event == 'renamed'
 
 
-def test_a_partial_change_sent_again_gets_its_first_answer():
+def test_a_repeated_partial_change_gets_its_recorded_outcome():
     context = begun()
     partial(context, Change('p', 5, chosen_version=8))
     partial(context, Change('q', 8, chosen_version=9))
@@ -113,7 +113,7 @@
     assert context.store.version == 5
 
 
-def test_a_partial_change_that_can_not_be_made_changes_nothing():
+def test_a_failed_partial_change_has_no_effect():
     def refuse(_current):
         return Failure(Problem(INVALID, 'no such part'))
 
@@ -132,7 +132,7 @@
 
 # Guards against an order that stops the replica of the leader, and then that
 # of the next leader it is forwarded to.
-def test_an_edit_that_fails_is_refused_and_stops_nobody():
+def test_an_edit_that_raises_is_rejected_without_stopping_the_replica():
     def fail(document):
         raise RecursionError('too deep')
 
--- a/tests/events/test_control_orders.py
+++ b/tests/events/test_control_orders.py
@@ -113,7 +113,7 @@
     monkeypatch.setattr(ORDER_KINDS, 'items', known)
 
 
-def test_the_leader_carries_out_what_comes_and_what_is_carried_to_it():
+def test_the_leader_executes_direct_and_forwarded_orders():
     bed = HandlerBed()
     assert bed.ask().code == ACCEPTED
     bed.take()
@@ -123,7 +123,7 @@
 
 # Guards against copies of one order, forwarded by several instances, that are
 # each parsed, validated and written into the log.
-def test_an_order_that_comes_again_while_under_way_waits_for_its_outcome():
+def test_a_repeated_order_in_progress_waits_for_the_same_outcome():
     bed = HandlerBed()
     slow = SlowReplica(bed.context)
     slow.hold()
@@ -137,7 +137,7 @@
     assert not bed.handler.busy
 
 
-def test_a_follower_answers_from_its_own_log_and_names_the_leader_else():
+def test_a_follower_answers_from_its_store_or_names_the_leader():
     bed = HandlerBed()
     bed.take()
     bed.context.replica.elect('b')
@@ -159,7 +159,7 @@
     assert not bed.forwarder.errands
 
 
-def test_an_order_whose_leader_lost_its_place_is_carried_to_the_next_one():
+def test_an_order_is_forwarded_to_the_next_leader_after_leadership_loss():
     bed = HandlerBed()
     bed.context.replica.failing = ResultCode.CHANGE_UNKNOWN
     bed.take()
@@ -169,7 +169,9 @@
 
 # Guards against reporting an order as not executed although it is in a log.
 @pytest.mark.parametrize('seconds', [0.0, 0.8])
-def test_an_order_that_may_be_in_the_log_is_never_said_not_to_be(seconds):
+def test_an_order_that_may_be_in_the_log_is_never_reported_not_executed(
+    seconds,
+):
     bed = HandlerBed()
     slow = SlowReplica(bed.context)
     slow.hold()
@@ -186,7 +188,7 @@
 
 # The same for an order that was sent to another instance before this one
 # became the leader.
-def test_an_order_that_others_may_have_taken_is_never_said_not_to_be():
+def test_an_order_sent_to_others_is_never_reported_not_executed():
     bed = HandlerBed(leader='')
     bed.take()
     bed.context.replica.failing = ResultCode.NOT_LEADER
@@ -199,7 +201,7 @@
 
 
 # Guards against an operator that gets no answer while a commit hangs.
-def test_an_order_that_is_not_decided_is_answered_within_the_patience():
+def test_an_undecided_order_is_answered_within_the_timeout():
     bed = HandlerBed()
     SlowReplica(bed.context).hold()
     bed.take()
@@ -209,7 +211,7 @@
 
 # Guards against closing a connection because of one malformed order, and
 # against forwarding that order to one leader after another.
-def test_an_order_that_cannot_be_read_is_refused_for_good():
+def test_a_malformed_order_is_rejected_with_a_final_code():
     bed = HandlerBed()
     assert bed.ask(BROKEN).code == ResultCode.DOCUMENT_INVALID
     bed.take(BROKEN)
@@ -219,7 +221,7 @@
 
 # Guards against callers that stay with a partitioned instance: they are
 # redirected to a daemon, which they may reach.
-def test_an_instance_that_finds_no_leader_knows_who_else_takes_orders():
+def test_an_instance_without_a_leader_offers_an_alternate_address():
     bed = HandlerBed(leader='')
     assert bed.handler.alternate_address() is None
     daemon = Address('127.0.0.1', 77)
--- a/tests/events/test_control_side.py
+++ b/tests/events/test_control_side.py
@@ -72,7 +72,7 @@
         (TEXT.replace('"prices"', '"P!"'), 'services[0].name'),
     ],
 )
-def test_a_wrong_document_names_the_field_and_changes_nothing(text, path):
+def test_an_invalid_document_names_the_field_and_has_no_effect(text, path):
     context = control_context()
     report = run(publish, context, publication(text=text))
     assert report['code'] == ResultCode.DOCUMENT_INVALID
@@ -91,7 +91,9 @@
         ('a', ResultCode.CHANGE_UNKNOWN, ResultCode.CHANGE_UNKNOWN),
     ],
 )
-def test_a_change_that_was_not_taken_says_what_is_known(leader, failing, code):
+def test_a_change_that_was_not_accepted_reports_code_and_leader(
+    leader, failing, code
+):
     context = control_context(leader)
     context.replica.failing = failing
     report = run(publish, context, publication())
@@ -124,7 +126,7 @@
         (b'{"document":"x","base_version":0,"change_id":"a","z":1}', 'z'),
     ],
 )
-def test_a_wrong_order_names_its_field(body, where):
+def test_an_invalid_request_names_its_field(body, where):
     result = parse_request_body(Publication, body)
     assert isinstance(result, Failure)
     assert result.failure().where.startswith(where)
@@ -172,7 +174,7 @@
     assert not link.sent[0].committed
 
 
-def test_a_new_version_goes_to_a_few_unasked():
+def test_a_new_version_is_pushed_to_a_few():
     context = control_context(leader='b')
     server = server_of(context)
     links = [FakeLink(number=number) for number in range(40)]
@@ -188,7 +190,7 @@
     assert len(server.links) == 39
 
 
-def test_who_asked_before_there_was_a_leader_hears_from_it_once_it_leads():
+def test_early_requests_are_answered_once_a_leader_is_elected():
     # After a full restart, daemons wait for exactly this answer.
     context = control_context(leader='')
     server = server_of(context)
@@ -202,7 +204,7 @@
     assert not context.replica.barriers
 
 
-def test_a_follower_that_knows_only_ways_of_its_own_names_no_leader():
+def test_a_follower_with_control_only_addresses_names_no_leader():
     # Regression: a partitioned daemon bypassed the partition over the
     # network that control instances use among themselves.
     context = control_context(leader='b')
@@ -212,7 +214,7 @@
     assert not link.sent[0].leader_address
 
 
-def test_a_follower_names_the_leader_also_to_who_asked_before():
+def test_a_follower_names_the_leader_to_earlier_requesters_too():
     context = control_context(leader='')
     server = server_of(context, names_leader=True)
     link = FakeLink()
@@ -229,7 +231,7 @@
     return DocumentRequest(1, known, takes_changes=True)
 
 
-def test_who_takes_changes_gets_those_that_he_lacks():
+def test_a_requester_that_accepts_changes_gets_the_missing_ones():
     context = control_context(leader='b')
     server, link = server_of(context), FakeLink()
     server.on_request(link, takes_changes(0))
@@ -250,7 +252,7 @@
     assert not any(answer.packed_document for answer in link.sent)
 
 
-def test_who_only_asks_for_the_version_gets_no_document():
+def test_a_version_only_request_gets_no_document():
     context = control_context(leader='b')
     context.replica.leader = 'a'
     run(publish, context, publication())
@@ -263,7 +265,7 @@
     assert not answer.packed_document
 
 
-def test_a_large_change_is_named_and_a_small_one_is_sent_unasked():
+def test_small_changes_are_pushed_and_large_ones_only_announced():
     context = control_context(leader='b')
     server, link = server_of(context), FakeLink()
     server.on_request(link, takes_changes(0))
@@ -278,7 +280,7 @@
     assert told == [(1, 0), (2, 1), (3, 0)]
 
 
-def test_a_store_that_begins_anew_begins_its_history_anew():
+def test_a_recreated_store_resets_the_history():
     context = control_context(leader='a')
     run(publish, context, publication())
     server = server_of(context)
--- a/tests/events/test_dark_peers.py
+++ b/tests/events/test_dark_peers.py
@@ -64,7 +64,7 @@
 
 # Guards against pulls that try one dark member after another while healthy
 # members announce the version.
-def test_a_version_that_dark_members_named_is_in_force_in_time():
+def test_a_version_announced_by_dark_members_is_in_force_in_time():
     for ping_seconds, seeds in SCENARIOS:
         for seed in seeds:
             assert time_to_all(seed, ping_seconds) <= BOUND_SECONDS
--- a/tests/events/test_order_forwarding.py
+++ b/tests/events/test_order_forwarding.py
@@ -53,7 +53,7 @@
         return [report.code for report in self.reports]
 
 
-def test_the_outcome_is_handed_over_once_and_the_leader_remembered():
+def test_the_outcome_is_reported_once_and_the_leader_remembered():
     bed = ForwarderBed()
     bed.take()
     bed.accept()
@@ -109,7 +109,9 @@
     'refused, code',
     [(True, ResultCode.NOT_LEADER), (False, ResultCode.CHANGE_UNKNOWN)],
 )
-def test_giving_up_tells_whether_it_may_have_been_carried_out(refused, code):
+def test_giving_up_reports_whether_the_order_may_have_been_executed(
+    refused, code
+):
     bed = ForwarderBed()
     bed.take()
     while not bed.reports:
@@ -122,7 +124,7 @@
 
 
 # Guards against holding callers while no instance is reachable.
-def test_an_instance_that_is_cut_off_gives_up_once_it_has_asked_all():
+def test_a_partitioned_instance_gives_up_once_it_has_asked_all():
     bed = ForwarderBed()
     bed.network.links.clear()
     bed.take()
@@ -134,7 +136,7 @@
 
 
 # Guards against reads and orders sent to an outdated leader.
-def test_a_leader_whose_connection_is_down_is_passed_over():
+def test_a_disconnected_leader_is_skipped():
     bed = ForwarderBed()
     bed.forwarder.finder.note_leader(CONTROL[0])
     del bed.network.links[CONTROL[0]]
@@ -143,7 +145,7 @@
     assert bed.asked_addresses[0] in CONTROL[1:]
 
 
-def test_a_code_of_a_later_release_decides_nothing():
+def test_an_unknown_code_is_not_final():
     bed = ForwarderBed()
     bed.take()
     bed.reply(OrderAnswer(0, 5999))
@@ -151,7 +153,7 @@
     assert len(bed.asked_addresses) == 2
 
 
-def test_what_waits_is_asked_again_when_the_leader_becomes_known():
+def test_pending_orders_are_resent_when_the_leader_becomes_known():
     bed = ForwarderBed()
     bed.take()
     bed.pass_time(SILENCE_SECONDS)
@@ -177,13 +179,13 @@
         (MAX_FORWARDED_BYTES + 1, False),
     ],
 )
-def test_a_daemon_carries_no_large_order(length, taken):
+def test_a_daemon_rejects_large_orders(length, taken):
     assert ForwarderBed().handler.accepts_size(length) == taken
 
 
 # Guards against closing a connection, and losing the calls on it, because of
 # an order sent to a daemon: seeds may be daemons and are asked as well.
-def test_a_daemon_that_is_asked_as_control_says_that_it_does_not_lead():
+def test_a_daemon_mistaken_for_control_answers_not_leader():
     bed = ForwarderBed()
     bed.network.deliver(CONTROL[0], OrderRequest(7, 'whole', 'x', 1, 2, b''))
     (answer,) = bed.network.links[CONTROL[0]].sent
@@ -192,7 +194,7 @@
 
 # Guards against a partitioned control instance that rejects its callers for as
 # long as the partition lasts, although daemons reach both sides.
-def test_an_instance_that_finds_no_leader_asks_a_daemon_to_carry():
+def test_an_instance_without_a_leader_forwards_through_a_daemon():
     bed = ForwarderBed()
     relay = Address('127.0.0.1', 77)
     bed.forwarder.find_relay_daemon = lambda: relay
@@ -216,7 +218,7 @@
     assert not bed.network.sent[-1][1].relayed
 
 
-def test_a_daemon_carries_for_a_control_instance_and_answers_it():
+def test_a_daemon_relays_for_a_control_instance():
     bed = ForwarderBed()
     request = OrderRequest(7, 'whole', 'x', 1, 2, b'', relayed=True)
     bed.network.deliver(CONTROL[0], request)
--- a/tests/events/test_sources.py
+++ b/tests/events/test_sources.py
@@ -16,7 +16,7 @@
     return found
 
 
-def test_the_last_that_named_it_come_first_each_once_and_few():
+def test_announcers_are_tried_newest_first_once_and_bounded():
     sources = DocumentSources()
     for address in MEMBERS:
         sources.add(address)
--- a/tests/events/test_state.py
+++ b/tests/events/test_state.py
@@ -23,28 +23,28 @@
 # Each step: change id, base, document; then the expected code, created version
 # and current version.
 CASES = {
-    'of two with one base the first wins': [
+    'of two changes with the same base the first wins': [
         ('x', 0, A, ACCEPTED, 1, 1),
         ('y', 0, B, CONFLICT, 0, 1),
         ('z', 1, B, ACCEPTED, 2, 2),
     ],
-    'a resent change gets its first answer': [
+    'a repeated change gets its recorded outcome': [
         ('x', 0, A, ACCEPTED, 1, 1),
         ('y', 1, B, ACCEPTED, 2, 2),
         ('x', 0, A, ACCEPTED, 1, 1),
         ('x', 2, A, ACCEPTED, 1, 1),
     ],
-    'a resent conflict stays a conflict': [
+    'a repeated conflict stays a conflict': [
         ('x', 1, A, CONFLICT, 0, 0),
         ('y', 0, A, ACCEPTED, 1, 1),
         ('x', 1, A, CONFLICT, 0, 0),
     ],
-    'a change id is for one document': [
+    'a change id is bound to one document': [
         ('x', 0, A, ACCEPTED, 1, 1),
         ('x', 1, B, REUSED, 0, 1),
         ('x', 0, A, ACCEPTED, 1, 1),
     ],
-    'an invalid document changes nothing': [
+    'an invalid document has no effect': [
         ('x', 0, b'{}', INVALID, 0, 0),
         ('y', 0, b'\xff', INVALID, 0, 0),
         ('z', 0, b' ' * (MAX_CANONICAL_BYTES + 1), INVALID, 0, 0),
@@ -82,7 +82,7 @@
         assert type(outcome).from_json(outcome.to_json()) == outcome
 
 
-def test_the_first_answer_lasts_for_the_stated_number_of_changes():
+def test_the_recorded_outcome_is_kept_for_the_stated_number_of_changes():
     store = EventStore()
     for number in range(CHANGE_IDS_KEPT):
         store.publish(f'c{number}', number, A, '', number)
@@ -107,7 +107,7 @@
     assert store.rules.version == 69
 
 
-def test_an_empty_store_has_nothing():
+def test_an_empty_store_has_no_document():
     store = restarted(EventStore())
     assert store.document() is None
     assert store.rules is None
@@ -115,7 +115,7 @@
     assert store.history() == []
 
 
-def test_a_snapshot_of_an_earlier_release_holds_its_documents_unpacked():
+def test_an_uncompressed_snapshot_of_an_earlier_release_is_restored():
     store = EventStore()
     store.publish('x', 0, A, 'eden', 1)
     earlier = dataclasses.replace(
--- a/tests/events/test_tasks.py
+++ b/tests/events/test_tasks.py
@@ -56,7 +56,7 @@
     assert set(asked) == set(CONTROL)
 
 
-def test_a_peer_is_not_believed_to_speak_for_a_majority():
+def test_a_peer_can_not_confirm_for_a_majority():
     bed = FollowerBed()
     bed.follower.start()
     bed.give(FIRST, 9, committed=True)
@@ -107,7 +107,7 @@
     assert bed.follower.confirmed
 
 
-def test_a_broken_document_is_refused_and_later_ones_are_taken():
+def test_an_invalid_document_is_rejected_and_later_ones_are_adopted():
     bed = running(3)
     bed.give(CONTROL[0], 4, committed=True, data=b'{}')
     assert bed.follower.version == 3
@@ -129,7 +129,7 @@
     assert bed.follower.version == 3
 
 
-def test_a_daemon_gives_peers_what_they_lack():
+def test_a_daemon_sends_peers_newer_documents():
     bed = running(3)
     link = FakeLink()
     for known in (0, 2, 3, 4):
@@ -150,7 +150,7 @@
     assert bed.asked() == []
 
 
-def test_a_starting_daemon_asks_the_leader_that_it_is_told_of_once():
+def test_a_starting_daemon_asks_a_hinted_leader_once():
     bed = FollowerBed()
     bed.follower.start()
     bed.asked()
@@ -166,7 +166,7 @@
     assert stranger not in bed.asked()
 
 
-def test_a_control_instance_that_tells_of_its_start_is_asked_at_once():
+def test_a_newly_started_control_instance_is_asked_at_once():
     """After a full power failure the first requests reach no instance."""
     bed = FollowerBed()
     bed.follower.start()
@@ -179,7 +179,7 @@
     assert bed.asked() == []
 
 
-def test_the_first_questions_are_repeated_soon():
+def test_the_first_requests_are_repeated_soon():
     bed = FollowerBed()
     bed.follower.start()
     bed.asked()
@@ -187,7 +187,7 @@
     assert len(bed.asked()) >= 2 * len(CONTROL)
 
 
-def test_a_pull_that_brings_nothing_goes_to_a_control_instance():
+def test_a_stalled_pull_moves_to_a_control_instance():
     bed = running(3)
     bed.follower.note_version(4, PEERS[0])
     assert bed.asked() == [FIRST]
@@ -197,7 +197,7 @@
     assert pulled_from in bed.asked()
 
 
-def test_a_pull_that_brings_bytes_is_waited_for_but_not_for_ever():
+def test_a_progressing_pull_is_extended_up_to_a_limit():
     bed = running(3)
     came = [0]
     bed.network.received_from = lambda address: came[0]
@@ -215,7 +215,7 @@
 
 
 # Guards against waiting for a source that has answered without the version.
-def test_a_pull_that_is_answered_with_nothing_goes_on_at_once():
+def test_an_empty_answer_moves_the_pull_at_once():
     bed = running(3)
     bed.follower.note_version(4, PEERS[0])
     bed.follower.note_version(4, PEERS[1])
@@ -225,7 +225,7 @@
 
 
 # Guards against fetching a document that a starting daemon already holds.
-def test_a_document_that_waits_for_others_word_is_not_asked_for_again():
+def test_an_unconfirmed_document_is_not_fetched_again():
     bed = FollowerBed()
     bed.follower.start()
     for peer in PEERS[:2]:
@@ -244,7 +244,7 @@
 
 # Guards against ignoring a peer that announces a version after the pull has
 # failed with no source left.
-def test_who_names_a_version_when_nobody_is_left_is_asked_at_once():
+def test_a_new_announcer_is_asked_at_once_when_no_source_is_left():
     bed = running(3)
     bed.follower.note_version(4, PEERS[0])
     asked = bed.asked()
@@ -289,7 +289,7 @@
 
 
 @pytest.mark.parametrize('was_up', [True, False])
-def test_a_pull_is_asked_of_another_when_its_connection_is_lost(was_up):
+def test_a_pull_moves_to_another_source_on_disconnect(was_up):
     bed = running(3)
     bed.follower.note_version(4, PEERS[0])
     bed.asked()
@@ -306,7 +306,7 @@
     assert bed.follower.puller.current.address != asked[-1]
 
 
-def test_who_is_told_that_a_peer_is_busy_asks_control():
+def test_a_busy_peer_is_replaced_by_a_control_instance():
     bed = running(3)
     bed.follower.note_version(4, PEERS[0])
     bed.asked()
@@ -316,7 +316,7 @@
 
 
 # Guards against busy peers that redirect requesters to one another.
-def test_a_busy_peer_is_left_for_control_though_others_named_the_version():
+def test_a_busy_peer_is_replaced_by_control_despite_other_announcers():
     bed = running(3)
     for peer in PEERS:
         bed.follower.note_version(4, peer)
@@ -326,7 +326,7 @@
     assert asked in CONTROL
 
 
-def test_a_version_that_a_majority_named_is_pulled_from_one():
+def test_a_majority_confirmed_version_is_pulled_from_one_source():
     bed = FollowerBed()
     bed.follower.start()
     assert {m.without_document for _, m in bed.network.sent} == {True}
@@ -341,7 +341,7 @@
     assert (bed.follower.version, bed.follower.confirmed) == (4, True)
 
 
-def test_a_link_that_is_taken_sends_others_elsewhere():
+def test_requests_beyond_the_link_budget_are_answered_busy():
     """All daemons that learn of a version from one daemon ask that one."""
     bed = running(3)
     link = FakeLink()
@@ -358,7 +358,7 @@
     assert link.sent[-1].changes
 
 
-def test_a_change_that_does_not_fit_is_asked_for_whole():
+def test_a_change_that_does_not_apply_is_fetched_in_full():
     bed = running(3)
     change = DocumentChange(3, 4, b'no change')
     answer = DocumentAnswer(1, 4, b'', changes=[change])
@@ -370,7 +370,7 @@
     assert bed.follower.version == 4
 
 
-def test_a_document_that_can_not_be_read_is_not_pulled_again_and_again():
+def test_an_unreadable_document_is_not_pulled_repeatedly():
     """It may need a later release; polls look for its successor."""
     bed = running(3)
     bed.follower.note_version(4, PEERS[0])
--- a/tests/events/test_version_lag.py
+++ b/tests/events/test_version_lag.py
@@ -14,7 +14,7 @@
 from tests.events.builders import PEERS
 
 
-def test_a_daemon_is_behind_until_it_has_what_it_heard_of():
+def test_a_daemon_is_behind_until_it_has_the_reported_version():
     lag = VersionLag()
     assert not lag.is_behind(3, 0.0)
     lag.record_report(4, 0.0)
@@ -23,7 +23,7 @@
     assert not lag.is_behind(5, 1.0)
 
 
-def test_a_word_that_nobody_repeats_is_forgotten():
+def test_a_report_that_is_not_repeated_expires():
     lag = VersionLag()
     lag.record_report(9, 0.0)
     lag.record_report(4, 4.0)
@@ -32,7 +32,7 @@
     assert lag.is_behind(3, REPORT_VALID_SECONDS + 1.0)
 
 
-def test_a_starting_daemon_takes_callers_once_it_has_caught_up():
+def test_a_starting_daemon_serves_callers_once_it_has_caught_up():
     lag = VersionLag()
     assert not lag.has_caught_up(0, 0.0)
     lag.record_report(4, 0.0)
@@ -42,7 +42,7 @@
     assert lag.has_caught_up(4, 0.3)
 
 
-def test_it_does_not_wait_for_ever():
+def test_catching_up_has_a_time_limit():
     lag = VersionLag()
     for tenth in range(round(CATCH_UP_SECONDS * 10)):
         lag.record_report(4, tenth / 10)
--- a/tests/membership/test_ends.py
+++ b/tests/membership/test_ends.py
@@ -41,7 +41,7 @@
     assert [seen.digest for seen in receiver.digests] == [77]
 
 
-def test_members_that_keep_no_reports_name_no_digest():
+def test_members_that_track_no_reports_send_no_digest():
     sender, receiver = member(), member()
     packet = sender.push_ends(report(), 1, 0.0, own=True)[0].packet
     packet.sender = 'm1'
@@ -49,7 +49,7 @@
     assert receiver.digests == []
 
 
-def test_many_ends_at_once_are_passed_on_within_the_budget_of_bytes():
+def test_many_ends_are_forwarded_within_the_byte_budget():
     """A hundred targets of a large fleet end together, repeatedly."""
     one = member()
     largest = report(MOST_FINGERPRINTS)
--- a/tests/membership/test_joining.py
+++ b/tests/membership/test_joining.py
@@ -110,7 +110,7 @@
     assert fleet.strangers() == 0
 
 
-def test_one_that_starts_alone_is_known_at_once():
+def test_a_single_new_instance_is_known_at_once():
     fleet = Fleet(1)
     for host in CONTROL + DAEMONS[1:]:
         fleet.at(0.0, fleet.start, host)
@@ -120,7 +120,7 @@
     assert fleet.strangers() == 0
 
 
-def test_a_seed_that_is_gone_does_not_keep_anybody_waiting():
+def test_dead_seeds_do_not_delay_joining():
     fleet = Fleet(3)
     fleet.seeds = ['10.0.9.9', '10.0.9.8', CONTROL[0]]
     for host in CONTROL + DAEMONS:
--- a/tests/membership/test_near_news.py
+++ b/tests/membership/test_near_news.py
@@ -32,7 +32,7 @@
     return [r.data_centre == one.settings.data_centre for r in sample]
 
 
-def test_all_but_one_are_near():
+def test_all_but_one_are_in_the_same_data_centre():
     one = member()
     for _ in range(50):
         near = nearby_flags(one, one.sample_nearby(FORWARD_FANOUT))
@@ -41,17 +41,17 @@
 
 
 @pytest.mark.parametrize('count', [4, 8])
-def test_where_few_are_near_the_far_ones_make_up_for_them(count):
+def test_remote_members_fill_up_when_few_are_nearby(count):
     one = member(places=MEMBERS)
     assert len(one.sample_nearby(count)) == count
 
 
-def test_where_all_are_near_none_is_left_out():
+def test_all_nearby_members_are_eligible():
     one = member(places=1)
     assert nearby_flags(one, one.sample_nearby(4)) == [True] * 4
 
 
-def test_no_member_is_named_twice():
+def test_no_member_is_sampled_twice():
     one = member()
     names = [r.instance for r in one.sample_nearby(12)]
     assert len(set(names)) == len(names)
--- a/tests/membership/test_records.py
+++ b/tests/membership/test_records.py
@@ -33,7 +33,7 @@
         ((4, DEAD), (5, ALIVE), False),
     ],
 )
-def test_incarnation_goes_before_the_rank_of_the_state(new, known, stands):
+def test_incarnation_takes_precedence_over_state(new, known, stands):
     old = known and record(incarnation=known[0], state=known[1])
     fresh = record(incarnation=new[0], state=new[1])
     assert supersedes(fresh, old) is stands
@@ -61,6 +61,6 @@
         ('target_name', None),
     ],
 )
-def test_an_unsound_record_is_told_apart(field, value):
+def test_an_invalid_record_is_detected(field, value):
     assert is_valid_record(record())
     assert not is_valid_record(record(**{field: value}))
--- a/tests/membership/test_state.py
+++ b/tests/membership/test_state.py
@@ -37,7 +37,7 @@
         ({'records': [record('a', incarnation=2**60)]}, 'bad_records'),
     ],
 )
-def test_a_bad_packet_is_counted_and_changes_nothing(fields, counter):
+def test_an_invalid_packet_is_counted_and_ignored(fields, counter):
     one = state(others='b')
     before = one.table.digest
     one.on_packet(packet(**fields), 1.0)
@@ -56,7 +56,7 @@
         ({'state': MemberState.DEAD, 'incarnation': 7}, START_UNIX_MS),
     ],
 )
-def test_a_member_refutes_what_it_hears_of_itself(fields, raised_to):
+def test_a_member_refutes_foreign_records_of_itself(fields, raised_to):
     one = state(others='b')
     heard = revise(one.own, **fields)
     one.on_packet(packet(records=[heard]), 1.0)
@@ -74,7 +74,7 @@
         ({}, False),
     ],
 )
-def test_an_answer_tells_the_sender_what_is_held_against_it(held, told):
+def test_an_answer_contains_the_record_that_the_sender_must_refute(held, told):
     one = state(others='c')
     one.store(record('b', **held), 0.0, spread=False)
     one.budget.spend(10**6)
@@ -83,7 +83,7 @@
     assert answer.packet.records == ([record('b', **held)] if told else [])
 
 
-def test_a_new_life_with_an_older_clock_rises_above_the_old_one():
+def test_a_restart_with_an_older_clock_gets_a_higher_incarnation():
     loop = GossipLoop()
     for number in range(4):
         loop.add(number)
@@ -124,7 +124,7 @@
     assert state(others='bc').on_packet(ask, 1.0) == []
 
 
-def test_a_process_that_stood_still_blames_nobody():
+def test_a_stalled_process_suspects_no_member():
     one = state(others='bcde')
     one.store(record('b', state=MemberState.SUSPECT), 0.0)
     one.on_period(1.0)
@@ -145,7 +145,7 @@
 
 
 @pytest.mark.parametrize('accused', ['bcdefg', 'bcdefghij'])
-def test_deaths_beyond_the_share_are_held_as_suspicions(accused):
+def test_deaths_beyond_the_limit_stay_suspicions(accused):
     one = state(others='bcdefghij')
     for name in accused:
         one.on_packet(packet('b', [record(name, state=MemberState.DEAD)]), 1)
@@ -157,7 +157,7 @@
     assert len(one.members()) == 10 - len(dead)
 
 
-def test_a_forgotten_member_is_still_asked_now_and_then():
+def test_a_forgotten_member_is_still_contacted_occasionally():
     one = state(others='bcdef')
     one.store(record('b', state=MemberState.DEAD), 0.0)
     one.table.remove('b')
@@ -171,7 +171,7 @@
 
 
 @pytest.mark.parametrize('members, minority', [(6, 2), (12, 5), (40, 13)])
-def test_a_cut_ejects_no_majority_and_heals(members, minority):
+def test_a_partition_ejects_no_majority_and_heals(members, minority):
     loop = GossipLoop(seed=members)
     for number in range(members):
         loop.add(number)
@@ -187,7 +187,7 @@
     assert loop.run_until(loop.all_agree, 100) is not None
 
 
-def test_losing_a_tenth_of_all_packets_kills_nobody():
+def test_losing_a_tenth_of_all_packets_causes_no_death():
     loop = GossipLoop(seed=5, loss=0.1)
     for number in range(20):
         loop.add(number)
--- a/tests/membership/test_tasks.py
+++ b/tests/membership/test_tasks.py
@@ -21,7 +21,7 @@
     found.close()
 
 
-def test_a_drain_is_known_everywhere_with_its_hook(cluster):
+def test_a_drain_reaches_all_members_and_subscribers(cluster):
     seen = []
     cluster.members['b'].subscribe(seen.append)
     cluster.members['d'].announce(target_state=TargetState.DRAINING)
@@ -36,7 +36,7 @@
     ]
 
 
-def test_one_that_leaves_is_gone_without_suspicion(cluster):
+def test_a_leaving_member_is_removed_without_suspicion(cluster):
     cluster.members['e'].leave()
     cluster.kill('e')
     rest = NAMES.replace('e', '')
@@ -46,7 +46,7 @@
     assert sum(found) == 0
 
 
-def test_one_that_is_killed_dies_and_comes_back(cluster):
+def test_a_killed_member_is_declared_dead_and_can_return(cluster):
     cluster.kill('f')
     rest = NAMES.replace('f', '')
     assert cluster.wait(lambda: cluster.all_see(rest))
@@ -64,7 +64,7 @@
 
 
 @pytest.mark.parametrize('data', [b'', b'\xff' * 40, b'\x15\x00' * 900])
-def test_bytes_that_are_no_packet_are_counted(cluster, data):
+def test_malformed_datagrams_are_counted(cluster, data):
     member = cluster.members['a']
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
         stranger.sendto(data, member.sock.getsockname())
