--- a/tests/events/fleet.py
+++ b/tests/events/fleet.py
@@ -77,8 +77,8 @@
 
     def send(self, message) -> bool:
         size = len(encode_frame(message))
-        self.network.note_sent(message, size)
-        self.network.fleet.carry(
+        self.network.count_sent(message, size)
+        self.network.fleet.transmit(
             self.network, self.peer, size, lambda: self.arrive(message, size)
         )
         return True
@@ -139,7 +139,7 @@
     def send(self, address: Address, message) -> bool:
         return self.link_to(address).send(message)
 
-    def note_sent(self, message, size: int) -> None:
+    def count_sent(self, message, size: int) -> None:
         if isinstance(message, DocumentAnswer):
             self.document_bytes_out += size
 
@@ -177,8 +177,8 @@
 class SimulatedFleet:
     """Daemons and control instances; ``publish`` commits a version.
 
-    Instances in ``dark`` neither send nor receive; the others are not notified
-    and their connections stay open.
+    Instances in ``offline`` neither send nor receive; the others are not
+    notified and their connections stay open.
     """
 
     def __init__(
@@ -186,7 +186,7 @@
     ):
         self.rng = random.Random(seed)
         self.ping_seconds = ping_seconds
-        self.dark: set[Address] = set()
+        self.offline: set[Address] = set()
         self.clock = FakeClock()
         self.root = build_root(self.clock)
         self.networks: dict[Address, SimulatedNetwork] = {}
@@ -236,9 +236,9 @@
 
     # -- transport --------------------------------------------------------
 
-    def carry(self, sender, receiver, size: int, deliver) -> None:
+    def transmit(self, sender, receiver, size: int, deliver) -> None:
         """Transfer ``size`` bytes over both links, then call ``deliver``."""
-        if sender.address in self.dark:
+        if sender.address in self.offline:
             return
         now = self.clock.instant
         begin = max(now, sender.free_out)
@@ -249,7 +249,7 @@
         )
 
     def receive(self, sender, receiver, size: int, deliver) -> None:
-        if self.dark & {sender.address, receiver.address}:
+        if self.offline & {sender.address, receiver.address}:
             return
         receiver.bytes_in += size
         begin = max(self.clock.instant, receiver.free_in)
@@ -263,7 +263,7 @@
             self.gossip(sender, daemon, version)
 
     def gossip(self, sender, daemon, version: int) -> None:
-        self.carry(
+        self.transmit(
             sender,
             daemon.network,
             GOSSIP_BYTES,
--- a/tests/events/test_control_side.py
+++ b/tests/events/test_control_side.py
@@ -183,9 +183,9 @@
     context.replica.leader = 'a'
     run(publish, context, publication())
     server.push_version(1)
-    told = [link for link in links if len(link.sent) == 2]
-    assert len(told) == PUSH_FANOUT
-    assert told[0].sent[1].packed_document
+    pushed = [link for link in links if len(link.sent) == 2]
+    assert len(pushed) == PUSH_FANOUT
+    assert pushed[0].sent[1].packed_document
     server.on_link_lost(links[0])
     assert len(server.links) == 39
 
@@ -276,8 +276,10 @@
     for base, text in enumerate(texts):
         run(publish, context, publication(f'x{base}', base, text))
         server.push_version(base + 1)
-    told = [(answer.version, len(answer.changes)) for answer in link.sent[1:]]
-    assert told == [(1, 0), (2, 1), (3, 0)]
+    pushed = [
+        (answer.version, len(answer.changes)) for answer in link.sent[1:]
+    ]
+    assert pushed == [(1, 0), (2, 1), (3, 0)]
 
 
 def test_a_recreated_store_resets_the_history():
--- a/tests/events/test_dark_peers.py
+++ b/tests/events/test_offline_announcers.py
@@ -20,7 +20,7 @@
 BOUND_SECONDS = 2.0
 DAEMONS = 65
 VICTIMS = 16
-CONTROL_DARK = 2
+CONTROL_OFFLINE = 2
 # How long a victim stays up after it gets a version, in seconds: it has
 # announced the version, and most of its requesters get no answer.
 UPTIME_AFTER_UPDATE_SECONDS = 0.009
@@ -41,7 +41,7 @@
 def lose_power_after_update(fleet: SimulatedFleet, address: Address) -> None:
     def die(_rules) -> None:
         fleet.root.scheduler.after(
-            UPTIME_AFTER_UPDATE_SECONDS, lambda: fleet.dark.add(address)
+            UPTIME_AFTER_UPDATE_SECONDS, lambda: fleet.offline.add(address)
         )
 
     fleet.daemons[address].follower.subscribe(die)
@@ -52,7 +52,7 @@
     fleet = SimulatedFleet(DAEMONS, seed, ping_seconds)
     fleet.add_routes(ROUTES)
     fleet.run(30.0)
-    fleet.dark |= set(fleet.control_addresses[-CONTROL_DARK:])
+    fleet.offline |= set(fleet.control_addresses[-CONTROL_OFFLINE:])
     fleet.run(4.0)
     victims = choose_victims(fleet, seed)
     version = fleet.add_routes(MORE_ROUTES)
--- a/tests/events/test_tasks.py
+++ b/tests/events/test_tasks.py
@@ -403,10 +403,10 @@
 # order knew no leader, although each poll reports it.
 def test_the_leader_is_learned_from_polls():
     bed = FollowerBed()
-    told = []
-    bed.follower.leader_hooks.append(told.append)
+    reported_leaders = []
+    bed.follower.leader_hooks.append(reported_leaders.append)
     bed.follower.start()
     bed.give(CONTROL[0], 3, committed=True)
     hint = DocumentAnswer(1, 3, leader_address=str(CONTROL[2]))
     bed.network.deliver(CONTROL[1], hint)
-    assert told == [CONTROL[0], CONTROL[2]]
+    assert reported_leaders == [CONTROL[0], CONTROL[2]]
--- a/tests/membership/test_near_news.py
+++ b/tests/membership/test_nearby_pushes.py
@@ -27,7 +27,7 @@
     return one
 
 
-def nearby_flags(one, sample) -> list[bool]:
+def are_nearby(one, sample) -> list[bool]:
     """Return for each sampled member whether it is in the same data centre."""
     return [r.data_centre == one.settings.data_centre for r in sample]
 
@@ -35,7 +35,7 @@
 def test_all_but_one_are_in_the_same_data_centre():
     one = member()
     for _ in range(50):
-        near = nearby_flags(one, one.sample_nearby(FORWARD_FANOUT))
+        near = are_nearby(one, one.sample_nearby(FORWARD_FANOUT))
         assert len(near) == FORWARD_FANOUT
         assert near.count(False) == REMOTE_PUSHES
 
@@ -48,7 +48,7 @@
 
 def test_all_nearby_members_are_eligible():
     one = member(places=1)
-    assert nearby_flags(one, one.sample_nearby(4)) == [True] * 4
+    assert are_nearby(one, one.sample_nearby(4)) == [True] * 4
 
 
 def test_no_member_is_sampled_twice():
--- a/tests/membership/test_properties.py
+++ b/tests/membership/test_properties.py
@@ -27,12 +27,12 @@
 )
 
 
-class Bag(GossipLoop):
+class ArbitraryDelivery(GossipLoop):
     """Members whose packets are delivered in an arbitrary order."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.floors: dict[tuple, int] = {}
+        self.min_incarnations: dict[tuple, int] = {}
         for number in range(MEMBERS):
             self.add(number)
 
@@ -56,9 +56,9 @@
             if known is not None and victim is not state:
                 state.suspect(name, known.incarnation, self.now)
         elif self.queue:
-            self.touch_packet(action, pick)
+            self.deliver_packet(action, pick)
 
-    def touch_packet(self, action: str, pick: int) -> None:
+    def deliver_packet(self, action: str, pick: int) -> None:
         self.queue.rotate(pick % len(self.queue))
         _, address, data = self.queue.popleft()
         if action == 'drop':
@@ -70,20 +70,20 @@
 
     def forget(self, address) -> None:
         """Reset the minimum incarnations of a restarted observer."""
-        self.floors = {
+        self.min_incarnations = {
             key: floor
-            for key, floor in self.floors.items()
+            for key, floor in self.min_incarnations.items()
             if key[0] != address
         }
 
-    def check_floors(self) -> None:
+    def check_incarnations(self) -> None:
         """Check that no member ever returns to an older record."""
         for address, state in self.members.items():
             for name, entry in state.table.entries.items():
                 key = (address, name)
                 incarnation = entry.record.incarnation
-                assert incarnation >= self.floors.get(key, 0)
-                self.floors[key] = incarnation
+                assert incarnation >= self.min_incarnations.get(key, 0)
+                self.min_incarnations[key] = incarnation
 
     def settle(self) -> int | None:
         """Deliver everything without loss until all members agree."""
@@ -94,16 +94,16 @@
 @settings(derandomize=True, max_examples=60, deadline=None)
 @given(STEPS)
 def test_records_never_go_back_and_members_agree_in_the_end(steps):
-    bag = Bag()
+    cluster = ArbitraryDelivery()
     for action, pick in steps:
-        bag.step(action, pick)
-        bag.check_floors()
-    assert bag.settle() is not None
-    bag.check_floors()
-    for state in bag.members.values():
+        cluster.step(action, pick)
+        cluster.check_incarnations()
+    assert cluster.settle() is not None
+    cluster.check_incarnations()
+    for state in cluster.members.values():
         own = state.own
         assert own.state == MemberState.ALIVE
-        for other in bag.members.values():
+        for other in cluster.members.values():
             assert other.table.get(own.instance).incarnation == (
                 own.incarnation
             )
--- a/tests/membership/test_records.py
+++ b/tests/membership/test_records.py
@@ -15,7 +15,7 @@
 
 
 @pytest.mark.parametrize(
-    'new, known, stands',
+    'new, known, expected',
     [
         ((5, ALIVE), None, True),
         ((5, ALIVE), (5, ALIVE), False),
@@ -33,10 +33,10 @@
         ((4, DEAD), (5, ALIVE), False),
     ],
 )
-def test_incarnation_takes_precedence_over_state(new, known, stands):
+def test_incarnation_takes_precedence_over_state(new, known, expected):
     old = known and record(incarnation=known[0], state=known[1])
     fresh = record(incarnation=new[0], state=new[1])
-    assert supersedes(fresh, old) is stands
+    assert supersedes(fresh, old) is expected
 
 
 @pytest.mark.parametrize(
--- a/tools/mutants_calls.py
+++ b/tools/mutants_calls.py
@@ -227,6 +227,6 @@
         'cyclamenlift/membership/state.py',
         'near = [r for r in others if r.data_centre == own]',
         'near = []',
-        'tests/membership/test_near_news.py',
+        'tests/membership/test_nearby_pushes.py',
     ),
 )
