--- a/cyclamenlift/events/adoption.py
+++ b/cyclamenlift/events/adoption.py
@@ -54,7 +54,7 @@
     changes: tuple[DocumentChange, ...] = ()
 
     @property
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Return whether the offer contains a self-contained document."""
         return bool(self.document) or self.starts_from_nothing
 
@@ -127,7 +127,7 @@
         """Record the latest offer of a source."""
         before = self.reported.get(offer.source)
         known = before is not None and before.version == offer.version
-        if known and not offer.is_whole:
+        if known and not offer.is_complete:
             return
         self.reported[offer.source] = offer
 
@@ -188,11 +188,11 @@
         ]
         if len(offers) < MIN_SOURCES:
             return None
-        return max(offers, key=lambda o: (o.version, o.is_whole))
+        return max(offers, key=lambda o: (o.version, o.is_complete))
 
     def fall_back(self) -> Result[bool, Problem]:
         """Adopt the highest reported version as unconfirmed, if complete."""
         best = self.best_reported()
-        if self.running or best is None or not best.is_whole:
+        if self.running or best is None or not best.is_complete:
             return Success(False)
         return self.adopt(best)
--- a/cyclamenlift/events/document_pulling.py
+++ b/cyclamenlift/events/document_pulling.py
@@ -199,8 +199,8 @@
         pull = self.current
         if not self.is_pending(pull) or str(pull.address) != offer.source:
             return
-        is_complete = offer.is_whole and offer.version >= pull.version
-        if request_id == pull.request_id and not is_complete:
+        delivered = offer.is_complete and offer.version >= pull.version
+        if request_id == pull.request_id and not delivered:
             self.try_next_source(pull, 'empty')
 
     def on_link_lost(self, link: Link) -> None:
--- a/cyclamenlift/events/history.py
+++ b/cyclamenlift/events/history.py
@@ -23,7 +23,7 @@
         self.lines: Lines = ()
         self.changes: collections.deque[DocumentChange] = collections.deque()
         # The full document as one change, built on first use.
-        self.packed_whole = b''
+        self.packed_full_document = b''
 
     def put(self, version: int, lines: Lines, packed: bytes = b'') -> None:
         """Store a newer version; ``packed`` is the diff that made it."""
@@ -33,7 +33,7 @@
             self.changes.append(change)
         self.version = version
         self.lines = lines
-        self.packed_whole = b''
+        self.packed_full_document = b''
         self.drop_oldest()
 
     def drop_oldest(self) -> None:
@@ -51,17 +51,17 @@
         for place, change in enumerate(steps):
             if change.base_version == known:
                 return steps[place:]
-        return [self.whole()]
+        return [self.full_document()]
 
     def last(self) -> list[DocumentChange]:
         """Return the newest change, empty if there is none."""
         return list(self.changes)[-1:]
 
-    def whole(self) -> DocumentChange:
+    def full_document(self) -> DocumentChange:
         """Return the full document as a change of the empty one."""
-        if not self.packed_whole:
-            self.packed_whole = make_change((), self.lines)
-        return DocumentChange(0, self.version, self.packed_whole)
+        if not self.packed_full_document:
+            self.packed_full_document = make_change((), self.lines)
+        return DocumentChange(0, self.version, self.packed_full_document)
 
 
 def packed_size(changes: list[DocumentChange]) -> int:
--- a/cyclamenlift/events/server.py
+++ b/cyclamenlift/events/server.py
@@ -119,7 +119,7 @@
     def answer(
         self, request: DocumentRequest, committed: bool
     ) -> DocumentAnswer:
-        history = self.newest()
+        history = self.current_history()
         answer = version_answer(history.version, request, committed)
         if needs_document(history, request):
             if request.takes_changes:
@@ -132,7 +132,7 @@
             answer.leader_address = str(address) if address else ''
         return answer
 
-    def newest(self) -> DocumentHistory:
+    def current_history(self) -> DocumentHistory:
         """Return the history, updated to the version of the store."""
         version = self.store.version
         if version < self.history.version:
@@ -154,7 +154,7 @@
         """Return a pushed answer, with the newest change if it is small."""
         if not request.takes_changes:
             return self.answer(DocumentRequest(0, 0), False)
-        history = self.newest()
+        history = self.current_history()
         answer = version_answer(history.version, DocumentRequest(0, 0), False)
         last = history.last()
         if packed_size(last) <= MAX_PUSHED_BYTES:
--- a/cyclamenlift/events/state.py
+++ b/cyclamenlift/events/state.py
@@ -163,7 +163,7 @@
         if known is not None:
             if known.digest == digest:
                 return known.outcome
-            return self.refuse(
+            return self.reject(
                 ResultCode.CHANGE_ID_REUSED,
                 'the change id belongs to another document',
             )
@@ -195,24 +195,24 @@
     ) -> PublishOutcome:
         """Compute the outcome of a new change without applying it."""
         if not 0 < len(change_id) <= MAX_ID_LENGTH:
-            return self.refuse(
+            return self.reject(
                 ResultCode.DOCUMENT_INVALID,
                 f'a change id must have 1 to {MAX_ID_LENGTH} characters',
             )
         if isinstance(parsed, str):
-            return self.refuse(ResultCode.DOCUMENT_INVALID, parsed)
+            return self.reject(ResultCode.DOCUMENT_INVALID, parsed)
         if chosen_version and self.is_in_force(chosen_version, document):
             return PublishOutcome(
                 ResultCode.CHANGE_ACCEPTED, self.version, self.version
             )
         if base_version != self.version:
-            return self.refuse(
+            return self.reject(
                 ResultCode.VERSION_CONFLICT,
                 f'based on {base_version}, current is {self.version}',
             )
         version = chosen_version or self.version + 1
         if version <= self.version:
-            return self.refuse(
+            return self.reject(
                 ResultCode.DOCUMENT_INVALID,
                 f'version {version} is not above {self.version}',
             )
@@ -222,7 +222,7 @@
         """Return whether this document is current under this version."""
         return version == self.version and document == self.document()
 
-    def refuse(self, code: ResultCode, detail: str) -> PublishOutcome:
+    def reject(self, code: ResultCode, detail: str) -> PublishOutcome:
         return PublishOutcome(int(code), 0, self.version, detail)
 
     def put_in_force(
--- a/cyclamenlift/events/tasks.py
+++ b/cyclamenlift/events/tasks.py
@@ -228,7 +228,7 @@
         reported = self.adoption.best_reported()
         if reported is None:
             return
-        if not reported.is_whole:
+        if not reported.is_complete:
             self.pull(reported.version, reported.source)
             return
         self.handle_result(self.adoption.fall_back(), reported)
@@ -346,7 +346,7 @@
         its successor.
         """
         self.needs_full_document = True
-        if offer.is_whole:
+        if offer.is_complete:
             self.unreadable_version = offer.version
 
 
--- a/cyclamenlift/membership/health.py
+++ b/cyclamenlift/membership/health.py
@@ -32,7 +32,7 @@
             [True] * WINDOW, maxlen=WINDOW
         )
 
-    def note(self, answered: bool) -> None:
+    def record_probe(self, answered: bool) -> None:
         self.outcomes.append(answered)
 
     def failing_share(self) -> float:
--- a/cyclamenlift/membership/liveness.py
+++ b/cyclamenlift/membership/liveness.py
@@ -84,19 +84,19 @@
             entry = self.table.entries[record.instance]
             entry.record = revise(known, config_version=record.config_version)
 
-    def failing(self) -> int:
+    def failing_count(self) -> int:
         counts = self.table.counts
         return counts[MemberState.SUSPECT] + counts[MemberState.DEAD]
 
-    def known(self) -> int:
+    def known_count(self) -> int:
         return len(self.table) - self.table.counts[MemberState.LEFT]
 
     def must_defer_death(self, record: MemberRecord) -> bool:
         """Return whether this member may not be declared dead now."""
-        failing = self.failing()
+        failing = self.failing_count()
         if record.state == MemberState.ALIVE:
             failing += 1
-        return self.health.must_defer_death(failing, self.known())
+        return self.health.must_defer_death(failing, self.known_count())
 
     def due_deaths(self, now: float) -> list[MemberRecord]:
         """Return the DEAD record of a suspect whose deadline has passed."""
@@ -125,7 +125,7 @@
         """
         names = self.table.expired(now)
         if not names or self.health.must_defer_death(
-            self.failing(), self.known()
+            self.failing_count(), self.known_count()
         ):
             return
         for name in names:
--- a/cyclamenlift/membership/packet_handlers.py
+++ b/cyclamenlift/membership/packet_handlers.py
@@ -160,10 +160,10 @@
     """Complete the probe, or relay the answer to its requester."""
     state = receiver.state
     state.joined = True
-    probe = state.prober.answered(packet.sequence)
+    probe = state.prober.complete(packet.sequence)
     if probe is not None and probe.fresh:
-        state.liveness.health.note(True)
-    relay = state.prober.relayed(packet.sequence)
+        state.liveness.health.record_probe(True)
+    relay = state.prober.complete_relay(packet.sequence)
     if relay is None:
         return []
     answer = state.packet_builder.new_packet(GossipKind.ACK, relay.sequence)
--- a/cyclamenlift/membership/period_round.py
+++ b/cyclamenlift/membership/period_round.py
@@ -34,7 +34,7 @@
         state.liveness.forget_expired(now)
         state.prober.drop_late_relays(now)
         result = []
-        for probe in state.prober.unanswered():
+        for probe in state.prober.pending():
             result.extend(self.follow_up(probe, now))
         self.declare_deaths(now)
         result.extend(self.probe_next(now))
@@ -57,7 +57,7 @@
             return self.send_indirect_probes(probe, now)
         state.prober.give_up(probe)
         if probe.fresh:
-            state.liveness.health.note(False)
+            state.liveness.health.record_probe(False)
             state.suspect(probe.instance, probe.incarnation, now)
         return []
 
--- a/cyclamenlift/membership/probing.py
+++ b/cyclamenlift/membership/probing.py
@@ -78,11 +78,11 @@
         self.waiting[number] = probe
         return probe
 
-    def answered(self, sequence: int) -> Probe | None:
+    def complete(self, sequence: int) -> Probe | None:
         """Complete and return a probe, None if it is no longer pending."""
         return self.waiting.pop(sequence, None)
 
-    def unanswered(self) -> list[Probe]:
+    def pending(self) -> list[Probe]:
         """Return the pending probes of earlier periods."""
         return list(self.waiting.values())
 
@@ -97,7 +97,7 @@
         self.relays[number] = Relay(address, sequence, subject, deadline)
         return number
 
-    def relayed(self, sequence: int) -> Relay | None:
+    def complete_relay(self, sequence: int) -> Relay | None:
         return self.relays.pop(sequence, None)
 
     def drop_late_relays(self, now: float) -> None:
--- a/tests/events/test_control_side.py
+++ b/tests/events/test_control_side.py
@@ -286,6 +286,6 @@
     context = control_context(leader='a')
     run(publish, context, publication())
     server = server_of(context)
-    assert server.newest().version == 1
+    assert server.current_history().version == 1
     context.replica.machine.restore(ControlMachine().snapshot())
-    assert server.newest().version == 0
+    assert server.current_history().version == 0
--- a/tests/membership/test_state.py
+++ b/tests/membership/test_state.py
@@ -65,7 +65,7 @@
 
 
 @pytest.mark.parametrize(
-    'held, told',
+    'stored, is_sent',
     [
         ({'state': MemberState.SUSPECT}, True),
         ({'state': MemberState.DEAD}, True),
@@ -74,13 +74,17 @@
         ({}, False),
     ],
 )
-def test_an_answer_contains_the_record_that_the_sender_must_refute(held, told):
+def test_an_answer_contains_the_record_that_the_sender_must_refute(
+    stored, is_sent
+):
     one = state(others='c')
-    one.store(record('b', **held), 0.0, spread=False)
+    one.store(record('b', **stored), 0.0, spread=False)
     one.budget.spend(10**6)
     (answer,) = one.on_packet(packet('b'), 0.0)
     assert answer.packet.kind == GossipKind.ACK
-    assert answer.packet.records == ([record('b', **held)] if told else [])
+    assert answer.packet.records == (
+        [record('b', **stored)] if is_sent else []
+    )
 
 
 def test_a_restart_with_an_older_clock_gets_a_higher_incarnation():
