--- a/cyclamenlift/events/carrying.py
+++ b/cyclamenlift/events/order_forwarding.py
@@ -1,4 +1,4 @@
-"""Orders on their way to the leader."""
+"""Forwards orders to the leader."""
 
 from collections.abc import Callable
 
@@ -8,10 +8,10 @@
 from cyclamenlift.core.scheduler import Root
 from cyclamenlift.core.streams import Address
 from cyclamenlift.events.commands import Change
-from cyclamenlift.events.commands import SHOWN_ID
-from cyclamenlift.events.orders import OPEN_CODES
+from cyclamenlift.events.commands import LOGGED_ID_LENGTH
 from cyclamenlift.events.orders import Order
 from cyclamenlift.events.orders import OrderDone
+from cyclamenlift.events.orders import UNDECIDED_CODES
 from cyclamenlift.events.reports import PublishReport
 from cyclamenlift.ledger.finder import LeaderFinder
 from cyclamenlift.ledger.leader_client import LeaderClient
@@ -21,20 +21,22 @@
 from cyclamenlift.wire.network import Link
 from cyclamenlift.wire.network import PeerNetwork
 
-# Orders on their way from one instance: with those of the largest size they
-# take 2 MB. Operators have eight under way.
-MOST_CARRIED = 64
-# Of so many questions without a hint one goes to a control instance.
-RELAY_EACH = 2
-# What decides an order. A code of a later release decides nothing here.
-FINAL_CODES = frozenset(ResultCode) - set(OPEN_CODES)
+# Limit of orders that one instance forwards at a time. At the largest size
+# they take 2 MB of memory. Operators have eight orders in flight.
+MAX_FORWARDED_ORDERS = 64
+# Without a leader hint, one in this many requests goes to a control instance,
+# the others to a relaying daemon.
+CONTROL_REQUEST_INTERVAL = 2
+# Result codes that decide an order. Unknown codes of a later release are not
+# final.
+FINAL_CODES = frozenset(ResultCode) - set(UNDECIDED_CODES)
 LOG = structlog.get_logger('orders')
 
 
-class OrderCarrier(LeaderClient):
-    """Carries orders to the leader, for a daemon or another instance.
+class OrderForwarder(LeaderClient):
+    """Forwards orders to the leader from a daemon or a control instance.
 
-    An order that comes to the leader twice is carried out once: its change
+    An order that reaches the leader twice is executed once, because its change
     id is in the log.
     """
 
@@ -51,27 +53,27 @@
         super().__init__(root, network, finder, channel='orders')
         self.instance = instance
         self.own_address = own_address
-        # Returns a daemon that may reach a leader, None for none.
-        self.find_relay: Callable[[], Address | None] = lambda: None
+        # Returns a daemon that may be able to reach a leader, or None.
+        self.find_relay_daemon: Callable[[], Address | None] = lambda: None
         network.subscribe(OrderAnswer, self.on_answer)
 
     # -- commands ---------------------------------------------------------
 
-    def carry(
+    def forward(
         self,
         order: Order,
         give_up_at: float,
         done: OrderDone,
         maybe_appended: bool = False,
     ) -> None:
-        """Ask for an outcome until ``give_up_at``; ``done`` runs once.
+        """Forward an order until ``give_up_at``; ``done`` is called once.
 
-        With too many under way an order is refused at once. ``maybe_appended``
-        says that it may be in the log already.
+        An order above the limit of concurrent ones is rejected at once.
+        ``maybe_appended`` means that the order may already be in the log.
         """
-        if len(self.pending_requests) >= MOST_CARRIED:
-            LOG.warning('order_not_carried', order=order.change.shown_id)
-            done(PublishReport(open_code(maybe_appended), self.instance))
+        if len(self.pending_requests) >= MAX_FORWARDED_ORDERS:
+            LOG.warning('order_not_carried', order=order.change.short_id)
+            done(PublishReport(undecided_code(maybe_appended), self.instance))
             return
         change = order.change
         request = OrderRequest(
@@ -84,15 +86,15 @@
         self.submit(request, give_up_at, give_up_at, done, maybe_appended)
 
     def note_leader(self, address: Address) -> None:
-        """Ask the leader, now that it is known, for all that waits."""
+        """Record the leader and send it all pending orders."""
         self.finder.note_leader(address)
         for pending in list(self.pending_requests.values()):
             pending.silent.discard(address)
             pending.asked = None
             self.ask(pending)
 
-    def take_back(self) -> list[LeaderRequest]:
-        """Ask nobody any more; return what was under way."""
+    def withdraw(self) -> list[LeaderRequest]:
+        """Stop forwarding and return all pending orders."""
         pending_requests = list(self.pending_requests.values())
         self.pending_requests.clear()
         for pending in pending_requests:
@@ -101,22 +103,30 @@
         return pending_requests
 
     def next_address(self, pending: LeaderRequest) -> Address | None:
-        """Return whom to ask; at each other time a daemon, if none leads.
+        """Return the next address to ask.
 
-        Control instances may be cut off from each other and be reached by
-        daemons all the same.
+        While no leader is known, every other request goes through a daemon:
+        control instances that can't reach each other may still be reachable
+        from daemons.
         """
         pending.message.relayed = False
         relay = None
-        if pending.hinted is None and pending.attempt_count % RELAY_EACH:
-            relay = self.find_relay()
+        if (
+            pending.hinted is None
+            and pending.attempt_count % CONTROL_REQUEST_INTERVAL
+        ):
+            relay = self.find_relay_daemon()
         if relay is None:
             return super().next_address(pending)
         pending.message.relayed = True
         return relay
 
     def ask_next(self, pending: LeaderRequest) -> None:
-        """Give up at once when all were asked and none can be reached."""
+        """Ask the next address; give up early if none is reachable.
+
+        That is the case when every control instance has been asked and no
+        connection to one is up.
+        """
         control = self.finder.control
         reached = any(
             self.network.is_established(address) for address in control
@@ -127,14 +137,16 @@
             self.schedule(pending, self.now(), self.give_up)
 
     def give_up(self, pending: LeaderRequest) -> None:
-        code = open_code(pending.is_maybe_appended())
-        self.conclude(pending, PublishReport(code, self.instance))
+        code = undecided_code(pending.is_maybe_appended())
+        self.report_outcome(pending, PublishReport(code, self.instance))
 
-    def conclude(self, pending: LeaderRequest, report: PublishReport) -> None:
-        """Hand over an outcome, and tell how it was got."""
+    def report_outcome(
+        self, pending: LeaderRequest, report: PublishReport
+    ) -> None:
+        """Report the outcome and log how it was obtained."""
         LOG.info(
             'order_carried',
-            order=pending.message.change_id[:SHOWN_ID],
+            order=pending.message.change_id[:LOGGED_ID_LENGTH],
             code=int(report.code),
             via=str(pending.asked or ''),
             asked=pending.attempt_count,
@@ -153,12 +165,14 @@
         elif answer.code in FINAL_CODES:
             if not pending.message.relayed:
                 self.finder.note_leader(link.address)
-            self.conclude(pending, report_of(answer, self.instance))
+            self.report_outcome(
+                pending, report_from_answer(answer, self.instance)
+            )
         else:
             self.on_no_quorum(pending, link)
 
     def hinted(self, answer: OrderAnswer) -> Address | None:
-        """Return where the leader is by an answer, if not here."""
+        """Return the leader's address from an answer, unless it is our own."""
         try:
             address = Address.parse(answer.leader_address or '')
         except ValueError:
@@ -166,15 +180,15 @@
         return None if address == self.own_address else address
 
 
-def open_code(is_maybe_appended: bool) -> ResultCode:
-    """Return what is answered of an order that got no outcome."""
+def undecided_code(is_maybe_appended: bool) -> ResultCode:
+    """Return the result code of an order without an outcome."""
     if is_maybe_appended:
         return ResultCode.CHANGE_UNKNOWN
     return ResultCode.NOT_LEADER
 
 
-def order_of(request: OrderRequest) -> Order:
-    """Return the order of a message."""
+def order_from_request(request: OrderRequest) -> Order:
+    """Return the order that a request contains."""
     change = Change(
         change_id=request.change_id or '',
         base_version=request.base_version or 0,
@@ -183,10 +197,10 @@
     return Order(request.kind or '', change, request.body or b'')
 
 
-def answer_of(
+def answer_from_report(
     request: OrderRequest, report: PublishReport, leader: Address | None = None
 ) -> OrderAnswer:
-    """Return the message that tells what became of an order."""
+    """Return the answer message for the outcome of an order."""
     return OrderAnswer(
         request_id=request.request_id,
         code=int(report.code),
@@ -197,7 +211,7 @@
     )
 
 
-def report_of(answer: OrderAnswer, instance: str) -> PublishReport:
+def report_from_answer(answer: OrderAnswer, instance: str) -> PublishReport:
     return PublishReport(
         ResultCode(answer.code),
         instance,
--- a/cyclamenlift/events/border.py
+++ b/cyclamenlift/events/request_models.py
@@ -1,4 +1,4 @@
-"""Border models of the operators' API."""
+"""Request models of the operator API."""
 
 from typing import Annotated
 
@@ -17,7 +17,7 @@
 
 
 class Publication(pydantic.BaseModel):
-    """A change that an operator sends: the document as YAML or JSON text."""
+    """A publish request: the document as YAML or JSON text."""
 
     model_config = pydantic.ConfigDict(extra='forbid', frozen=True)
 
@@ -28,7 +28,7 @@
 
 
 class StorageReplacement(pydantic.BaseModel):
-    """An order to count a new storage in place of a lost one."""
+    """A request to accept a new storage in place of a lost one."""
 
     model_config = pydantic.ConfigDict(extra='forbid', frozen=True)
 
@@ -36,10 +36,10 @@
     storage_id: Annotated[str, pydantic.Field(min_length=1, max_length=128)]
 
 
-def read_border(
+def parse_request_body(
     kind: type[pydantic.BaseModel], body: bytes
 ) -> Result[pydantic.BaseModel, Problem]:
-    """Read a JSON body as ``kind``; the problem names the first field."""
+    """Parse a JSON body as ``kind``; report the first invalid field."""
     try:
         return Success(kind.model_validate_json(body))
     except pydantic.ValidationError as error:
--- a/cyclamenlift/membership/digests.py
+++ b/cyclamenlift/membership/digests.py
@@ -1,9 +1,9 @@
-"""How a pull says what its sender knows, and what it gets for it.
+"""The encoding of a pull request and the selection of its answer.
 
-The text of a pull has one of three forms: empty (nothing is known), one
-short digest for each bucket (steady state: find the few that differ), or
-the short marks of every live record of some buckets (a transfer is going
-on: only what is missing comes back). An example of the last form is
+The text of a pull has one of three forms: empty (the sender knows nothing),
+one short digest for each bucket (steady state: find the few that differ), or
+the short fingerprints of every live record of some buckets (during a table
+transfer: only missing records are returned). An example of the last form is
 ``7:01ab9f3c,8:`` for two records of bucket 7 and none of bucket 8.
 """
 
@@ -21,27 +21,30 @@
 MAX_MARKS_SIZE = 240
 
 
-def short(mark: int) -> str:
-    """Return the low bits of a fingerprint as text.
+def short_mark(mark: int) -> str:
+    """Return the low bits of a fingerprint as hexadecimal text.
 
-    >>> short(0x1234ABCD)
+    >>> short_mark(0x1234ABCD)
     'abcd'
     """
     return f'{mark & MASK:0{DIGITS}x}'
 
 
 def split_marks(text: str) -> list[str]:
-    """Return the short marks that stand side by side in a text."""
+    """Split a text into its short fingerprints."""
     return [text[i : i + DIGITS] for i in range(0, len(text), DIGITS)]
 
 
-def write_digests(table: MemberTable) -> str:
-    """Return the short digest of every bucket."""
-    return ''.join(short(mark) for mark in table.marks)
+def encode_digests(table: MemberTable) -> str:
+    """Return the short digests of all buckets."""
+    return ''.join(short_mark(mark) for mark in table.marks)
 
 
-def write_marks(table: MemberTable, rng: random.Random) -> str:
-    """Return the marks of as many buckets as fit, from a random one on."""
+def encode_marks(table: MemberTable, rng: random.Random) -> str:
+    """Return the fingerprints of as many buckets as fit.
+
+    Starts at a random bucket.
+    """
     start = rng.randrange(BUCKETS)
     parts: list[str] = []
     size = 0
@@ -56,17 +59,19 @@
 
 def bucket_marks(table: MemberTable, number: int) -> str:
     entries = table.buckets[number].values()
-    marks = ''.join(short(e.mark) for e in entries if is_live(e.record))
+    marks = ''.join(short_mark(e.mark) for e in entries if is_live(e.record))
     return f'{number}:{marks}'
 
 
-def wanted(table: MemberTable, text: str, rng: random.Random) -> list[Entry]:
-    """Return the entries that answer a pull, in the order of sending.
+def select_entries(
+    table: MemberTable, text: str, rng: random.Random
+) -> list[Entry]:
+    """Return the entries that answer a pull, in sending order.
 
-    A text that can't be read asks for nothing.
+    A malformed text requests nothing.
     """
     if not text:
-        return everything(table, rng)
+        return all_live_entries(table, rng)
     if ':' in text:
         return missing_entries(table, text)
     if len(text) != DIGESTS_SIZE:
@@ -74,7 +79,7 @@
     return differing_entries(table, split_marks(text), rng)
 
 
-def everything(table: MemberTable, rng: random.Random) -> list[Entry]:
+def all_live_entries(table: MemberTable, rng: random.Random) -> list[Entry]:
     entries = [e for e in table.entries.values() if is_live(e.record)]
     rng.shuffle(entries)
     return entries
@@ -83,16 +88,16 @@
 def differing_entries(
     table: MemberTable, digests: list[str], rng: random.Random
 ) -> list[Entry]:
-    """Return all of the buckets that differ, tombstones too."""
+    """Return all entries of differing buckets, tombstones included."""
     numbers = [
-        n for n in range(BUCKETS) if digests[n] != short(table.marks[n])
+        n for n in range(BUCKETS) if digests[n] != short_mark(table.marks[n])
     ]
     rng.shuffle(numbers)
     return [e for n in numbers for e in table.buckets[n].values()]
 
 
 def missing_entries(table: MemberTable, text: str) -> list[Entry]:
-    """Return what a list of marks lacks, and who on it is gone."""
+    """Return entries missing from a list, and listed ones that are gone."""
     result = []
     for part in text.split(','):
         name, _, marks = part.partition(':')
@@ -100,7 +105,7 @@
             continue
         known = set(split_marks(marks))
         for entry in table.buckets[int(name)].values():
-            listed = short(fingerprint(entry.record)) in known
+            listed = short_mark(fingerprint(entry.record)) in known
             if listed != is_live(entry.record):
                 result.append(entry)
     return result
--- a/cyclamenlift/membership/rounds.py
+++ b/cyclamenlift/membership/period_round.py
@@ -1,4 +1,4 @@
-"""What a member does once a period."""
+"""The periodic work of a member."""
 
 from cyclamenlift.membership.packets import Outgoing
 from cyclamenlift.membership.probing import Probe
@@ -8,8 +8,8 @@
 
 INDIRECT_PROBES = 3
 CONTACT_PERIODS = 10
-# Members that start together through different seeds form islands: seeds
-# that are still unknown after these periods are asked as well.
+# Members that start together through different seeds may form separate groups:
+# seeds that are still unknown after these periods are asked as well.
 EARLY_CONTACTS = (1, 3, 5)
 STALL_PERIODS = 3.0
 PULL_MISMATCHES = 4
@@ -17,7 +17,7 @@
 
 
 class PeriodRound:
-    """Ends old probes, sends one new probe, mends what differs."""
+    """Follows up old probes, sends a new one and reconciles tables."""
 
     def __init__(self, state, now: float) -> None:
         self.state = state
@@ -27,56 +27,58 @@
         self.join_wait = 1
 
     def run(self, now: float) -> list[Outgoing]:
-        """Return the packets of this period."""
+        """Return the packets to send in this period."""
         state = self.state
         self.count += 1
         self.note_stall(now)
-        state.verdicts.forget_expired(now)
+        state.liveness.forget_expired(now)
         state.prober.drop_late_relays(now)
         result = []
-        for probe in state.prober.unanswered():
-            result.extend(self.pursue(probe, now))
+        for probe in state.prober.pending():
+            result.extend(self.follow_up(probe, now))
         self.declare_deaths(now)
         result.extend(self.probe_next(now))
-        result.extend(self.reach_out(now))
+        result.extend(self.sync_tables(now))
         return result
 
     def note_stall(self, now: float) -> None:
-        """Blame nobody for the time in which this process stood still."""
+        """Discount the time in which this process itself was stalled."""
         gap = now - self.last_at
         self.last_at = now
         if gap > STALL_PERIODS * self.state.settings.period:
             self.state.prober.waiting.clear()
-            self.state.verdicts.postpone(gap)
+            self.state.liveness.postpone(gap)
 
-    def pursue(self, probe: Probe, now: float) -> list[Outgoing]:
-        """Ask others to probe, then suspect."""
+    def follow_up(self, probe: Probe, now: float) -> list[Outgoing]:
+        """Send indirect probes for an unanswered one, then suspect."""
         state = self.state
         if probe.stage is Stage.DIRECT and probe.fresh:
             probe.stage = Stage.INDIRECT
-            return self.ask_others(probe, now)
+            return self.send_indirect_probes(probe, now)
         state.prober.give_up(probe)
         if probe.fresh:
-            state.verdicts.health.note(False)
+            state.liveness.health.record_probe(False)
             state.suspect(probe.instance, probe.incarnation, now)
         return []
 
-    def ask_others(self, probe: Probe, now: float) -> list[Outgoing]:
+    def send_indirect_probes(self, probe: Probe, now: float) -> list[Outgoing]:
         state = self.state
         result = []
         for helper in state.sample(INDIRECT_PROBES, probe.instance):
-            packet = state.packer.bare(GossipKind.PING_REQUEST, probe.sequence)
+            packet = state.packet_builder.new_packet(
+                GossipKind.PING_REQUEST, probe.sequence
+            )
             packet.subject = probe.instance
-            sent = state.packer.finish(
+            sent = state.packet_builder.finish(
                 helper.gossip_address, packet, [], now, piggyback=False
             )
             result.append(sent)
         return result
 
     def declare_deaths(self, now: float) -> None:
-        """Declare one death after another, each on the newest counts."""
+        """Declare deaths one at a time, each based on updated counts."""
         while True:
-            due = self.state.verdicts.due_deaths(now)
+            due = self.state.liveness.due_deaths(now)
             if not due:
                 return
             for record in due:
@@ -91,44 +93,51 @@
         member = live[name]
         fresh = member.state == MemberState.ALIVE
         probe = state.prober.begin(name, member.incarnation, fresh)
-        packet = state.packer.bare(GossipKind.PING, probe.sequence)
+        packet = state.packet_builder.new_packet(
+            GossipKind.PING, probe.sequence
+        )
         packet.subject = name
-        # A suspect learns of it here, and may have lost our record.
-        must = [] if fresh else [member, state.own]
-        return [state.packer.finish(member.gossip_address, packet, must, now)]
+        # A suspect learns here that it is suspected; it may also have lost our
+        # record.
+        required = [] if fresh else [member, state.own]
+        return [
+            state.packet_builder.finish(
+                member.gossip_address, packet, required, now
+            )
+        ]
 
-    def reach_out(self, now: float) -> list[Outgoing]:
-        """Join, mend differences, and look for the other side of a cut."""
+    def sync_tables(self, now: float) -> list[Outgoing]:
+        """Join, reconcile tables, and look for other partitions."""
         state = self.state
         if not state.joined:
-            return self.join_again(now)
-        result = self.mend(now)
+            return self.retry_join(now)
+        result = self.reconcile(now)
         if self.contact_due():
-            result.extend(self.contact(now))
+            result.extend(self.pull_from_contact(now))
         return result
 
-    def join_again(self, now: float) -> list[Outgoing]:
-        """Ask seeds at growing intervals: all may start at once."""
+    def retry_join(self, now: float) -> list[Outgoing]:
+        """Ask seeds at growing intervals, since all may start at once."""
         if self.count < self.next_join:
             return []
         self.join_wait = min(2 * self.join_wait, MAX_JOIN_WAIT)
         self.next_join = self.count + self.state.rng.randint(1, self.join_wait)
         return self.state.join(now)
 
-    def mend(self, now: float) -> list[Outgoing]:
-        """Pull when the others' digests keep differing from ours.
+    def reconcile(self, now: float) -> list[Outgoing]:
+        """Pull when the digests of others keep differing from ours.
 
-        A change on its way makes them differ for a short time, so one
-        mismatch counts only while a transfer is going on.
+        A change in transit makes them differ for a short time, so a single
+        mismatch counts only during a table transfer.
         """
         state = self.state
         receiver = state.receiver
-        enough = 1 if receiver.hungry else PULL_MISMATCHES
+        enough = 1 if receiver.transferring else PULL_MISMATCHES
         if receiver.mismatches < enough or not state.budget.may_pull(now):
             return []
         receiver.mismatches = 0
-        addresses = [receiver.differs_at]
-        if receiver.hungry:
+        addresses = [receiver.differing_address]
+        if receiver.transferring:
             addresses.extend(r.gossip_address for r in state.sample(1))
         return [state.pull(address, now) for address in addresses]
 
@@ -137,7 +146,7 @@
         early = self.count in EARLY_CONTACTS
         return alone or early or self.count % CONTACT_PERIODS == 0
 
-    def contact(self, now: float) -> list[Outgoing]:
+    def pull_from_contact(self, now: float) -> list[Outgoing]:
         state = self.state
         known = {r.gossip_address for r in state.members()}
         address = state.contacts.pick(known)
--- a/cyclamenlift/membership/state.py
+++ b/cyclamenlift/membership/state.py
@@ -1,9 +1,9 @@
-"""Decisions of the membership protocol: packets in, packets out.
+"""The state machine of the membership protocol: packets in, packets out.
 
-Time is passed in and nothing is sent here. The protocol is SWIM with
-suspicion: one probe a period, help from others before a suspicion, time to
-refute before a death. Changes ride on every packet; digests notice what was
-lost on the way.
+Time is passed in and no I/O is done here. The protocol is SWIM with suspicion:
+one probe a period, indirect probes before a suspicion, time to refute before a
+death. Changes are piggybacked on every packet; digests detect what was lost on
+the way.
 """
 
 import dataclasses
@@ -12,23 +12,23 @@
 from cyclamenlift.membership.budget import ByteBudget
 from cyclamenlift.membership.budget import BYTES_PER_PERIOD
 from cyclamenlift.membership.contacts import Contacts
-from cyclamenlift.membership.digests import write_digests
-from cyclamenlift.membership.digests import write_marks
+from cyclamenlift.membership.digests import encode_digests
+from cyclamenlift.membership.digests import encode_marks
 from cyclamenlift.membership.dissemination import DisseminationQueue
 from cyclamenlift.membership.joining import INTRODUCE_FANOUT
 from cyclamenlift.membership.joining import Introductions
-from cyclamenlift.membership.packets import DigestSeen
-from cyclamenlift.membership.packets import is_sound_packet
+from cyclamenlift.membership.liveness import LivenessTracker
+from cyclamenlift.membership.packet_handlers import PacketReceiver
+from cyclamenlift.membership.packets import EndsDigest
+from cyclamenlift.membership.packets import is_valid_packet
 from cyclamenlift.membership.packets import Outgoing
-from cyclamenlift.membership.packets import Packer
+from cyclamenlift.membership.packets import PacketBuilder
+from cyclamenlift.membership.period_round import PeriodRound
 from cyclamenlift.membership.probing import Prober
-from cyclamenlift.membership.receiving import PacketReceiver
-from cyclamenlift.membership.records import is_sound
+from cyclamenlift.membership.records import is_valid_record
 from cyclamenlift.membership.records import revise
 from cyclamenlift.membership.records import same_announcement
-from cyclamenlift.membership.rounds import PeriodRound
 from cyclamenlift.membership.settings import MembershipSettings
-from cyclamenlift.membership.verdicts import Verdicts
 from cyclamenlift.wire.gen.protocol.ttypes import EndReport
 from cyclamenlift.wire.gen.protocol.ttypes import GossipKind
 from cyclamenlift.wire.gen.protocol.ttypes import GossipPacket
@@ -38,16 +38,17 @@
 
 ANNOUNCE_FANOUT = 8
 FORWARD_FANOUT = 4
-# Members of other data centres among those that news are sent to at once:
-# bytes between data centres are dear, and as each member that hears of a
-# change sends it to one far away, all of them together send many. How soon
-# all of 200 members have heard was not measured with it.
-FAR_PUSHES = 1
+# Number of members of other data centres among those that a change is pushed
+# to: bytes between data centres are expensive, and since each member that
+# learns of a change sends it to one of them, many copies cross in total. The
+# time until all of 200 members have learned of a change was not measured with
+# it.
+REMOTE_PUSHES = 1
 
 
 @dataclasses.dataclass(slots=True)
 class Counters:
-    """What metrics and status show of the protocol."""
+    """Protocol counters for metrics and status."""
 
     packets_in: int = 0
     packets_out: int = 0
@@ -62,15 +63,15 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class VersionSeen:
-    """A configuration newer than ours and the peer that has it."""
+class VersionReport:
+    """A configuration version newer than ours and the peer that has it."""
 
     version: int
     peer_address: str
 
 
 class MembershipState:
-    """One member's view and its part in the protocol."""
+    """One member's view of the cluster and its part in the protocol."""
 
     def __init__(
         self,
@@ -82,12 +83,12 @@
     ) -> None:
         self.settings = settings
         self.rng = rng
-        self.verdicts = Verdicts(settings.period)
-        self.table = self.verdicts.table
+        self.liveness = LivenessTracker(settings.period)
+        self.table = self.liveness.table
         self.queue = DisseminationQueue()
         rate = BYTES_PER_PERIOD / settings.period
         self.budget = ByteBudget(now, rate)
-        self.packer = Packer(
+        self.packet_builder = PacketBuilder(
             settings, address, self.table, self.queue, self.budget
         )
         self.prober = Prober(rng)
@@ -95,22 +96,22 @@
         self.contacts = Contacts(seeds, rng)
         self.counters = Counters()
         self.changes: list[MemberRecord] = []
-        self.versions: list[VersionSeen] = []
+        self.versions: list[VersionReport] = []
         self.ends: list[EndReport] = []
-        self.digests: list[DigestSeen] = []
+        self.digests: list[EndsDigest] = []
         self.left = False
         self.joined = not seeds
         self.introductions = Introductions(now)
         self.receiver = PacketReceiver(self)
-        self.rounds = PeriodRound(self, now)
+        self.period_round = PeriodRound(self, now)
         self.store(self.first_record(address, unix_ms), now)
 
     def first_record(self, address: str, unix_ms: int) -> MemberRecord:
-        """Return what this instance announces first.
+        """Return the initial record of this instance.
 
-        The wall clock puts the incarnation above that of an earlier life in
-        the ordinary case. When the clock went back, the others answer with
-        the older record and ``refute`` rises above it.
+        The wall clock normally puts the incarnation above that of the previous
+        run. If the clock went back, the others answer with the older record
+        and ``refute`` raises the incarnation above it.
         """
         settings = self.settings
         return MemberRecord(
@@ -136,32 +137,32 @@
         return self.table.entries[self.settings.instance].record
 
     def members(self) -> list[MemberRecord]:
-        """Return the members that may be used, this instance included."""
+        """Return the live members, including this instance."""
         return self.table.live()
 
     def others(self) -> list[MemberRecord]:
-        """Return the live members but this one."""
+        """Return the live members except this one."""
         own = self.settings.instance
         return [r for r in self.table.live() if r.instance != own]
 
-    def sample(self, count: int, without: str = '') -> list[MemberRecord]:
+    def sample(self, count: int, exclude: str = '') -> list[MemberRecord]:
         """Return up to ``count`` random other members."""
-        others = [r for r in self.others() if r.instance != without]
+        others = [r for r in self.others() if r.instance != exclude]
         return self.rng.sample(others, min(count, len(others)))
 
-    def sample_near(self, count: int) -> list[MemberRecord]:
+    def sample_nearby(self, count: int) -> list[MemberRecord]:
         """Return up to ``count`` others, one of another data centre.
 
-        News that each member passes on reach every member of a data centre
-        from inside it, and come over many ways from outside all the same,
-        since each member sends them to one far away.
+        A change that each member passes on reaches every member of a data
+        centre from inside it, and still arrives from outside over many paths,
+        since each member also sends it to one remote member.
         """
         own = self.settings.data_centre
         others = self.others()
         self.rng.shuffle(others)
         near = [r for r in others if r.data_centre == own]
         far = [r for r in others if r.data_centre != own]
-        chosen = near[: max(count - FAR_PUSHES, count - len(far))]
+        chosen = near[: max(count - REMOTE_PUSHES, count - len(far))]
         return chosen + far[: count - len(chosen)]
 
     # -- records ----------------------------------------------------------
@@ -169,8 +170,8 @@
     def store(
         self, record: MemberRecord, now: float, spread: bool = True
     ) -> None:
-        """Take a record that supersedes the known one, and pass it on."""
-        self.verdicts.store(record, now)
+        """Store a record that supersedes the known one and spread it."""
+        self.liveness.store(record, now)
         if spread:
             self.queue.add(record.instance)
         self.changes.append(record)
@@ -180,20 +181,21 @@
         else:
             self.contacts.discard(record.instance)
 
-    def take(
+    def merge(
         self, record: MemberRecord, now: float, spread: bool = True
     ) -> bool:
-        """Consider a record of the network; tell whether it was news.
+        """Merge a received record; return whether it was accepted.
 
-        Old news of a table transfer is not spread: others know it.
+        Records of unknown members in a table transfer are not spread: the
+        others know them already.
         """
-        if not is_sound(record):
+        if not is_valid_record(record):
             self.counters.bad_records += 1
             return False
         if record.instance == self.settings.instance:
             return self.refute(record, now)
         self.note_version(record.config_version, record.peer_address)
-        accepted = self.verdicts.consider(record, now)
+        accepted = self.liveness.consider(record, now)
         if accepted is None:
             return False
         fresh = spread or self.table.get(record.instance) is not None
@@ -201,7 +203,7 @@
         return True
 
     def refute(self, record: MemberRecord, now: float) -> bool:
-        """Rise above a record about this instance that is not its own."""
+        """Raise our incarnation above a foreign record of this instance."""
         own = self.own
         if self.left or record.incarnation < own.incarnation:
             return False
@@ -215,7 +217,7 @@
         return True
 
     def suspect(self, instance: str, incarnation: int, now: float) -> None:
-        """Suspect a member that did not answer, unless it has moved on."""
+        """Suspect an unresponsive member unless its incarnation changed."""
         known = self.table.get(instance)
         if known is None or known.incarnation != incarnation:
             return
@@ -224,25 +226,25 @@
             self.store(revise(known, state=MemberState.SUSPECT), now)
 
     def note_version(self, version: int, peer_address: str) -> None:
-        """Report a configuration that is newer than the announced one."""
+        """Report a configuration newer than the announced one."""
         if version > self.own.config_version and peer_address:
-            self.versions.append(VersionSeen(version, peer_address))
+            self.versions.append(VersionReport(version, peer_address))
 
     # -- commands ---------------------------------------------------------
 
     def join(self, now: float) -> list[Outgoing]:
-        """Ask one seed for its table; the next call asks another."""
-        own = self.packer.address
+        """Ask a random seed for its table."""
+        own = self.packet_builder.address
         seeds = [seed for seed in self.contacts.seeds if seed != own]
         if not seeds:
             return []
         return [self.pull(self.rng.choice(seeds), now)]
 
     def join_step(self, now: float) -> list[Outgoing]:
-        """Ask again soon after the start.
+        """Repeat the join request soon after the start.
 
-        Seeds that are still unknown may listen by now, and somebody who is
-        known may have got to know others.
+        Seeds that are still unknown may be listening by now, and known members
+        may have learned of others.
         """
         if self.left:
             return []
@@ -252,28 +254,32 @@
         return [self.pull(address, now) for address in asked]
 
     def introduce(self, now: float) -> list[Outgoing]:
-        """Tell some of those who became known that this instance is here."""
+        """Announce this instance to some of the discovered members."""
         if not self.introductions.take(now):
             return []
         return self.push([self.own], INTRODUCE_FANOUT, now)
 
     def pull(self, address: str, now: float) -> Outgoing:
-        """Ask one member for the records that differ."""
-        packet = self.packer.bare(GossipKind.JOIN, self.prober.next_sequence())
-        if self.receiver.hungry:
-            packet.subject = write_marks(self.table, self.rng)
+        """Ask a member for the records that differ."""
+        packet = self.packet_builder.new_packet(
+            GossipKind.JOIN, self.prober.next_sequence()
+        )
+        if self.receiver.transferring:
+            packet.subject = encode_marks(self.table, self.rng)
         elif len(self.table) > 1:
-            packet.subject = write_digests(self.table)
-        return self.packer.finish(address, packet, [self.own], now, False)
+            packet.subject = encode_digests(self.table)
+        return self.packet_builder.finish(
+            address, packet, [self.own], now, False
+        )
 
     def push(
         self, records: list[MemberRecord], fanout: int, now: float
     ) -> list[Outgoing]:
-        """Send records to some members at once, most of them near."""
+        """Send records to some members at once, mostly nearby ones."""
         result = []
-        for member in self.sample_near(fanout):
-            packet = self.packer.bare(GossipKind.SYNC, 0)
-            sent = self.packer.finish(
+        for member in self.sample_nearby(fanout):
+            packet = self.packet_builder.new_packet(GossipKind.SYNC, 0)
+            sent = self.packet_builder.finish(
                 member.gossip_address, packet, records, now
             )
             result.append(sent)
@@ -282,19 +288,22 @@
     def push_ends(
         self, report: EndReport, fanout: int, now: float, own: bool
     ) -> list[Outgoing]:
-        """Send a report of an end to some members at once.
+        """Send a report of an ended target to some members at once.
 
-        One that is not our own waits for the digests where the budget of
-        bytes is spent: when many targets end together, all pass on all.
+        A report of another instance is left to digest comparison if the byte
+        budget is spent: when many targets end together, every member forwards
+        all of them.
         """
-        if not own and not self.budget.room(now):
+        if not own and not self.budget.available(now):
             return []
         result = []
-        for member in self.sample_near(fanout):
-            packet = self.packer.bare(GossipKind.SYNC, 0)
+        for member in self.sample_nearby(fanout):
+            packet = self.packet_builder.new_packet(GossipKind.SYNC, 0)
             packet.ends = [report]
             address = member.gossip_address
-            result.append(self.packer.finish(address, packet, [], now, False))
+            result.append(
+                self.packet_builder.finish(address, packet, [], now, False)
+            )
         return result
 
     def announce(
@@ -304,7 +313,7 @@
         now: float,
         slots: int | None = None,
     ) -> list[Outgoing]:
-        """Tell the others of a change of this instance."""
+        """Announce a change of this instance."""
         own = self.own
         if self.left:
             return []
@@ -315,22 +324,22 @@
             own = revise(own, config_version=config_version)
             self.table.put(own)
         state = own.target_state if target_state is None else target_state
-        room = own.slots if slots is None else slots
-        moved = (state, room) != (own.target_state, own.slots)
-        if moved:
+        slot_count = own.slots if slots is None else slots
+        changed = (state, slot_count) != (own.target_state, own.slots)
+        if changed:
             own = revise(
                 own,
                 target_state=state,
-                slots=room,
+                slots=slot_count,
                 incarnation=own.incarnation + 1,
             )
             self.store(own, now)
-        if not newer and not moved:
+        if not newer and not changed:
             return []
         return self.push([own], ANNOUNCE_FANOUT, now)
 
     def leave(self, now: float) -> list[Outgoing]:
-        """Say good-bye; packets are ignored from here on."""
+        """Announce that this instance leaves; ignore packets from now on."""
         if self.left:
             return []
         own = self.own
@@ -344,11 +353,11 @@
     # -- inputs -----------------------------------------------------------
 
     def on_packet(self, packet: GossipPacket, now: float) -> list[Outgoing]:
-        """Take one packet of the network; return what to send for it."""
+        """Handle a received packet; return the packets to send."""
         if packet.cluster != self.settings.cluster:
             self.counters.strangers += 1
             return []
-        if not is_sound_packet(packet):
+        if not is_valid_packet(packet):
             self.counters.malformed += 1
             return []
         if self.left or packet.sender == self.settings.instance:
@@ -359,4 +368,4 @@
         """Do the work of one period."""
         if self.left:
             return []
-        return self.rounds.run(now)
+        return self.period_round.run(now)
--- a/cyclamenlift/quarantine/tasks.py
+++ b/cyclamenlift/quarantine/tasks.py
@@ -27,7 +27,7 @@
 from cyclamenlift.wire.gen.protocol.ttypes import EndsRequest
 
 if typing.TYPE_CHECKING:
-    from cyclamenlift.membership.packets import DigestSeen
+    from cyclamenlift.membership.packets import EndsDigest
     from cyclamenlift.membership.tasks import Membership
     from cyclamenlift.wire.network import Link
     from cyclamenlift.wire.network import PeerNetwork
@@ -239,7 +239,7 @@
             return False
         return self.accept(report, fanout)
 
-    def on_digest(self, seen: 'DigestSeen') -> None:
+    def on_digest(self, seen: 'EndsDigest') -> None:
         """Compare a peer's digest with the local one."""
         if seen.digest == self.history.digest:
             self.on_same_digest(seen)
@@ -260,7 +260,7 @@
         )
         self.network.send(address, EndsRequest(self.history.keys()))
 
-    def on_same_digest(self, seen: 'DigestSeen') -> None:
+    def on_same_digest(self, seen: 'EndsDigest') -> None:
         """Handle a peer whose digest equals the local one.
 
         Daemons that start together have no reports at first; control instances
--- a/tests/events/fleet.py
+++ b/tests/events/fleet.py
@@ -1,8 +1,8 @@
-"""A fleet of followers and control instances whose links are thin.
+"""A simulated fleet of followers and control instances on slow links.
 
-Nothing here uses a network or a real clock: messages take the time that
-their bytes need on the sender's and on the receiver's link, one after the
-other. Calls are left out; they would only make the links busier.
+No network or real clock is used: a message takes the time that its bytes need
+on the sender's and on the receiver's link, one message after the other. Calls
+are not simulated; they would only add to the load of the links.
 """
 
 import collections
@@ -22,22 +22,22 @@
 from tests.events.builders import FakeReplica
 from tests.models.builders import document_value
 
-# Bytes in a second: 2 Mbit/s for daemons, 1 Gbit/s for control instances,
-# the thinnest and the widest links that the users have named.
+# Bytes per second: 2 Mbit/s for daemons, 1 Gbit/s for control instances, the
+# slowest and the fastest links that users have reported.
 DAEMON_RATE = 250_000
 CONTROL_RATE = 125_000_000
-# One way between two instances, in seconds.
+# One-way latency between two instances, in seconds.
 WAY_SECONDS = 0.0015
 GOSSIP_BYTES = 250
-# How many others a member tells of a new version at once, and how often it
-# exchanges a packet with another one, in seconds, as in membership.
+# How many members an instance pushes a new version to, and how often it
+# exchanges a packet with another member, in seconds, as in membership.
 PUSHES = 8
 PING_SECONDS = 0.2
 CONTROL_INSTANCES = 5
 
 
 def route_value(number: int, rng: random.Random, weight: int = 1) -> dict:
-    """Return a route whose names can not be packed much."""
+    """Return a route whose name compresses badly."""
     return {
         'name': f'r{number}',
         'host': 'a.example',
@@ -52,7 +52,7 @@
     return json.dumps(value, sort_keys=True, separators=(',', ':')).encode()
 
 
-class ThinLink:
+class SimulatedLink:
     """One end of a connection between two instances."""
 
     def __init__(self, network, peer, address, number):
@@ -65,7 +65,7 @@
         self.closed = False
         self.pending = 0
         self.received = 0
-        self.twin: ThinLink | None = None
+        self.twin: SimulatedLink | None = None
 
     @property
     def stream(self):
@@ -77,8 +77,8 @@
 
     def send(self, message) -> bool:
         size = len(encode_frame(message))
-        self.network.note_sent(message, size)
-        self.network.fleet.carry(
+        self.network.count_sent(message, size)
+        self.network.fleet.transmit(
             self.network, self.peer, size, lambda: self.arrive(message, size)
         )
         return True
@@ -88,10 +88,10 @@
         self.peer.take(self.twin, message)
 
 
-class ThinNetwork:
-    """What one instance sends and gets, over a link of ``rate`` bytes/s."""
+class SimulatedNetwork:
+    """The network of one instance, over a link of ``rate`` bytes/s."""
 
-    def __init__(self, fleet: 'ThinFleet', address: Address, rate: float):
+    def __init__(self, fleet: 'SimulatedFleet', address: Address, rate: float):
         self.fleet = fleet
         self.address = address
         self.rate = rate
@@ -100,14 +100,14 @@
         self.bytes_in = 0
         self.document_bytes_out = 0
         self.receivers = {}
-        self.links: dict[Address, ThinLink] = {}
+        self.links: dict[Address, SimulatedLink] = {}
         self.numbers = 0
 
     def subscribe(self, kind, receiver) -> None:
         self.receivers[FIELD_BY_TYPE[kind]] = receiver
 
     def subscribe_lost(self, hook) -> None:
-        """No connection is lost here."""
+        """Do nothing: no connection is lost in this simulation."""
 
     def has_link(self, address) -> bool:
         return address in self.links
@@ -120,14 +120,14 @@
         return link.received if link is not None else 0
 
     def abort_connecting(self, address) -> None:
-        """All connections are up."""
+        """Do nothing: all connections are up."""
 
-    def link_to(self, address: Address) -> ThinLink:
+    def link_to(self, address: Address) -> SimulatedLink:
         link = self.links.get(address)
         if link is None:
             peer = self.fleet.networks[address]
-            link = ThinLink(self, peer, address, self.next_number())
-            back = ThinLink(peer, self, None, peer.next_number())
+            link = SimulatedLink(self, peer, address, self.next_number())
+            back = SimulatedLink(peer, self, None, peer.next_number())
             link.twin, back.twin = back, link
             self.links[address] = link
         return link
@@ -139,18 +139,18 @@
     def send(self, address: Address, message) -> bool:
         return self.link_to(address).send(message)
 
-    def note_sent(self, message, size: int) -> None:
+    def count_sent(self, message, size: int) -> None:
         if isinstance(message, DocumentAnswer):
             self.document_bytes_out += size
 
-    def take(self, link: ThinLink, message) -> None:
+    def take(self, link: SimulatedLink, message) -> None:
         self.receivers[FIELD_BY_TYPE[type(message)]](link, message)
 
 
-class ThinDaemon:
-    """A follower, when it got each version, and what it tells others."""
+class SimulatedDaemon:
+    """A follower that records when it got each version and pushes it."""
 
-    def __init__(self, fleet: 'ThinFleet', address: Address):
+    def __init__(self, fleet: 'SimulatedFleet', address: Address):
         self.fleet = fleet
         self.address = address
         self.network = fleet.add_network(address, DAEMON_RATE)
@@ -160,7 +160,7 @@
             fleet.control_addresses,
             random.Random(fleet.rng.random()),
         )
-        self.follower.share.link_rate = DAEMON_RATE
+        self.follower.link_budget.link_rate = DAEMON_RATE
         self.at: dict[int, float] = {}
         self.follower.subscribe(self.on_rules)
 
@@ -174,11 +174,11 @@
         self.fleet.push(self.network, rules.version)
 
 
-class ThinFleet:
+class SimulatedFleet:
     """Daemons and control instances; ``publish`` commits a version.
 
-    Nothing comes from or to those that are ``dark``; the others are not told
-    of it, their connections stay open.
+    Instances in ``offline`` neither send nor receive; the others are not
+    notified and their connections stay open.
     """
 
     def __init__(
@@ -186,11 +186,11 @@
     ):
         self.rng = random.Random(seed)
         self.ping_seconds = ping_seconds
-        self.dark: set[Address] = set()
+        self.offline: set[Address] = set()
         self.clock = FakeClock()
         self.root = build_root(self.clock)
-        self.networks: dict[Address, ThinNetwork] = {}
-        self.daemons: dict[Address, ThinDaemon] = {}
+        self.networks: dict[Address, SimulatedNetwork] = {}
+        self.daemons: dict[Address, SimulatedDaemon] = {}
         self.routes: list[dict] = []
         self.committed: dict[int, float] = {}
         self.store = EventStore()
@@ -204,8 +204,8 @@
 
     # -- parts ------------------------------------------------------------
 
-    def add_network(self, address: Address, rate: float) -> ThinNetwork:
-        self.networks[address] = ThinNetwork(self, address, rate)
+    def add_network(self, address: Address, rate: float) -> SimulatedNetwork:
+        self.networks[address] = SimulatedNetwork(self, address, rate)
         return self.networks[address]
 
     def add_server(self, address: Address) -> DocumentServer:
@@ -228,17 +228,17 @@
         replica.read_barrier(done)
         replica.finish_reads()
 
-    def add_daemon(self, number: int) -> ThinDaemon:
+    def add_daemon(self, number: int) -> SimulatedDaemon:
         address = Address('10.0.1.1', 8000 + number)
-        self.daemons[address] = ThinDaemon(self, address)
+        self.daemons[address] = SimulatedDaemon(self, address)
         self.daemons[address].start()
         return self.daemons[address]
 
-    # -- the world --------------------------------------------------------
+    # -- transport --------------------------------------------------------
 
-    def carry(self, sender, receiver, size: int, deliver) -> None:
-        """Take ``size`` bytes over both links, then run ``deliver``."""
-        if sender.address in self.dark:
+    def transmit(self, sender, receiver, size: int, deliver) -> None:
+        """Transfer ``size`` bytes over both links, then call ``deliver``."""
+        if sender.address in self.offline:
             return
         now = self.clock.instant
         begin = max(now, sender.free_out)
@@ -249,7 +249,7 @@
         )
 
     def receive(self, sender, receiver, size: int, deliver) -> None:
-        if self.dark & {sender.address, receiver.address}:
+        if self.offline & {sender.address, receiver.address}:
             return
         receiver.bytes_in += size
         begin = max(self.clock.instant, receiver.free_in)
@@ -257,21 +257,21 @@
         self.root.scheduler.at(receiver.free_in, deliver)
 
     def push(self, sender, version: int) -> None:
-        """Tell some members at once of a version that ``sender`` has."""
+        """Announce a version that ``sender`` has to some members at once."""
         daemons = list(self.daemons.values())
         for daemon in self.rng.sample(daemons, min(PUSHES, len(daemons))):
             self.gossip(sender, daemon, version)
 
     def gossip(self, sender, daemon, version: int) -> None:
-        self.carry(
+        self.transmit(
             sender,
             daemon.network,
             GOSSIP_BYTES,
             lambda: daemon.follower.note_version(version, str(sender.address)),
         )
 
-    def plan_ping(self, daemon: ThinDaemon) -> None:
-        """Let a daemon and a random other one tell each other, again."""
+    def plan_ping(self, daemon: SimulatedDaemon) -> None:
+        """Schedule a gossip exchange between a daemon and a random one."""
 
         def ping() -> None:
             self.plan_ping(daemon)
@@ -283,7 +283,7 @@
         self.root.scheduler.after(wait, ping)
 
     def run(self, seconds: float) -> None:
-        """Let time pass, from one event to the next."""
+        """Advance the clock from event to event."""
         end = self.clock.instant + seconds
         heap = self.root.scheduler.heap
         while heap and heap[0][0] <= end:
@@ -291,10 +291,10 @@
             self.root.scheduler.run_due()
         self.clock.instant = end
 
-    # -- what operators do ------------------------------------------------
+    # -- operator actions -------------------------------------------------
 
     def publish(self, routes: list[dict]) -> int:
-        """Commit a document with these routes; all control apply it."""
+        """Commit a document with these routes on all control instances."""
         self.routes = routes
         base, self.version = self.version, self.version + 1
         data = canonical(routes)
@@ -304,7 +304,7 @@
         for address, server in zip(
             self.control_addresses, self.servers, strict=True
         ):
-            server.tell(self.version)
+            server.push_version(self.version)
             self.push(self.networks[address], self.version)
         return self.version
 
@@ -321,12 +321,13 @@
         ]
         return self.publish(changed)
 
-    # -- what was seen ----------------------------------------------------
+    # -- measurements -----------------------------------------------------
 
     def delays(self, version: int) -> list[float]:
-        """Return how long each daemon took, sorted; infinity for never.
+        """Return each daemon's delay, sorted; infinity for never.
 
-        A daemon that has a later version needs this one no more.
+        A later version counts as well, because a daemon that has it no longer
+        needs this one.
         """
         since = self.committed[version]
         return sorted(
--- a/tests/events/test_desk.py
+++ b/tests/events/test_control_orders.py
@@ -1,4 +1,4 @@
-"""The desk of a control instance, over a scripted replica."""
+"""Order processing on a control instance, over a fake replica."""
 
 import random
 
@@ -9,12 +9,12 @@
 from cyclamenlift.core.problems import Problem
 from cyclamenlift.core.scheduler import build_root
 from cyclamenlift.core.streams import Address
-from cyclamenlift.events.carrying import OrderCarrier
 from cyclamenlift.events.commands import publish_document
-from cyclamenlift.events.desk import OrderDesk
+from cyclamenlift.events.control_orders import ControlOrderHandler
+from cyclamenlift.events.order_forwarding import OrderForwarder
 from cyclamenlift.events.orders import order_from
 from cyclamenlift.events.orders import ORDER_KINDS
-from cyclamenlift.events.orders import PATIENCE_SECONDS
+from cyclamenlift.events.orders import ORDER_TIMEOUT_SECONDS
 from cyclamenlift.ledger.finder import LeaderFinder
 from cyclamenlift.models.document import document_from_bytes
 from cyclamenlift.wire.gen.protocol.ttypes import OrderAnswer
@@ -33,7 +33,7 @@
 
 
 class SlowReplica:
-    """Keeps what is proposed until the test lets it through."""
+    """Holds proposals back until the test releases them."""
 
     def __init__(self, context):
         self.real = context.replica
@@ -50,8 +50,8 @@
             self.propose(command, done)
 
 
-class DeskBed:
-    """An instance called ``a`` with its desk."""
+class HandlerBed:
+    """An instance ``a`` with its order handler."""
 
     def __init__(self, leader='a'):
         self.context = control_context(leader)
@@ -59,12 +59,14 @@
         self.root = build_root(self.clock)
         self.network = FakeNetwork()
         finder = LeaderFinder(list(CONTROL), random.Random(1))
-        self.carrier = OrderCarrier(self.root, self.network, finder, 'a')
-        self.desk = OrderDesk(self.context, self.network, self.carrier)
+        self.forwarder = OrderForwarder(self.root, self.network, finder, 'a')
+        self.handler = ControlOrderHandler(
+            self.context, self.network, self.forwarder
+        )
         self.reports = []
 
     def take(self, order=WHOLE) -> None:
-        self.desk.take(order, OPERATOR, self.reports.append)
+        self.handler.take(order, OPERATOR, self.reports.append)
 
     def ask(self, order=WHOLE):
         """Send an order as another instance does; return the answer."""
@@ -78,7 +80,7 @@
             change.chosen_version,
             order.body,
         )
-        self.desk.on_request(link, request)
+        self.handler.on_request(link, request)
         return link.sent[0] if link.sent else None
 
     def pass_time(self, seconds: float) -> None:
@@ -86,7 +88,7 @@
         self.root.scheduler.run_due()
 
     def refuse_all(self) -> None:
-        """Let all who were asked say that they do not lead."""
+        """Let all addresses asked answer that they do not lead."""
         sent, self.network.sent = self.network.sent, []
         for address, request in sent:
             answer = OrderAnswer(request.request_id, ResultCode.NOT_LEADER)
@@ -111,32 +113,32 @@
     monkeypatch.setattr(ORDER_KINDS, 'items', known)
 
 
-def test_the_leader_carries_out_what_comes_and_what_is_carried_to_it():
-    bed = DeskBed()
+def test_the_leader_executes_direct_and_forwarded_orders():
+    bed = HandlerBed()
     assert bed.ask().code == ACCEPTED
     bed.take()
     assert bed.codes == [ACCEPTED]
     assert bed.context.store.version == 3
 
 
-# Guards against copies of one order, carried by several instances, that are
-# each read, checked and written into the log.
-def test_an_order_that_comes_again_while_under_way_waits_for_its_outcome():
-    bed = DeskBed()
+# Guards against copies of one order, forwarded by several instances, that are
+# each parsed, validated and written into the log.
+def test_a_repeated_order_in_progress_waits_for_the_same_outcome():
+    bed = HandlerBed()
     slow = SlowReplica(bed.context)
     slow.hold()
     bed.take()
     bed.take()
     assert bed.ask() is None
     assert len(slow.proposed) == 1
-    assert bed.desk.busy
+    assert bed.handler.busy
     slow.let_through()
     assert bed.codes == [ACCEPTED, ACCEPTED]
-    assert not bed.desk.busy
+    assert not bed.handler.busy
 
 
-def test_a_follower_answers_from_its_own_log_and_names_the_leader_else():
-    bed = DeskBed()
+def test_a_follower_answers_from_its_store_or_names_the_leader():
+    bed = HandlerBed()
     bed.take()
     bed.context.replica.elect('b')
     bed.take()
@@ -149,26 +151,28 @@
 
 
 def test_an_order_waits_for_the_election_of_this_instance():
-    bed = DeskBed(leader='')
+    bed = HandlerBed(leader='')
     bed.take()
     assert not bed.reports
     bed.context.replica.elect('a')
     assert bed.codes == [ACCEPTED]
-    assert not bed.carrier.pending_requests
+    assert not bed.forwarder.pending_requests
 
 
-def test_an_order_whose_leader_lost_its_place_is_carried_to_the_next_one():
-    bed = DeskBed()
+def test_an_order_is_forwarded_to_the_next_leader_after_leadership_loss():
+    bed = HandlerBed()
     bed.context.replica.failing = ResultCode.CHANGE_UNKNOWN
     bed.take()
     assert not bed.reports
     assert isinstance(bed.network.sent[-1][1], OrderRequest)
 
 
-# Guards against 'certainly not' for an order that is in a log.
+# Guards against reporting an order as not executed although it is in a log.
 @pytest.mark.parametrize('seconds', [0.0, 0.8])
-def test_an_order_that_may_be_in_the_log_is_never_said_not_to_be(seconds):
-    bed = DeskBed()
+def test_an_order_that_may_be_in_the_log_is_never_reported_not_executed(
+    seconds,
+):
+    bed = HandlerBed()
     slow = SlowReplica(bed.context)
     slow.hold()
     bed.take()
@@ -182,9 +186,10 @@
     assert bed.codes == [ResultCode.CHANGE_UNKNOWN]
 
 
-# The same for one that was sent to another instance before this one led.
-def test_an_order_that_others_may_have_taken_is_never_said_not_to_be():
-    bed = DeskBed(leader='')
+# The same for an order that was sent to another instance before this one
+# became the leader.
+def test_an_order_sent_to_others_is_never_reported_not_executed():
+    bed = HandlerBed(leader='')
     bed.take()
     bed.context.replica.failing = ResultCode.NOT_LEADER
     bed.context.replica.elect('a')
@@ -195,30 +200,30 @@
     assert bed.codes == [ResultCode.CHANGE_UNKNOWN]
 
 
-# Guards against an operator who hears nothing while a commit hangs.
-def test_an_order_that_is_not_decided_is_answered_within_the_patience():
-    bed = DeskBed()
+# Guards against an operator that gets no answer while a commit hangs.
+def test_an_undecided_order_is_answered_within_the_timeout():
+    bed = HandlerBed()
     SlowReplica(bed.context).hold()
     bed.take()
-    bed.pass_time(PATIENCE_SECONDS + 0.05)
+    bed.pass_time(ORDER_TIMEOUT_SECONDS + 0.05)
     assert bed.codes == [ResultCode.CHANGE_UNKNOWN]
 
 
-# Guards against a connection, and all that it brings, lost for one order.
-# Nor is it carried to one leader after the other.
-def test_an_order_that_cannot_be_read_is_refused_for_good():
-    bed = DeskBed()
+# Guards against closing a connection because of one malformed order, and
+# against forwarding that order to one leader after another.
+def test_a_malformed_order_is_rejected_with_a_final_code():
+    bed = HandlerBed()
     assert bed.ask(BROKEN).code == ResultCode.DOCUMENT_INVALID
     bed.take(BROKEN)
     assert bed.codes == [ResultCode.DOCUMENT_INVALID]
     assert bed.ask().code == ACCEPTED
 
 
-# Guards against callers who stay with an instance that is cut off from all
-# others: they are told of a daemon, which they may reach.
-def test_an_instance_that_finds_no_leader_knows_who_else_takes_orders():
-    bed = DeskBed(leader='')
-    assert bed.desk.elsewhere() is None
+# Guards against callers that stay with a partitioned instance: they are
+# redirected to a daemon, which they may reach.
+def test_an_instance_without_a_leader_offers_an_alternate_address():
+    bed = HandlerBed(leader='')
+    assert bed.handler.alternate_address() is None
     daemon = Address('127.0.0.1', 77)
-    bed.carrier.find_relay = lambda: daemon
-    assert bed.desk.elsewhere() == daemon
+    bed.forwarder.find_relay_daemon = lambda: daemon
+    assert bed.handler.alternate_address() == daemon
--- a/tests/events/test_tasks.py
+++ b/tests/events/test_tasks.py
@@ -1,4 +1,4 @@
-"""Contract of the follower, with a scripted network."""
+"""The configuration follower over a fake network."""
 
 import itertools
 
@@ -6,9 +6,9 @@
 
 from cyclamenlift.core.compression import compress
 from cyclamenlift.core.streams import Address
-from cyclamenlift.events.giving import MOST_OCCUPIED_SECONDS
-from cyclamenlift.events.pulling import MOST_PULL_SECONDS
-from cyclamenlift.events.pulling import PULL_SECONDS
+from cyclamenlift.events.document_answers import MAX_QUEUED_SECONDS
+from cyclamenlift.events.document_pulling import MAX_PULL_SECONDS
+from cyclamenlift.events.document_pulling import PULL_STALL_SECONDS
 from cyclamenlift.events.tasks import FALL_BACK_SECONDS
 from cyclamenlift.events.tasks import HINT_SECONDS
 from cyclamenlift.events.tasks import POLL_SECONDS
@@ -22,7 +22,7 @@
 from tests.events.builders import PEERS
 
 FIRST = Address.parse(PEERS[0])
-# A change must be in force everywhere within it, the users' bound.
+# The bound set by users for a change to be in force everywhere.
 BOUND_SECONDS = 2.0
 
 
@@ -56,7 +56,7 @@
     assert set(asked) == set(CONTROL)
 
 
-def test_a_peer_is_not_believed_to_speak_for_a_majority():
+def test_a_peer_can_not_confirm_for_a_majority():
     bed = FollowerBed()
     bed.follower.start()
     bed.give(FIRST, 9, committed=True)
@@ -78,7 +78,7 @@
     for peer in PEERS:
         bed.follower.note_version(4, peer)
     assert bed.asked() == [FIRST]
-    bed.clock.instant += PULL_SECONDS
+    bed.clock.instant += PULL_STALL_SECONDS
     bed.follower.note_version(4, PEERS[1])
     assert bed.asked() == [Address.parse(PEERS[1])]
     bed.follower.note_version(5, PEERS[2])
@@ -107,7 +107,7 @@
     assert bed.follower.confirmed
 
 
-def test_a_broken_document_is_refused_and_later_ones_are_taken():
+def test_an_invalid_document_is_rejected_and_later_ones_are_adopted():
     bed = running(3)
     bed.give(CONTROL[0], 4, committed=True, data=b'{}')
     assert bed.follower.version == 3
@@ -129,7 +129,7 @@
     assert bed.follower.version == 3
 
 
-def test_a_daemon_gives_peers_what_they_lack():
+def test_a_daemon_sends_peers_newer_documents():
     bed = running(3)
     link = FakeLink()
     for known in (0, 2, 3, 4):
@@ -150,7 +150,7 @@
     assert bed.asked() == []
 
 
-def test_a_starting_daemon_asks_the_leader_that_it_is_told_of_once():
+def test_a_starting_daemon_asks_a_hinted_leader_once():
     bed = FollowerBed()
     bed.follower.start()
     bed.asked()
@@ -166,8 +166,8 @@
     assert stranger not in bed.asked()
 
 
-def test_a_control_instance_that_tells_of_its_start_is_asked_at_once():
-    """Power is back everywhere: the first questions reached nobody."""
+def test_a_newly_started_control_instance_is_asked_at_once():
+    """After a full power failure the first requests reach no instance."""
     bed = FollowerBed()
     bed.follower.start()
     bed.asked()
@@ -179,7 +179,7 @@
     assert bed.asked() == []
 
 
-def test_the_first_questions_are_repeated_soon():
+def test_the_first_requests_are_repeated_soon():
     bed = FollowerBed()
     bed.follower.start()
     bed.asked()
@@ -187,17 +187,17 @@
     assert len(bed.asked()) >= 2 * len(CONTROL)
 
 
-def test_a_pull_that_brings_nothing_goes_to_a_control_instance():
+def test_a_stalled_pull_moves_to_a_control_instance():
     bed = running(3)
     bed.follower.note_version(4, PEERS[0])
     assert bed.asked() == [FIRST]
-    bed.pass_time(PULL_SECONDS + 0.1)
-    pulled_from = bed.follower.puller.under_way.address
+    bed.pass_time(PULL_STALL_SECONDS + 0.1)
+    pulled_from = bed.follower.puller.current.address
     assert pulled_from in CONTROL
     assert pulled_from in bed.asked()
 
 
-def test_a_pull_that_brings_bytes_is_waited_for_but_not_for_ever():
+def test_a_progressing_pull_is_extended_up_to_a_limit():
     bed = running(3)
     came = [0]
     bed.network.bytes_received_from = lambda address: came[0]
@@ -205,17 +205,17 @@
     assert bed.asked() == [FIRST]
     for _ in range(10):
         came[0] += 1000
-        bed.pass_time(MOST_PULL_SECONDS / 10 - 0.01)
-        assert bed.follower.puller.under_way.address == FIRST
+        bed.pass_time(MAX_PULL_SECONDS / 10 - 0.01)
+        assert bed.follower.puller.current.address == FIRST
     came[0] += 1000
-    bed.pass_time(PULL_SECONDS)
-    assert bed.follower.puller.under_way.address in CONTROL
+    bed.pass_time(PULL_STALL_SECONDS)
+    assert bed.follower.puller.current.address in CONTROL
     bed.give(FIRST, 4)
     assert bed.follower.version == 4
 
 
-# Guards against waiting for one that has answered without the version.
-def test_a_pull_that_is_answered_with_nothing_goes_on_at_once():
+# Guards against waiting for a source that has answered without the version.
+def test_an_empty_answer_moves_the_pull_at_once():
     bed = running(3)
     bed.follower.note_version(4, PEERS[0])
     bed.follower.note_version(4, PEERS[1])
@@ -224,8 +224,8 @@
     assert bed.asked() == [Address.parse(PEERS[1])]
 
 
-# Guards against copies of a document that a starting daemon holds already.
-def test_a_document_that_waits_for_others_word_is_not_asked_for_again():
+# Guards against fetching a document that a starting daemon already holds.
+def test_an_unconfirmed_document_is_not_fetched_again():
     bed = FollowerBed()
     bed.follower.start()
     for peer in PEERS[:2]:
@@ -242,9 +242,9 @@
     assert bed.follower.version == 6
 
 
-# Guards against one that named a version being forgotten when the pull from
-# another one has failed with nobody left.
-def test_who_names_a_version_when_nobody_is_left_is_asked_at_once():
+# Guards against ignoring a peer that announces a version after the pull has
+# failed with no source left.
+def test_a_new_announcer_is_asked_at_once_when_no_source_is_left():
     bed = running(3)
     bed.follower.note_version(4, PEERS[0])
     asked = bed.asked()
@@ -266,7 +266,7 @@
         assert lose(bed, FIRST) == [up]
 
 
-# Guards against calls' bytes that pass for a document for longer than a
+# Guards against mistaking the bytes of calls for a document for longer than a
 # change may take.
 def test_a_pull_over_a_connection_with_calls_ends_within_the_bound():
     bed = running(3)
@@ -275,12 +275,12 @@
     bed.follower.note_version(4, PEERS[0])
     bed.follower.note_version(4, PEERS[1])
     bed.asked()
-    bed.pass_time(BOUND_SECONDS - PULL_SECONDS)
+    bed.pass_time(BOUND_SECONDS - PULL_STALL_SECONDS)
     assert Address.parse(PEERS[1]) in bed.asked()
 
 
 def lose(bed, address, was_established=True) -> list:
-    """Lose the connection to ``address``; return who is asked for it."""
+    """Drop the connection to ``address``; return who is asked next."""
     link = FakeLink(address)
     link.was_established = was_established
     for hook in bed.network.lost_hooks:
@@ -289,7 +289,7 @@
 
 
 @pytest.mark.parametrize('was_established', [True, False])
-def test_a_pull_is_asked_of_another_when_its_connection_is_lost(
+def test_a_pull_moves_to_another_source_on_disconnect(
     was_established,
 ):
     bed = running(3)
@@ -299,15 +299,16 @@
     for _ in CONTROL:
         (other,) = lose(bed, asked[-1], was_established)
         asked.append(other)
-    # Each one once, lest it go on for ever; then the watch begins anew.
+    # Each source is asked once, which prevents a loop; then the pull restarts
+    # at its next check.
     assert sorted(asked[1:]) == sorted(CONTROL)
     for address in asked:
         assert lose(bed, address, was_established) == []
-    bed.pass_time(PULL_SECONDS + 0.1)
-    assert bed.follower.puller.under_way.address != asked[-1]
+    bed.pass_time(PULL_STALL_SECONDS + 0.1)
+    assert bed.follower.puller.current.address != asked[-1]
 
 
-def test_who_is_told_that_a_peer_is_busy_asks_control():
+def test_a_busy_peer_is_replaced_by_a_control_instance():
     bed = running(3)
     bed.follower.note_version(4, PEERS[0])
     bed.asked()
@@ -316,9 +317,8 @@
     assert asked in CONTROL
 
 
-# Guards against peers that are all busy with the same version and send
-# whoever asks from one to the other.
-def test_a_busy_peer_is_left_for_control_though_others_named_the_version():
+# Guards against busy peers that redirect requesters to one another.
+def test_a_busy_peer_is_replaced_by_control_despite_other_announcers():
     bed = running(3)
     for peer in PEERS:
         bed.follower.note_version(4, peer)
@@ -328,7 +328,7 @@
     assert asked in CONTROL
 
 
-def test_a_version_that_a_majority_named_is_pulled_from_one():
+def test_a_majority_confirmed_version_is_pulled_from_one_source():
     bed = FollowerBed()
     bed.follower.start()
     assert {m.without_document for _, m in bed.network.sent} == {True}
@@ -343,24 +343,24 @@
     assert (bed.follower.version, bed.follower.confirmed) == (4, True)
 
 
-def test_a_link_that_is_taken_sends_others_elsewhere():
-    """One daemon is asked by all who heard of a version from it first."""
+def test_requests_beyond_the_link_budget_are_answered_busy():
+    """All daemons that learn of a version from one daemon ask that one."""
     bed = running(3)
     link = FakeLink()
     # A document takes longer than others may wait.
-    bed.follower.share.link_rate = 1000.0
+    bed.follower.link_budget.link_rate = 1000.0
     for number in range(3):
         request = DocumentRequest(number, 0, takes_changes=True)
         bed.follower.on_request(link, request)
     assert [bool(a.busy) for a in link.sent] == [False, True, True]
     assert [bool(a.changes) for a in link.sent] == [True, False, False]
     assert {a.version for a in link.sent} == {3}
-    bed.clock.instant += 10 * MOST_OCCUPIED_SECONDS
+    bed.clock.instant += 10 * MAX_QUEUED_SECONDS
     bed.follower.on_request(link, DocumentRequest(4, 0, takes_changes=True))
     assert link.sent[-1].changes
 
 
-def test_a_change_that_does_not_fit_is_asked_for_whole():
+def test_a_change_that_does_not_apply_is_fetched_in_full():
     bed = running(3)
     change = DocumentChange(3, 4, b'no change')
     answer = DocumentAnswer(1, 4, b'', changes=[change])
@@ -372,8 +372,8 @@
     assert bed.follower.version == 4
 
 
-def test_a_document_that_can_not_be_read_is_not_pulled_again_and_again():
-    """One of a later release; the polls look for its successor."""
+def test_an_unreadable_document_is_not_pulled_repeatedly():
+    """It may need a later release; polls look for its successor."""
     bed = running(3)
     bed.follower.note_version(4, PEERS[0])
     bed.asked()
@@ -388,8 +388,8 @@
     assert bed.follower.version == 5
 
 
-# Guards against a daemon that passes for a control instance, as a seed may:
-# its word must not count as that of a majority.
+# Guards against a daemon that is mistaken for a control instance, as a seed
+# may be: its answer must not count as confirmed by a majority.
 def test_a_daemon_never_answers_that_a_version_is_committed():
     bed = FollowerBed()
     bed.follower.start()
@@ -401,14 +401,14 @@
     assert not peer.sent[-1].committed
 
 
-# Guards against reads that are sent on twice: a daemon that carries no order
-# knew no leader, though it is told of it with each poll.
+# Guards against reads that are redirected twice: a daemon that forwarded no
+# order knew no leader, although each poll reports it.
 def test_the_leader_is_learned_from_polls():
     bed = FollowerBed()
-    told = []
-    bed.follower.leader_hooks.append(told.append)
+    reported_leaders = []
+    bed.follower.leader_hooks.append(reported_leaders.append)
     bed.follower.start()
     bed.give(CONTROL[0], 3, committed=True)
     hint = DocumentAnswer(1, 3, leader_address=str(CONTROL[2]))
     bed.network.deliver(CONTROL[1], hint)
-    assert told == [CONTROL[0], CONTROL[2]]
+    assert reported_leaders == [CONTROL[0], CONTROL[2]]
--- a/tests/membership/test_ends.py
+++ b/tests/membership/test_ends.py
@@ -1,4 +1,4 @@
-"""Reports of ends ride on packets, with a digest of what is known."""
+"""Reports of ended targets in packets, with a digest of known ones."""
 
 from cyclamenlift.membership.budget import BURST_BYTES
 from cyclamenlift.membership.packets import MAX_PACKET_BYTES
@@ -32,7 +32,7 @@
 
 def test_a_report_arrives_with_the_digest_of_its_sender():
     sender, receiver = member(), member()
-    sender.packer.ends_digest = 77
+    sender.packet_builder.ends_digest = 77
     data = sender.push_ends(report(), 1, 0.0, own=True)[0].data
     packet = decode_packet(GossipPacket, data)
     packet.sender = 'm1'
@@ -41,7 +41,7 @@
     assert [seen.digest for seen in receiver.digests] == [77]
 
 
-def test_members_that_keep_no_reports_name_no_digest():
+def test_members_that_track_no_reports_send_no_digest():
     sender, receiver = member(), member()
     packet = sender.push_ends(report(), 1, 0.0, own=True)[0].packet
     packet.sender = 'm1'
@@ -49,8 +49,8 @@
     assert receiver.digests == []
 
 
-def test_many_ends_at_once_are_passed_on_within_the_budget_of_bytes():
-    """A hundred targets of a large fleet end together, and come again."""
+def test_many_ends_are_forwarded_within_the_byte_budget():
+    """A hundred targets of a large fleet end together, repeatedly."""
     one = member()
     largest = report(MAX_FINGERPRINTS)
     sent = [
--- a/tests/membership/test_records.py
+++ b/tests/membership/test_records.py
@@ -1,8 +1,8 @@
-"""Which of two records stands, and which may enter the table."""
+"""Precedence and validation of member records."""
 
 import pytest
 
-from cyclamenlift.membership.records import is_sound
+from cyclamenlift.membership.records import is_valid_record
 from cyclamenlift.membership.records import MAX_INCARNATION
 from cyclamenlift.membership.records import supersedes
 from cyclamenlift.wire.gen.protocol.ttypes import MemberState
@@ -15,7 +15,7 @@
 
 
 @pytest.mark.parametrize(
-    'new, known, stands',
+    'new, known, expected',
     [
         ((5, ALIVE), None, True),
         ((5, ALIVE), (5, ALIVE), False),
@@ -33,10 +33,10 @@
         ((4, DEAD), (5, ALIVE), False),
     ],
 )
-def test_incarnation_goes_before_the_rank_of_the_state(new, known, stands):
+def test_incarnation_takes_precedence_over_state(new, known, expected):
     old = known and record(incarnation=known[0], state=known[1])
     fresh = record(incarnation=new[0], state=new[1])
-    assert supersedes(fresh, old) is stands
+    assert supersedes(fresh, old) is expected
 
 
 @pytest.mark.parametrize(
@@ -61,6 +61,6 @@
         ('target_name', None),
     ],
 )
-def test_an_unsound_record_is_told_apart(field, value):
-    assert is_sound(record())
-    assert not is_sound(record(**{field: value}))
+def test_an_invalid_record_is_detected(field, value):
+    assert is_valid_record(record())
+    assert not is_valid_record(record(**{field: value}))
--- a/tests/membership/test_state.py
+++ b/tests/membership/test_state.py
@@ -1,14 +1,14 @@
-"""Decisions of one member, and of a few members in a plain loop."""
+"""The protocol state machine of one member and of simulated clusters."""
 
 import pytest
 
 from bench.gossip_loop import address_of
 from bench.gossip_loop import GossipLoop
 from cyclamenlift.core.streams import Address
-from cyclamenlift.membership.health import HOLD_SHARE
+from cyclamenlift.membership.health import MAX_FAILING_SHARE
+from cyclamenlift.membership.liveness import TOMBSTONE_PERIODS
 from cyclamenlift.membership.packets import MAX_PACKET_BYTES
 from cyclamenlift.membership.records import revise
-from cyclamenlift.membership.verdicts import TOMBSTONE_PERIODS
 from cyclamenlift.wire.gen.protocol.ttypes import GossipKind
 from cyclamenlift.wire.gen.protocol.ttypes import MemberState
 from cyclamenlift.wire.gen.protocol.ttypes import TargetState
@@ -37,7 +37,7 @@
         ({'records': [record('a', incarnation=2**60)]}, 'bad_records'),
     ],
 )
-def test_a_bad_packet_is_counted_and_changes_nothing(fields, counter):
+def test_an_invalid_packet_is_counted_and_ignored(fields, counter):
     one = state(others='b')
     before = one.table.digest
     one.on_packet(packet(**fields), 1.0)
@@ -56,7 +56,7 @@
         ({'state': MemberState.DEAD, 'incarnation': 7}, START_UNIX_MS),
     ],
 )
-def test_a_member_refutes_what_it_hears_of_itself(fields, raised_to):
+def test_a_member_refutes_foreign_records_of_itself(fields, raised_to):
     one = state(others='b')
     heard = revise(one.own, **fields)
     one.on_packet(packet(records=[heard]), 1.0)
@@ -65,7 +65,7 @@
 
 
 @pytest.mark.parametrize(
-    'held, told',
+    'stored, is_sent',
     [
         ({'state': MemberState.SUSPECT}, True),
         ({'state': MemberState.DEAD}, True),
@@ -74,16 +74,20 @@
         ({}, False),
     ],
 )
-def test_an_answer_tells_the_sender_what_is_held_against_it(held, told):
+def test_an_answer_contains_the_record_that_the_sender_must_refute(
+    stored, is_sent
+):
     one = state(others='c')
-    one.store(record('b', **held), 0.0, spread=False)
+    one.store(record('b', **stored), 0.0, spread=False)
     one.budget.spend(10**6)
     (answer,) = one.on_packet(packet('b'), 0.0)
     assert answer.packet.kind == GossipKind.ACK
-    assert answer.packet.records == ([record('b', **held)] if told else [])
+    assert answer.packet.records == (
+        [record('b', **stored)] if is_sent else []
+    )
 
 
-def test_a_new_life_with_an_older_clock_rises_above_the_old_one():
+def test_a_restart_with_an_older_clock_gets_a_higher_incarnation():
     loop = GossipLoop()
     for number in range(4):
         loop.add(number)
@@ -124,7 +128,7 @@
     assert state(others='bc').on_packet(ask, 1.0) == []
 
 
-def test_a_process_that_stood_still_blames_nobody():
+def test_a_stalled_process_suspects_no_member():
     one = state(others='bcde')
     one.store(record('b', state=MemberState.SUSPECT), 0.0)
     one.on_period(1.0)
@@ -145,19 +149,19 @@
 
 
 @pytest.mark.parametrize('accused', ['bcdefg', 'bcdefghij'])
-def test_deaths_beyond_the_share_are_held_as_suspicions(accused):
+def test_deaths_beyond_the_limit_stay_suspicions(accused):
     one = state(others='bcdefghij')
     for name in accused:
         one.on_packet(packet('b', [record(name, state=MemberState.DEAD)]), 1)
     dead = [r for r in one.table.entries.values() if r.expires_at is not None]
-    assert len(dead) == HOLD_SHARE * 10
+    assert len(dead) == MAX_FAILING_SHARE * 10
     for second in range(2, 3 * TOMBSTONE_PERIODS):
         one.prober.waiting.clear()
         one.on_period(float(second))
     assert len(one.members()) == 10 - len(dead)
 
 
-def test_a_forgotten_member_is_still_asked_now_and_then():
+def test_a_forgotten_member_is_still_contacted_occasionally():
     one = state(others='bcdef')
     one.store(record('b', state=MemberState.DEAD), 0.0)
     one.table.remove('b')
@@ -171,7 +175,7 @@
 
 
 @pytest.mark.parametrize('members, minority', [(6, 2), (12, 5), (40, 13)])
-def test_a_cut_ejects_no_majority_and_heals(members, minority):
+def test_a_partition_ejects_no_majority_and_heals(members, minority):
     loop = GossipLoop(seed=members)
     for number in range(members):
         loop.add(number)
@@ -182,12 +186,12 @@
         loop.run_period()
     for one in loop.members.values():
         ejected = members - one.table.live_count()
-        assert ejected <= HOLD_SHARE * members
+        assert ejected <= MAX_FAILING_SHARE * members
     loop.cut(None)
     assert loop.run_until(loop.all_agree, 100) is not None
 
 
-def test_losing_a_tenth_of_all_packets_kills_nobody():
+def test_losing_a_tenth_of_all_packets_causes_no_death():
     loop = GossipLoop(seed=5, loss=0.1)
     for number in range(20):
         loop.add(number)
--- a/tests/quarantine/test_tasks.py
+++ b/tests/quarantine/test_tasks.py
@@ -9,7 +9,7 @@
 import pytest
 from structlog.testing import capture_logs
 
-from cyclamenlift.membership.packets import DigestSeen
+from cyclamenlift.membership.packets import EndsDigest
 from cyclamenlift.quarantine import QuarantineStatus
 from tests.quarantine.builders import Group
 from tests.quarantine.builders import name
@@ -84,7 +84,7 @@
     """All daemons restart while a control instance keeps the reports."""
     group = Group(2, 4)
     first, second = group.members.values()
-    nothing = DigestSeen(0, '127.0.0.1:1', from_control=False)
+    nothing = EndsDigest(0, '127.0.0.1:1', from_control=False)
     second.on_digest(nothing)
     assert not second.is_synced()
     second.on_digest(dataclasses.replace(nothing, from_control=True))
--- a/tests/runtime/test_stopping.py
+++ b/tests/runtime/test_stopping.py
@@ -66,7 +66,7 @@
         self.calls = idle
         self.gate = None
         self.claims = SimpleNamespace(pending_requests=())
-        self.carrier = SimpleNamespace(pending_requests=())
+        self.forwarder = SimpleNamespace(pending_requests=())
         self.settings = SimpleNamespace(
             drain_seconds=GRACE, farewell_seconds=FAREWELL
         )
