--- a/tests/system/builders.py
+++ b/tests/system/builders.py
@@ -1,4 +1,4 @@
-"""A small fleet of real processes for the tests of the whole system."""
+"""Helpers that start a small fleet of real processes for system tests."""
 
 import json
 import socket
@@ -16,7 +16,7 @@
 
 
 def document(**fields) -> dict:
-    """Return a document whose one service is ``prices``."""
+    """Return an event document whose only service is ``prices``."""
     service = {
         'name': SERVICE,
         'deadline_ms': 4000,
@@ -32,7 +32,7 @@
 
 
 def publish(fleet: Fleet, value: dict, base: int, change: str) -> None:
-    """Publish by the command line and wait until it is in force."""
+    """Publish with the command line; wait until every daemon applies it."""
     path = fleet.folder / f'{change}.json'
     path.write_text(json.dumps(value))
     wait_for_controls(fleet)
@@ -50,7 +50,7 @@
 
 
 def wait_for_controls(fleet: Fleet) -> None:
-    """Wait until all control instances answer; else show their logs."""
+    """Wait for all control instances; on a timeout, raise with their logs."""
     try:
         wait_until(
             lambda: all(c.status() for c in fleet.controls),
@@ -58,8 +58,8 @@
             'control instances answer',
         )
     except FleetError as error:
-        silent = [c.running for c in fleet.controls if not c.status()]
-        logs = [f'{r.name}: {r.log.read_text()[-2000:]}' for r in silent]
+        not_ready = [c.running for c in fleet.controls if not c.status()]
+        logs = [f'{r.name}: {r.log.read_text()[-2000:]}' for r in not_ready]
         raise FleetError('\n'.join([str(error), *logs])) from error
 
 
@@ -82,12 +82,12 @@
 
 
 def entry_of(fleet: Fleet):
-    """Return the daemon that has no target."""
+    """Return the entry daemon: started last, without a target."""
     return fleet.daemons[-1]
 
 
 def call(address: str, method='GET', path='/prices', body=b'', key=''):
-    """Send one call; return status, result code and body."""
+    """Send one request; return its status, result code and body."""
     headers = {'Host': SERVICE, 'X-Request-Id': 'r1'}
     if key:
         headers['Idempotency-Key'] = key
@@ -96,7 +96,7 @@
 
 
 def runs_of(fleet: Fleet, key: str) -> int:
-    """Return how often a key ran, counted by the targets."""
+    """Return how often the running targets executed an idempotency key."""
     return sum(
         target.counters()['runs_by_key'].get(key, 0)
         for target in fleet.targets
@@ -104,28 +104,31 @@
     )
 
 
-def in_background(work, *arguments, **fields):
-    """Run ``work`` in a thread; return a function that waits for it."""
-    found = []
+def in_background(function, *arguments, **keywords):
+    """Run ``function`` in a thread; return a callable that awaits the result.
+
+    An ``OSError`` is returned as the result.
+    """
+    results = []
 
     def run() -> None:
         try:
-            found.append(work(*arguments, **fields))
+            results.append(function(*arguments, **keywords))
         except OSError as error:
-            found.append(error)
+            results.append(error)
 
     thread = threading.Thread(target=run, daemon=True)
     thread.start()
 
     def result():
         thread.join(WAIT_SECONDS)
-        return found[0]
+        return results[0]
 
     return result
 
 
 class SlowUpload:
-    """An upload whose second half is sent when the test says so."""
+    """An upload that sends the second half of its body in ``finish``."""
 
     def __init__(self, address: str, body: bytes, key: str):
         host, _, port = address.rpartition(':')
@@ -136,20 +139,20 @@
             f'X-Request-Id: up\r\nIdempotency-Key: {key}\r\n'
             f'Content-Length: {len(body)}\r\n\r\n'
         )
-        self.half = len(body) // 2
-        self.sock.sendall(head.encode() + body[: self.half])
+        self.split_at = len(body) // 2
+        self.sock.sendall(head.encode() + body[: self.split_at])
 
     def finish(self) -> bytes:
-        """Send the rest; return the answer up to the connection's end."""
-        self.sock.sendall(self.body[self.half :])
+        """Send the rest of the body and return the response."""
+        self.sock.sendall(self.body[self.split_at :])
         self.sock.settimeout(WAIT_SECONDS)
         data = b''
         deadline = time.monotonic() + WAIT_SECONDS
         while b'"received_sha256"' not in data:
             assert time.monotonic() < deadline
-            piece = self.sock.recv(65536)
-            if not piece:
+            chunk = self.sock.recv(65536)
+            if not chunk:
                 break
-            data += piece
+            data += chunk
         self.sock.close()
         return data
--- a/tests/system/ending.py
+++ b/tests/system/crashing_targets.py
@@ -1,4 +1,4 @@
-"""Targets that end at certain requests, started again by the test."""
+"""Targets that crash on certain requests, and steady-rate callers."""
 
 import http.client
 import json
@@ -12,14 +12,14 @@
 from tests.system.builders import FAST_GOSSIP
 from tests.system.builders import SERVICE
 
-END_PATH = '/end'
+CRASH_PATH = '/end'
 DOWN_SECONDS = 2.0
-LOOK_SECONDS = 0.02
+POLL_SECONDS = 0.02
 NOT_ANSWERED = 0
 
 
-class EndingTargets:
-    """Targets with their daemons; one that ended is back after a while."""
+class CrashingTargets:
+    """Targets with their daemons; restarts a crashed target after a delay."""
 
     def __init__(self, fleet: Fleet, count: int):
         self.fleet = fleet
@@ -36,7 +36,7 @@
             4,
             service_ms=20,
             seed=number + 1,
-            end_path=END_PATH,
+            end_path=CRASH_PATH,
             **options,
         )
         self.fleet.start_daemon(
@@ -48,21 +48,21 @@
         )
         return target
 
-    def watch(self) -> None:
-        """Start again what ended, until ``stop``."""
-        threading.Thread(target=self.look_on, daemon=True).start()
+    def supervise(self) -> None:
+        """Restart crashed targets in the background until ``stop``."""
+        threading.Thread(target=self.run_supervisor, daemon=True).start()
 
-    def look_on(self) -> None:
-        while not self.stopped.wait(LOOK_SECONDS):
+    def run_supervisor(self) -> None:
+        while not self.stopped.wait(POLL_SECONDS):
             for number, target in enumerate(self.handles):
-                self.look_at(number, target)
+                self.restart_when_due(number, target)
 
-    def look_at(self, number: int, target: TargetHandle) -> None:
+    def restart_when_due(self, number: int, target: TargetHandle) -> None:
         if target.running.alive():
             return
         now = time.monotonic()
-        due = self.down_until.setdefault(number, now + DOWN_SECONDS)
-        if now >= due and not self.stopped.is_set():
+        restart_at = self.down_until.setdefault(number, now + DOWN_SECONDS)
+        if now >= restart_at and not self.stopped.is_set():
             del self.down_until[number]
             arguments = target.running.process.args[2:]
             target.running = self.fleet.start(target.running.name, arguments)
@@ -70,8 +70,8 @@
     def stop(self) -> None:
         self.stopped.set()
 
-    def ends(self) -> list[float]:
-        """Return when a request ended a target, oldest first."""
+    def crash_times(self) -> list[float]:
+        """Return the times at which a request crashed a target, in order."""
         found = []
         for target in self.handles:
             for line in target.running.log.read_text().splitlines():
@@ -81,21 +81,21 @@
 
 
 class Callers:
-    """Sends calls at a steady pace, each in a thread of its own.
+    """Sends calls at a fixed interval, each in a thread of its own.
 
-    ``results`` holds when each was sent and its status, ``NOT_ANSWERED``
-    for a broken connection.
+    ``results`` holds the send time, status and result code of each call;
+    both are ``NOT_ANSWERED`` if the connection broke.
     """
 
-    def __init__(self, entries: list[str], path: str, gap_seconds: float):
+    def __init__(self, entries: list[str], path: str, interval_seconds: float):
         self.entries = entries
         self.path = path
-        self.gap_seconds = gap_seconds
+        self.interval_seconds = interval_seconds
         self.results: list[tuple[float, int, int]] = []
         self.threads: list[threading.Thread] = []
 
     def run(self, seconds: float) -> None:
-        """Send calls for ``seconds``, through one entry after the other."""
+        """Send calls for ``seconds``, through the entries in turn."""
         until = time.monotonic() + seconds
         number = 0
         while time.monotonic() < until:
@@ -106,7 +106,7 @@
             thread.start()
             self.threads.append(thread)
             number += 1
-            time.sleep(self.gap_seconds)
+            time.sleep(self.interval_seconds)
 
     def send(self, entry: str, number: int) -> None:
         sent_at = time.monotonic()
@@ -116,7 +116,7 @@
             status, code = NOT_ANSWERED, NOT_ANSWERED
         self.results.append((sent_at, status, code))
 
-    def begin(self, seconds: float) -> threading.Thread:
+    def start_in_thread(self, seconds: float) -> threading.Thread:
         thread = threading.Thread(target=self.run, args=(seconds,))
         thread.start()
         return thread
@@ -125,7 +125,7 @@
         for thread in self.threads:
             thread.join(10.0)
 
-    def served_since(self, begun_at: float) -> float:
-        """Return the share of the calls sent since then that succeeded."""
-        statuses = [s for at, s, _ in self.results if at >= begun_at]
+    def success_share_since(self, start_time: float) -> float:
+        """Return the share of successes among calls sent since a time."""
+        statuses = [s for at, s, _ in self.results if at >= start_time]
         return statuses.count(200) / len(statuses)
--- a/tests/system/partitions.py
+++ b/tests/system/partitions.py
@@ -1,4 +1,4 @@
-"""Builders and observers for the tests of silent cuts."""
+"""Fleets, monitors and checks for the network partition tests."""
 
 import contextlib
 import itertools
@@ -20,14 +20,14 @@
 from tests.system.builders import runs_of
 from tests.system.builders import WAIT_SECONDS
 
-ANSWERS = (ResultCode.ANSWERED, ResultCode.ANSWERED_FROM_RECORD)
-ENDS = {*ANSWERS, ResultCode.CLAIM_UNKNOWN}
-PAUSE_SECONDS = 0.1
+ANSWERED_CODES = (ResultCode.ANSWERED, ResultCode.ANSWERED_FROM_RECORD)
+FINAL_CODES = {*ANSWERED_CODES, ResultCode.CLAIM_UNKNOWN}
+POLL_SECONDS = 0.1
 
 
 @contextlib.contextmanager
 def relayed_fleet():
-    """Give a fleet whose processes reach each other through relays."""
+    """Yield a fleet whose processes connect to each other through relays."""
     paths = RelayPaths(own_host())
     with tempfile.TemporaryDirectory(prefix='cyclamenlift-') as name:
         fleet = Fleet(pathlib.Path(name), paths=paths)
@@ -38,8 +38,8 @@
             paths.close()
 
 
-def find_leader(fleet: Fleet, among: set[str] | None = None):
-    """Wait until a majority of ``among`` names one of it as leader."""
+def wait_for_leader(fleet: Fleet, among: set[str] | None = None):
+    """Wait until two or more instances of ``among`` agree on its leader."""
     names = among or {c.name for c in fleet.controls}
 
     def agreed():
@@ -54,12 +54,12 @@
     return next(c for c in fleet.controls if c.name == name)
 
 
-def others_of(fleet: Fleet, leader) -> set[str]:
+def other_controls(fleet: Fleet, leader) -> set[str]:
     return {c.name for c in fleet.controls} - {leader.name}
 
 
-def offer(control, value: dict, base: int, change: str) -> int:
-    """Publish at one console alone; return the code, 0 for no answer."""
+def publish_once(control, value: dict, base: int, change: str) -> int:
+    """Publish through one console; return the result code, 0 if none came."""
     body = {
         'change_id': change,
         'base_version': base,
@@ -70,151 +70,152 @@
     return answer['code'] if answer else 0
 
 
-def offer_until_accepted(fleet, names, value, base, change) -> None:
-    """Offer a change to each of ``names`` until one has taken it."""
+def publish_until_accepted(fleet, names, value, base, change) -> None:
+    """Publish through each of ``names`` until one accepts the change."""
     consoles = [c for c in fleet.controls if c.name in names]
 
-    def taken() -> bool:
-        codes = [offer(c, value, base, change) for c in consoles]
+    def accepted() -> bool:
+        codes = [publish_once(c, value, base, change) for c in consoles]
         return ResultCode.CHANGE_ACCEPTED in codes
 
-    wait_until(taken, WAIT_SECONDS, f'{change} is accepted')
+    wait_until(accepted, WAIT_SECONDS, f'{change} is accepted')
 
 
-def shown(control) -> dict | None:
+def read_document(control) -> dict | None:
     return ask_json(control.admin, '/api/document')
 
 
-class VersionWatch:
-    """Polls daemons' versions and confirmed reads of control instances."""
+class VersionMonitor:
+    """Polls versions of daemons and confirmed reads of control instances."""
 
     def __init__(self, fleet: Fleet):
         self.fleet = fleet
         self.versions: dict[str, list[int]] = {}
         self.confirmed: list[tuple[int, str]] = []
-        self.ended = threading.Event()
+        self.stopping = threading.Event()
         self.thread = threading.Thread(target=self.run)
         self.thread.start()
 
     def run(self) -> None:
-        while not self.ended.wait(PAUSE_SECONDS):
+        while not self.stopping.wait(POLL_SECONDS):
             for daemon in self.fleet.daemons:
-                self.note(daemon)
+                self.record_version(daemon)
             for control in self.fleet.controls:
-                self.note_read(control)
+                self.record_read(control)
 
-    def note(self, daemon) -> None:
+    def record_version(self, daemon) -> None:
         status = daemon.status()
         if status is not None:
             seen = self.versions.setdefault(daemon.running.name, [])
             seen.append(status['version'])
 
-    def note_read(self, control) -> None:
-        answer = shown(control)
+    def record_read(self, control) -> None:
+        answer = read_document(control)
         if answer and answer['confirmed']:
             self.confirmed.append((answer['current_version'], control.name))
 
     def stop(self) -> None:
-        """End the polls; no version may have fallen meanwhile."""
-        self.ended.set()
+        """Stop polling and check that no version went backwards."""
+        self.stopping.set()
         self.thread.join(WAIT_SECONDS)
         for name, seen in self.versions.items():
             assert seen == sorted(seen), name
-        # The reads are made one after the other, each confirmed after it
-        # was asked, so a lower one after a higher one is a stale read.
+        # Reads are sequential and each is confirmed after its request, so a
+        # lower version after a higher one is a stale read.
         numbers = [version for version, _ in self.confirmed]
         assert numbers == sorted(numbers), self.confirmed
 
 
 @contextlib.contextmanager
-def watched_versions(fleet: Fleet):
-    watch = VersionWatch(fleet)
+def monitored_versions(fleet: Fleet):
+    monitor = VersionMonitor(fleet)
     try:
-        yield watch
+        yield monitor
     finally:
-        watch.stop()
+        monitor.stop()
 
 
 def is_answered(codes: list[int]) -> bool:
-    return any(code in ANSWERS for code in codes)
+    return any(code in ANSWERED_CODES for code in codes)
 
 
-class Booker:
-    """Books keys one after the other and sends each until it is answered.
+class BookingClient:
+    """Books keys in sequence, retrying each until its outcome is final.
 
-    Each key is sent through two entries at once, so that every attempt meets
-    the claim of another daemon. ``faults`` lists what must never happen.
+    Each key is sent through two entries at once, so that every attempt
+    competes with the claim of another daemon. ``violations`` lists broken
+    guarantees.
     """
 
     def __init__(self, fleet: Fleet, name: str):
         self.fleet = fleet
         self.name = name
         self.entries = itertools.cycle([d.entry for d in fleet.daemons])
-        self.ended = threading.Event()
+        self.stopping = threading.Event()
         self.codes: dict[str, list[int]] = {}
-        self.faults: list[str] = []
+        self.violations: list[str] = []
         self.thread = threading.Thread(target=self.run)
         self.thread.start()
 
     def run(self) -> None:
         for number in itertools.count():
-            if self.ended.is_set():
+            if self.stopping.is_set():
                 return
             self.book(f'{self.name}-{number}')
 
     def book(self, key: str) -> None:
-        """Send one key through two entries at a time until it is answered."""
+        """Send one key through pairs of entries until an outcome is final."""
         codes = self.codes.setdefault(key, [])
         deadline = time.monotonic() + WAIT_SECONDS
         while time.monotonic() < deadline:
             for found in self.send_twice(key):
                 if isinstance(found, OSError):
-                    self.faults.append(f'{key}: {found!r} after {codes}')
+                    self.violations.append(f'{key}: {found!r} after {codes}')
                     return
                 codes.append(found[1])
-            if ENDS.intersection(codes):
+            if FINAL_CODES.intersection(codes):
                 return
-            # A key whose outcomes are all "not run" has no run.
+            # If every outcome is "not run", no target may have run the key.
             if all(is_not_run(c) for c in codes) and runs_of(self.fleet, key):
-                self.faults.append(f'{key}: ran, but {codes}')
-            time.sleep(PAUSE_SECONDS)
-        self.faults.append(f'{key}: no end of {codes}')
+                self.violations.append(f'{key}: ran, but {codes}')
+            time.sleep(POLL_SECONDS)
+        self.violations.append(f'{key}: no final outcome in {codes}')
 
     def send_twice(self, key: str) -> list:
-        """Return both answers, or the errors instead."""
-        waits = [
+        """Return the result of each of two concurrent calls, or its error."""
+        pending = [
             in_background(
                 call, next(self.entries), 'POST', '/bookings', b'{}', key
             )
             for _ in range(2)
         ]
-        return [wait() for wait in waits]
+        return [result() for result in pending]
 
     def answered(self) -> int:
-        """Return how many keys have an answer."""
+        """Return how many keys have been answered."""
         found = list(self.codes.values())
         return sum(1 for codes in found if is_answered(codes))
 
     def stop(self) -> None:
-        self.ended.set()
+        self.stopping.set()
         self.thread.join(2 * WAIT_SECONDS)
 
 
-def wait_for_bookings(bookers: list[Booker], count: int) -> None:
-    """Wait until ``count`` more keys are answered."""
-    wanted = sum(b.answered() for b in bookers) + count
+def wait_for_bookings(clients: list[BookingClient], count: int) -> None:
+    """Wait until ``count`` more keys have been answered."""
+    goal = sum(b.answered() for b in clients) + count
     wait_until(
-        lambda: sum(b.answered() for b in bookers) >= wanted,
+        lambda: sum(b.answered() for b in clients) >= goal,
         WAIT_SECONDS,
         f'{count} more bookings',
     )
 
 
-def judge(fleet: Fleet, codes: dict[str, list[int]]) -> list[str]:
-    """Return the keys whose runs do not fit their codes."""
-    faults = []
+def find_violations(fleet: Fleet, codes: dict[str, list[int]]) -> list[str]:
+    """Return the keys whose run counts contradict their result codes."""
+    violations = []
     for key, seen in codes.items():
         runs = runs_of(fleet, key)
         if runs > 1 or (is_answered(seen) and runs != 1):
-            faults.append(f'{key}: {runs} runs, {seen}')
-    return faults
+            violations.append(f'{key}: {runs} runs, {seen}')
+    return violations
--- a/tests/system/test_admin.py
+++ b/tests/system/test_admin.py
@@ -1,4 +1,4 @@
-"""What operators see of a running daemon."""
+"""Admin pages of a running daemon."""
 
 from cyclamenlift.standins.fleet import ask
 from cyclamenlift.standins.fleet import temporary_fleet
@@ -9,9 +9,9 @@
 from tests.system.builders import publish
 
 
-def sample(text: str, start: str) -> float:
-    """Return the value of the first metric whose line begins so."""
-    lines = [line for line in text.splitlines() if line.startswith(start)]
+def sample(text: str, prefix: str) -> float:
+    """Return the value of the first metric line with this prefix."""
+    lines = [line for line in text.splitlines() if line.startswith(prefix)]
     return float(lines[0].rpartition(' ')[2])
 
 
--- a/tests/system/test_configuration.py
+++ b/tests/system/test_configuration.py
@@ -1,4 +1,4 @@
-"""Daemons that were frozen or away while the configuration changed."""
+"""Daemons that were frozen or down while the configuration changed."""
 
 import json
 import signal
@@ -24,17 +24,17 @@
         yield made
 
 
-def change_many(fleet, first: int, count: int) -> None:
-    """Publish changes one after the other at whoever leads."""
+def publish_many(fleet, first: int, count: int) -> None:
+    """Publish changes in sequence through the current leader."""
     for base in range(first, first + count):
-        order = {
+        change = {
             'change_id': f'many-{base}',
             'base_version': base,
             'document': json.dumps(document(deadline_ms=1000 + base)),
         }
         wait_until(
-            lambda order=order: any(
-                (ask_json(c.admin, '/api/publish', 'POST', order) or {}).get(
+            lambda change=change: any(
+                (ask_json(c.admin, '/api/publish', 'POST', change) or {}).get(
                     'code'
                 )
                 == ACCEPTED
@@ -50,14 +50,12 @@
     [(signal.SIGSTOP, 5), (signal.SIGKILL, CHANGES)],
     ids=['frozen', 'killed and started after 200 changes'],
 )
-def test_daemon_that_missed_changes_comes_back_to_the_newest(
-    fleet, number, changes
-):
+def test_daemon_that_missed_changes_catches_up(fleet, number, changes):
     make_fleet(fleet, 2)
     publish(fleet, document(), 0, 'c1')
     victim = fleet.daemons[0]
     victim.running.send_signal(number)
-    change_many(fleet, 1, changes)
+    publish_many(fleet, 1, changes)
     if number == signal.SIGKILL:
         victim.running.process.wait(WAIT_SECONDS)
         fleet.restart(victim)
--- a/tests/system/test_failures.py
+++ b/tests/system/test_failures.py
@@ -1,6 +1,6 @@
-"""The brief's promises with real processes that fail.
+"""Guarantees of the load balancer while real processes fail.
 
-Every count is made by the stand-in targets or the caller.
+All counts come from the stand-in targets or the caller.
 """
 
 import hashlib
@@ -24,7 +24,7 @@
 from tests.system.builders import WAIT_SECONDS
 
 BODY = bytes(range(256)) * 8192
-SHA = hashlib.sha256(BODY).hexdigest().encode()
+BODY_SHA256 = hashlib.sha256(BODY).hexdigest().encode()
 
 
 @pytest.fixture
@@ -33,8 +33,8 @@
         yield made
 
 
-def test_graceful_stops_cut_off_no_upload(fleet):
-    """An entry and a gate are stopped while uploads pass through them."""
+def test_graceful_shutdown_completes_uploads(fleet):
+    """An entry and a gate shut down while an upload passes through them."""
     make_fleet(fleet, 2, path_ms='/uploads=1500')
     publish(fleet, document(), 0, 'c1')
     entry = entry_of(fleet)
@@ -46,22 +46,22 @@
     )
     entry.running.send_signal(signal.SIGTERM)
     time.sleep(0.3)
-    waiting = in_background(upload.finish)
-    busy = wait_until(
+    response = in_background(upload.finish)
+    running_upload = wait_until(
         lambda: [d for d in fleet.daemons[:2] if d.status()['in_flight'] > 0],
         WAIT_SECONDS,
         'a target runs the upload',
     )
-    busy[0].running.send_signal(signal.SIGTERM)
-    answer = waiting()
+    running_upload[0].running.send_signal(signal.SIGTERM)
+    answer = response()
     assert answer.startswith(b'HTTP/1.1 200')
-    assert SHA in answer
+    assert BODY_SHA256 in answer
     assert entry.running.process.wait(WAIT_SECONDS) == 0
-    assert busy[0].running.process.wait(WAIT_SECONDS) == 0
+    assert running_upload[0].running.process.wait(WAIT_SECONDS) == 0
     assert runs_of(fleet, 'up-1') == 1
 
 
-def test_drained_target_gets_no_new_work_within_seconds(fleet):
+def test_drained_target_receives_no_new_calls(fleet):
     make_fleet(fleet, 2)
     publish(fleet, document(), 0, 'c1')
     entry, leaving = entry_of(fleet), fleet.daemons[0]
@@ -75,7 +75,7 @@
     assert leaving.status()['state'] == 'draining'
 
 
-def test_booking_survives_the_kill_of_its_entry_and_runs_once(fleet):
+def test_booking_runs_once_when_its_entry_is_killed(fleet):
     make_fleet(fleet, 2, path_ms='/bookings=800')
     publish(fleet, document(), 0, 'c1')
     entry, other = entry_of(fleet), fleet.daemons[0]
@@ -130,11 +130,11 @@
     def booked():
         return call(entry, 'POST', '/bookings', b'{}', 'k2')[0] == 200
 
-    wait_until(booked, WAIT_SECONDS, 'a majority grants again')
+    wait_until(booked, WAIT_SECONDS, 'a majority grants claims again')
     assert runs_of(fleet, 'k2') == 1
 
 
-def test_restarted_daemon_comes_back_to_the_current_version(fleet):
+def test_restarted_daemon_applies_the_current_version(fleet):
     make_fleet(fleet, 2)
     publish(fleet, document(), 0, 'c1')
     victim = fleet.daemons[0]
@@ -148,7 +148,7 @@
     assert call(victim.entry)[0] == 200
 
 
-def test_killed_target_costs_no_look_up(fleet):
+def test_killed_target_fails_no_look_up(fleet):
     make_fleet(fleet, 3)
     publish(fleet, document(), 0, 'c1')
     entry = entry_of(fleet).entry
@@ -162,8 +162,8 @@
     assert set(codes) == {200}
 
 
-def test_measuring_stays_within_its_budget_during_a_burst(fleet):
-    """Each target's own count, while every entry sends at once."""
+def test_probes_stay_within_their_budget_during_a_burst(fleet):
+    """The counts come from gates and targets; all entries send at once."""
     budget = 4.0
     make_fleet(fleet, 3)
     publish(fleet, document(probe_budget_per_second=budget), 0, 'c1')
@@ -171,14 +171,14 @@
     began = time.monotonic()
     before = [d.status()['probes_answered'] for d in gates]
     asked = [t.counters()['health_requests'] for t in fleet.targets]
-    waits = [
+    pending = [
         in_background(
             lambda entry=d.entry: [call(entry)[0] for _ in range(150)]
         )
         for d in fleet.daemons
     ]
-    assert all(set(wait()) == {200} for wait in waits)
-    # A gate counts health requests in ``probes_answered`` too.
+    assert all(set(statuses()) == {200} for statuses in pending)
+    # ``probes_answered`` of a gate includes its health requests.
     after = [d.status()['probes_answered'] for d in gates]
     health = [t.counters()['health_requests'] for t in fleet.targets]
     allowed = budget * (time.monotonic() - began + 1.0)
@@ -189,8 +189,8 @@
 
 
 @pytest.mark.parametrize('victim', ['daemon', 'target'])
-def test_frozen_process_costs_no_look_up(fleet, victim):
-    """A process that hangs keeps its connections; only time tells."""
+def test_frozen_process_fails_no_look_up(fleet, victim):
+    """A frozen process keeps its connections; only timeouts reveal it."""
     make_fleet(fleet, 3)
     publish(fleet, document(), 0, 'c1')
     entry = entry_of(fleet).entry
--- a/tests/system/test_partitions.py
+++ b/tests/system/test_partitions.py
@@ -1,7 +1,7 @@
-"""The brief's promises while paths between real processes are cut silently.
+"""Guarantees of the load balancer during silent network partitions.
 
-A cut path keeps its connections open and passes nothing, so that only time
-tells the processes. Every run is counted by the stand-in targets.
+A cut path keeps its connections open but passes no data, so processes can
+detect it by timeouts only. The stand-in targets count every run.
 """
 
 import pytest
@@ -20,20 +20,21 @@
 from tests.system.builders import publish
 from tests.system.builders import runs_of
 from tests.system.builders import WAIT_SECONDS
-from tests.system.partitions import Booker
-from tests.system.partitions import find_leader
-from tests.system.partitions import judge
-from tests.system.partitions import offer
-from tests.system.partitions import offer_until_accepted
-from tests.system.partitions import others_of
+from tests.system.partitions import BookingClient
+from tests.system.partitions import find_violations
+from tests.system.partitions import monitored_versions
+from tests.system.partitions import other_controls
+from tests.system.partitions import publish_once
+from tests.system.partitions import publish_until_accepted
+from tests.system.partitions import read_document
 from tests.system.partitions import relayed_fleet
-from tests.system.partitions import shown
 from tests.system.partitions import wait_for_bookings
-from tests.system.partitions import watched_versions
+from tests.system.partitions import wait_for_leader
 
-# The smallest frame that starts a look-up is larger than this.
+# Smaller than any frame that starts a look-up.
 ONE_CALL_BYTES = 150
-# The poller looks about ten times a second; the follower waits for 3 s.
+# At about ten polls a second this exceeds the 3 s after which a daemon
+# without confirmation falls back to the documents of several peers.
 FALL_BACK_POLLS = 40
 
 
@@ -43,44 +44,47 @@
         yield made
 
 
-def test_cut_off_leader_takes_nothing_and_confirms_nothing(fleet):
+def test_partitioned_leader_accepts_and_confirms_nothing(fleet):
     make_fleet(fleet, 2)
     publish(fleet, document(), 0, 'c1')
-    old = find_leader(fleet)
-    rest = others_of(fleet, old)
+    old = wait_for_leader(fleet)
+    rest = other_controls(fleet, old)
     entry = entry_of(fleet)
-    with watched_versions(fleet):
-        # The entry reaches the old leader alone, the others reach all.
+    with monitored_versions(fleet):
+        # The entry reaches only the old leader; other daemons reach all.
         fleet.paths.separate('entry', others=rest)
         fleet.paths.separate(old.name, others=rest)
-        # These meet a leader that does not yet know that it is cut off.
-        waits = [in_background(shown, old) for _ in range(3)]
+        # These reach the leader before it detects the partition.
+        pending = [in_background(read_document, old) for _ in range(3)]
         booking = in_background(
             call, entry.entry, 'POST', '/bookings', b'{}', 'k1'
         )
         refusals = (ResultCode.NOT_LEADER, ResultCode.CHANGE_UNKNOWN)
-        lost = document(deadline_ms=1111)
-        assert offer(old, lost, 1, 'lost') in refusals
-        assert [wait()['confirmed'] for wait in waits] == [False] * 3
+        rejected = document(deadline_ms=1111)
+        assert publish_once(old, rejected, 1, 'lost') in refusals
+        assert [result()['confirmed'] for result in pending] == [False] * 3
         assert booking()[:2] == (503, ResultCode.NO_MAJORITY)
         assert runs_of(fleet, 'k1') == 0
         page = fleet.command('event', 'show', f'--console={old.admin}')
         assert page.stdout.startswith('# version 1, not confirmed')
-        find_leader(fleet, rest)
-        kept = document(deadline_ms=2222)
-        offer_until_accepted(fleet, rest, kept, 1, 'c2')
-        assert offer(old, lost, 1, 'lost') in refusals
-        seen = shown(old)
+        wait_for_leader(fleet, rest)
+        accepted = document(deadline_ms=2222)
+        publish_until_accepted(fleet, rest, accepted, 1, 'c2')
+        assert publish_once(old, rejected, 1, 'lost') in refusals
+        seen = read_document(old)
         assert (seen['current_version'], seen['confirmed']) == (1, False)
         fleet.paths.heal()
         wait_until(
-            lambda: shown(old)['current_version'] == 2,
+            lambda: read_document(old)['current_version'] == 2,
             WAIT_SECONDS,
             'the old leader has the new version',
         )
-        assert '2222' in shown(old)['document']
-        leader = find_leader(fleet)
-        assert offer(leader, lost, 1, 'lost') == ResultCode.VERSION_CONFLICT
+        assert '2222' in read_document(old)['document']
+        leader = wait_for_leader(fleet)
+        assert (
+            publish_once(leader, rejected, 1, 'lost')
+            == ResultCode.VERSION_CONFLICT
+        )
         fleet.wait_in_force(2, len(fleet.daemons))
     code = call(entry.entry, 'POST', '/bookings', b'{}', 'k1')[1]
     assert code == ResultCode.ANSWERED
@@ -88,7 +92,7 @@
 
 
 @pytest.mark.parametrize('directions', [tuple(Direction), (Direction.BACK,)])
-def test_silently_cut_gate_costs_no_look_up_and_runs_nothing_twice(
+def test_partitioned_gate_fails_no_look_up_and_runs_nothing_twice(
     fleet, directions
 ):
     make_fleet(fleet, 3, path_ms='/bookings=1500')
@@ -112,12 +116,12 @@
     assert runs_of(fleet, 'k1') == 1
     lane = fleet.paths.streams[ANYBODY, name].lanes[Direction.THERE]
 
-    def shunned() -> bool:
+    def receives_no_calls() -> bool:
         before = lane.received_bytes
         assert {call(entry)[0] for _ in range(20)} == {200}
         return lane.received_bytes - before < ONE_CALL_BYTES
 
-    wait_until(shunned, WAIT_SECONDS, 'the target is shunned')
+    wait_until(receives_no_calls, WAIT_SECONDS, 'the target receives no calls')
     fleet.paths.heal()
     before = victim.counters()['runs']
     wait_until(
@@ -130,68 +134,70 @@
     assert runs_of(fleet, 'k1') == 1
 
 
-def test_bookings_run_at_most_once_while_leaders_are_cut_off(fleet):
+def test_bookings_run_at_most_once_while_leaders_are_partitioned(fleet):
     make_fleet(fleet, 2)
     publish(fleet, document(), 0, 'c1')
-    bookers = [Booker(fleet, f'b{n}') for n in range(3)]
+    clients = [BookingClient(fleet, f'b{n}') for n in range(3)]
     try:
-        for turn in range(4):
-            old = find_leader(fleet)
-            rest = others_of(fleet, old)
-            # In every other turn the daemons reach the old leader still.
-            fleet.paths.separate(old.name, others=rest if turn % 2 else None)
-            find_leader(fleet, rest)
-            wait_for_bookings(bookers, 5)
+        for round_number in range(4):
+            old = wait_for_leader(fleet)
+            rest = other_controls(fleet, old)
+            # In odd rounds the daemons can still reach the old leader.
+            fleet.paths.separate(
+                old.name, others=rest if round_number % 2 else None
+            )
+            wait_for_leader(fleet, rest)
+            wait_for_bookings(clients, 5)
             fleet.paths.heal()
             wait_until(
                 lambda old=old: old.status()['replica']['leader'] != old.name,
                 WAIT_SECONDS,
                 'the old leader has stepped down',
             )
-            wait_for_bookings(bookers, 5)
+            wait_for_bookings(clients, 5)
     finally:
-        for booker in bookers:
-            booker.stop()
-    codes = {k: v for booker in bookers for k, v in booker.codes.items()}
-    assert [f for booker in bookers for f in booker.faults] == []
-    assert judge(fleet, codes) == []
+        for client in clients:
+            client.stop()
+    codes = {k: v for client in clients for k, v in client.codes.items()}
+    assert [f for client in clients for f in client.violations] == []
+    assert find_violations(fleet, codes) == []
     assert sum(len(seen) for seen in codes.values()) > len(codes) >= 30
 
 
-def test_daemon_that_reaches_only_a_cut_off_leader_trusts_it_no_further(
+def test_daemon_that_reaches_only_a_partitioned_leader_applies_nothing(
     fleet,
 ):
     make_fleet(fleet, 2)
     publish(fleet, document(), 0, 'c1')
-    old = find_leader(fleet)
-    rest = others_of(fleet, old)
+    old = wait_for_leader(fleet)
+    rest = other_controls(fleet, old)
     entry = entry_of(fleet)
-    with watched_versions(fleet) as watch:
+    with monitored_versions(fleet) as monitor:
         alone = fleet.paths.separate('late')
         late = fleet.start_daemon('late', 'dc-0', gossip_seconds=FAST_GOSSIP)
-        wait_until(late.status, WAIT_SECONDS, 'the late daemon runs')
+        wait_until(late.status, WAIT_SECONDS, 'the late daemon answers')
         fleet.paths.separate(old.name, 'entry', 'late')
-        # Two sources that agree would be believed, without confirmation.
+        # Without this, two agreeing sources would be accepted unconfirmed.
         fleet.paths.separate('late', others={'entry'})
-        # What waited meets a leader that does not know that it is cut off.
+        # Delayed requests reach the leader before it detects the partition.
         old_lane = fleet.paths.streams['late', old.name].lanes[Direction.BACK]
         fleet.paths.heal(alone)
-        find_leader(fleet, rest)
-        kept = document(deadline_ms=2222)
-        offer_until_accepted(fleet, rest, kept, 1, 'c2')
+        wait_for_leader(fleet, rest)
+        accepted = document(deadline_ms=2222)
+        publish_until_accepted(fleet, rest, accepted, 1, 'c2')
         wait_until(
             lambda: all(d.status()['version'] == 2 for d in fleet.daemons[:2]),
             WAIT_SECONDS,
             'the other side has the new version',
         )
-        # Long enough to fall back on the word of several, if it had them.
+        # Long enough to fall back to several agreeing peers, if there were.
         wait_until(
             lambda: (
-                len(watch.versions.get('late', ())) >= FALL_BACK_POLLS
+                len(monitor.versions.get('late', ())) >= FALL_BACK_POLLS
                 and old_lane.received_bytes > 0
             ),
             WAIT_SECONDS,
-            'the late daemon has heard the old leader',
+            'the late daemon has received data from the old leader',
         )
         assert late.status()['confirmed'] is False
         assert late.status()['version'] == 0
@@ -213,46 +219,46 @@
     assert runs_of(fleet, 'k0') == 1
 
 
-def test_daemon_cut_off_from_all_serves_look_ups_by_its_own_target(fleet):
+def test_isolated_daemon_serves_look_ups_from_its_own_target(fleet):
     make_fleet(fleet, 4)
     publish(fleet, document(), 0, 'c1')
-    lone = fleet.daemons[0]
-    assert {call(lone.entry)[0] for _ in range(20)} == {200}
+    isolated = fleet.daemons[0]
+    assert {call(isolated.entry)[0] for _ in range(20)} == {200}
     names = {d.running.name for d in fleet.daemons}
     names.update(c.name for c in fleet.controls)
-    # A path between daemons serves all, so every daemon is cut off alone.
+    # Daemons share the path to a daemon, so each is isolated separately.
     for name in names:
         fleet.paths.separate(name)
     before = fleet.targets[0].counters()['runs']
-    found = [call(lone.entry)[:2] for _ in range(100)]
-    log = lone.running.log.read_text()
+    found = [call(isolated.entry)[:2] for _ in range(100)]
+    log = isolated.running.log.read_text()
     assert set(found) == {(200, ResultCode.ANSWERED)}, log
     assert fleet.targets[0].counters()['runs'] >= before + len(found)
-    code = call(lone.entry, 'POST', '/bookings', b'{}', 'k1')[1]
+    code = call(isolated.entry, 'POST', '/bookings', b'{}', 'k1')[1]
     assert code == ResultCode.NO_MAJORITY
     assert runs_of(fleet, 'k1') == 0
     fleet.paths.heal()
 
     def booked() -> bool:
-        answer = call(lone.entry, 'POST', '/bookings', b'{}', 'k1')
+        answer = call(isolated.entry, 'POST', '/bookings', b'{}', 'k1')
         return answer[0] == 200
 
-    wait_until(booked, WAIT_SECONDS, 'bookings go on')
+    wait_until(booked, WAIT_SECONDS, 'bookings succeed again')
     assert runs_of(fleet, 'k1') == 1
 
 
-def test_two_sides_of_a_cut_find_each_other_again(fleet):
+def test_two_sides_of_a_partition_converge_after_it_heals(fleet):
     make_fleet(fleet, 5)
     publish(fleet, document(), 0, 'c1')
     small, big = fleet.daemons[:2], fleet.daemons[2:]
-    with watched_versions(fleet):
+    with monitored_versions(fleet):
         fleet.paths.separate(*(d.running.name for d in small))
         wait_until(
             lambda: all(d.status()['suspects'] for d in fleet.daemons),
             WAIT_SECONDS,
-            'both sides miss the other',
+            'both sides suspect the other',
         )
-        offer_until_accepted(
+        publish_until_accepted(
             fleet,
             {c.name for c in fleet.controls},
             document(deadline_ms=2222),
@@ -277,21 +283,25 @@
         wait_until(
             lambda: not any(d.status()['suspects'] for d in fleet.daemons),
             WAIT_SECONDS,
-            'nobody is suspected',
+            'no member is suspected',
         )
     drained = fleet.targets[2]
 
-    def is_left_out() -> bool:
+    def receives_no_calls() -> bool:
         before = drained.counters()['runs']
         codes = {call(d.entry)[0] for d in small for _ in range(20)}
         assert codes == {200}
         return drained.counters()['runs'] == before
 
-    wait_until(is_left_out, WAIT_SECONDS, 'the drain is known')
+    wait_until(
+        receives_no_calls,
+        WAIT_SECONDS,
+        'the drain has spread to the smaller side',
+    )
 
 
-def test_side_of_a_cut_that_lost_most_targets_serves_look_ups(fleet):
-    """The rest is silent, so only suspicion and hedges tell who is there."""
+def test_minority_side_of_a_partition_serves_look_ups(fleet):
+    """Only suspicion and hedging reveal which targets are reachable."""
     make_fleet(fleet, 5)
     publish(fleet, document(), 0, 'c1')
     small, big = fleet.daemons[:2], fleet.daemons[2:]
@@ -299,9 +309,9 @@
     wait_until(
         lambda: all(d.status()['suspects'] >= 3 for d in small),
         WAIT_SECONDS,
-        'the smaller side misses the other',
+        'the smaller side suspects the other',
     )
-    # A path serves all daemons: cut what the smaller side must not reach.
+    # Daemons share each path: cut those that lead to the bigger side.
     for daemon in small:
         fleet.paths.cut_stream(ANYBODY, daemon.running.name, is_cut=False)
     for daemon in big:
--- a/tests/system/test_requests_that_end_targets.py
+++ b/tests/system/test_requests_that_end_targets.py
@@ -1,13 +1,13 @@
-"""A request that ends every target that runs it.
-
-Seen: one look-up came again and again, at any daemon; 19 and 22 targets
-ended under it, and up to all look-ups of that service were refused for
-seconds. How: each daemon sent it on as soon as a target was back, and one
-attempt that broke off was tried again at the next target. Cause: an end of a
-target was a broken connection like any other; nothing remembered what it was
-running, so nothing could tell that it was the same request each time. Proof:
-the gates' lines of one series name the same request at each end, and with
-nothing but that request and steady look-ups it comes about here.
+"""Requests that crash every target that runs them are quarantined.
+
+Guards against one look-up that is sent again and again, to any daemon, and
+crashes a target each time: 19 and 22 targets crashed in this way, and up to
+all look-ups of the service were refused for seconds. Each daemon forwarded
+the request as soon as a target was back, and retried a broken attempt on the
+next target. A crash looked like any other broken connection and nothing
+recorded which request was running, so repeated crashes could not be traced to
+one request. The logs of the gates name the same request at each crash; that
+request and steady look-ups are enough to reproduce the failure here.
 """
 
 import json
@@ -23,19 +23,19 @@
 from tests.system.builders import publish
 from tests.system.builders import SERVICE
 from tests.system.builders import WAIT_SECONDS
-from tests.system.ending import Callers
-from tests.system.ending import END_PATH
-from tests.system.ending import EndingTargets
+from tests.system.crashing_targets import Callers
+from tests.system.crashing_targets import CRASH_PATH
+from tests.system.crashing_targets import CrashingTargets
 
 TARGETS = 5
-SECONDS = 12.0
-# What is allowed: three more arrivals later than 3 s after the third end.
-ENDS_THAT_TELL = 3
+LOAD_SECONDS = 12.0
+# Allowed: three more crashes later than 3 s after the third one.
+CRASHES_TO_DETECT = 3
 GRACE_SECONDS = 3.0
-MOST_LATER = 3
-# The time at the end in which all targets should be back.
-LAST_SECONDS = 4.0
-SERVED_SHARE = 0.95
+MAX_LATER_CRASHES = 3
+# At the end of the load, the seconds in which all targets should be back.
+RECOVERED_SECONDS = 4.0
+MIN_SUCCESS_SHARE = 0.95
 
 
 @pytest.fixture
@@ -44,61 +44,69 @@
         yield made
 
 
-def operator_lifts(fleet) -> None:
-    """See the request in the list of one daemon and lift it for all."""
+def lift_as_operator(fleet) -> None:
+    """Find the request in one daemon's list and lift its quarantine."""
     admins = [daemon.admin for daemon in fleet.daemons]
-    (row,) = listed(fleet, admins[0])
+    (row,) = quarantined_requests(fleet, admins[0])
     assert row['standing'] == 'quarantined'
     lift = f'--lift={row["fingerprint"]}'
     done = fleet.command('quarantine', f'--addresses={admins[0]}', lift)
     assert done.returncode == 0, done.stderr
     wait_until(
-        lambda: not any(listed(fleet, admin) for admin in admins),
+        lambda: (
+            not any(quarantined_requests(fleet, admin) for admin in admins)
+        ),
         WAIT_SECONDS,
-        'all know that it was lifted',
+        'no daemon quarantines the request',
     )
 
 
-def listed(fleet, admin: str) -> list[dict]:
-    """Return the list that operators see of one daemon."""
+def quarantined_requests(fleet, admin: str) -> list[dict]:
+    """Return the quarantined requests that a daemon lists for operators."""
     done = fleet.command('quarantine', f'--addresses={admin}', '--json=true')
     assert done.returncode == 0, done.stderr
     found = json.loads(done.stdout)['requests']
     return [row for row in found if row['standing'] == 'quarantined']
 
 
-def test_a_request_that_ends_targets_is_soon_sent_to_none(fleet):
+def test_a_request_that_crashes_targets_is_quarantined(fleet):
     fleet.start_controls(1)
-    targets = EndingTargets(fleet, TARGETS)
+    targets = CrashingTargets(fleet, TARGETS)
     publish(fleet, document(deadline_ms=1200), 0, 'c1')
     entries = [daemon.entry for daemon in fleet.daemons]
-    targets.watch()
+    targets.supervise()
     look_ups = Callers(entries, '/prices/{}', 0.02)
-    harmful = Callers(entries, f'{END_PATH}?page=1', 0.3)
-    threads = [look_ups.begin(SECONDS), harmful.begin(SECONDS)]
+    harmful = Callers(entries, f'{CRASH_PATH}?page=1', 0.3)
+    threads = [
+        look_ups.start_in_thread(LOAD_SECONDS),
+        harmful.start_in_thread(LOAD_SECONDS),
+    ]
     for thread in threads:
         thread.join()
-    ended_at = time.monotonic()
+    load_ended_at = time.monotonic()
     look_ups.join()
     targets.stop()
-    operator_lifts(fleet)
-    ends = targets.ends()
-    assert len(ends) >= 1
-    if len(ends) >= ENDS_THAT_TELL:
-        known_at = ends[ENDS_THAT_TELL - 1] + GRACE_SECONDS
-        assert sum(at > known_at for at in ends) <= MOST_LATER
-    assert look_ups.served_since(ended_at - LAST_SECONDS) >= SERVED_SHARE
+    lift_as_operator(fleet)
+    crash_times = targets.crash_times()
+    assert len(crash_times) >= 1
+    if len(crash_times) >= CRASHES_TO_DETECT:
+        detected_by = crash_times[CRASHES_TO_DETECT - 1] + GRACE_SECONDS
+        assert sum(at > detected_by for at in crash_times) <= MAX_LATER_CRASHES
+    assert (
+        look_ups.success_share_since(load_ended_at - RECOVERED_SECONDS)
+        >= MIN_SUCCESS_SHARE
+    )
 
 
-def test_targets_that_are_killed_together_convict_nobody(fleet):
-    """A hot look-up is in flight at each of them, time and again."""
+def test_targets_that_are_killed_together_quarantine_no_request(fleet):
+    """Each of them is running the same popular look-up, both times."""
     fleet.start_controls(1)
-    targets = EndingTargets(fleet, TARGETS)
+    targets = CrashingTargets(fleet, TARGETS)
     publish(fleet, document(deadline_ms=1200), 0, 'c1')
     entries = [daemon.entry for daemon in fleet.daemons]
-    targets.watch()
+    targets.supervise()
     look_ups = Callers(entries, '/prices/hot', 0.01)
-    thread = look_ups.begin(8.0)
+    thread = look_ups.start_in_thread(8.0)
     for _ in range(2):
         time.sleep(1.0)
         for target in targets.handles[:3]:
@@ -109,19 +117,19 @@
     targets.stop()
     logs = [daemon.running.log.read_text() for daemon in fleet.daemons]
     assert not any('request_quarantined' in text for text in logs)
-    assert look_ups.served_since(0.0) >= SERVED_SHARE
+    assert look_ups.success_share_since(0.0) >= MIN_SUCCESS_SHARE
 
 
 def test_a_fleet_that_has_just_started_serves_at_once(fleet):
-    """Nobody knows of any end, so no gate waits to hear of one."""
+    """No crash is known yet, so no gate waits for reports of one."""
     fleet.start_controls(1)
     publish(fleet, document(), 0, 'c1')
     target = fleet.start_target('prices-0', SERVICE, 4, service_ms=5)
-    for name, beside in (('prices-0', target), ('entry', None)):
+    for name, local_target in (('prices-0', target), ('entry', None)):
         fleet.start_daemon(
             name,
             'dc-0',
-            beside,
+            local_target,
             health_path='/health',
             gossip_seconds=FAST_GOSSIP,
         )
--- a/tests/system/test_under_load.py
+++ b/tests/system/test_under_load.py
@@ -1,4 +1,4 @@
-"""Drains, stops and changes while many callers send to real processes."""
+"""Drains, shutdowns, failures and changes of real processes under load."""
 
 import signal
 import threading
@@ -19,7 +19,7 @@
 from tests.system.builders import WAIT_SECONDS
 
 CALLERS = 6
-LEAST_CALLS = 40
+MIN_CALLS = 40
 
 
 @pytest.fixture
@@ -29,20 +29,20 @@
 
 
 class Callers:
-    """Callers that send until told to stop; each answer is checked."""
+    """Concurrent callers that check every answer, until ``finish``."""
 
     def __init__(self, addresses: list[str], method: str = 'GET'):
         self.method = method
         self.stopping = threading.Event()
         self.counts = [0] * CALLERS
-        self.waits = [
+        self.pending = [
             in_background(self.run, n, addresses[n % len(addresses)])
             for n in range(CALLERS)
         ]
 
     def run(self, number: int, address: str) -> set:
-        """Return every kind of ending that was seen."""
-        found = set()
+        """Return the distinct pairs of status and answer check."""
+        outcomes = set()
         while not self.stopping.is_set():
             name = f'caller-{number}-{self.counts[number]}'
             headers = {
@@ -51,32 +51,32 @@
                 'Idempotency-Key': name,
             }
             answer = ask(address, self.method, '/prices', b'', headers)
-            found.add((answer[0], check_answer(answer[2], name)))
+            outcomes.add((answer[0], check_answer(answer[2], name)))
             self.counts[number] += 1
-        return found
+        return outcomes
 
-    def go_on(self, calls: int = LEAST_CALLS) -> None:
-        """Wait until each caller has got some more answers."""
+    def wait_for_calls(self, calls: int = MIN_CALLS) -> None:
+        """Wait until each caller has received ``calls`` more answers."""
         goals = [count + calls for count in self.counts]
         wait_until(
             lambda: all(c >= g for c, g in zip(self.counts, goals)),
             WAIT_SECONDS,
-            'callers get answers',
+            'callers receive answers',
         )
 
     def finish(self) -> None:
-        """End them; every answer must have been whole and their own."""
+        """Stop; every answer must be complete and match its request."""
         self.stopping.set()
-        for wait in self.waits:
-            assert wait() == {(200, AnswerFault.NONE)}
+        for result in self.pending:
+            assert result() == {(200, AnswerFault.NONE)}
 
 
-def test_target_that_drains_twice_under_load_gets_nothing_new(fleet):
+def test_target_drained_twice_under_load_receives_no_new_calls(fleet):
     make_fleet(fleet, 3)
     publish(fleet, document(), 0, 'c1')
     leaving = fleet.daemons[0]
     callers = Callers([d.entry for d in fleet.daemons])
-    callers.go_on()
+    callers.wait_for_calls()
     assert fleet.targets[0].counters()['runs'] > 0
     for _ in range(2):
         done = fleet.command('drain', f'--addresses={leaving.admin}')
@@ -85,14 +85,14 @@
         lambda: leaving.status()['in_flight'] == 0, WAIT_SECONDS, 'it is idle'
     )
     before = fleet.targets[0].counters()['runs']
-    callers.go_on()
+    callers.wait_for_calls()
     callers.finish()
     assert fleet.targets[0].counters()['runs'] == before
     assert leaving.status()['state'] == 'draining'
 
 
-def test_daemon_that_stops_under_load_costs_no_answer(fleet):
-    """A booking that is cut off could not be sent to another target."""
+def test_daemon_shutdown_under_load_loses_no_answer(fleet):
+    """A booking cut off midway could not be retried on another target."""
     make_fleet(fleet, 3, path_ms='/prices=1200')
     publish(fleet, document(), 0, 'c1')
     leaving = fleet.daemons[0]
@@ -103,33 +103,33 @@
     for _ in range(2):
         leaving.running.send_signal(signal.SIGTERM)
     assert leaving.running.process.wait(WAIT_SECONDS) == 0
-    callers.go_on(2)
+    callers.wait_for_calls(2)
     callers.finish()
 
 
 @pytest.mark.parametrize('number', [signal.SIGKILL, signal.SIGSTOP])
 @pytest.mark.parametrize('victim', ['daemon', 'target'])
-def test_process_that_fails_under_load_costs_no_answer(fleet, victim, number):
+def test_process_failure_under_load_loses_no_answer(fleet, victim, number):
     make_fleet(fleet, 3)
     publish(fleet, document(), 0, 'c1')
     callers = Callers([entry_of(fleet).entry])
-    callers.go_on()
+    callers.wait_for_calls()
     handles = {'daemon': fleet.daemons[0], 'target': fleet.targets[0]}
     handles[victim].running.send_signal(number)
-    callers.go_on()
+    callers.wait_for_calls()
     handles[victim].running.send_signal(signal.SIGCONT)
-    callers.go_on()
+    callers.wait_for_calls()
     callers.finish()
 
 
-def test_change_under_load_is_in_force_and_costs_no_answer(fleet):
+def test_configuration_change_under_load_loses_no_answer(fleet):
     make_fleet(fleet, 3)
     publish(fleet, document(), 0, 'c1')
     callers = Callers([d.entry for d in fleet.daemons])
-    callers.go_on()
+    callers.wait_for_calls()
     for base in (1, 2, 3):
         changed = document(deadline_ms=4000 + base)
         publish(fleet, changed, base, f'c{base + 1}')
-    callers.go_on()
+    callers.wait_for_calls()
     callers.finish()
     assert {d.status()['config_version'] for d in fleet.daemons} == {4}
--- a/tools/mutants_calls.py
+++ b/tools/mutants_calls.py
@@ -1,4 +1,4 @@
-"""Broken rules of the call path: calls, gate, border and links."""
+"""Mutants of the call path: calls, gate, HTTP server and links."""
 
 from tools.mutation import Mutant
 
@@ -78,7 +78,7 @@
         'self.refuse',
         'if False:\n            return self.refuse',
         'tests/gate/test_state.py ' + SYSTEM + '::'
-        'test_drained_target_gets_no_new_work_within_seconds',
+        'test_drained_target_receives_no_new_calls',
     ),
     Mutant(
         'probes have no budget at the gate',
@@ -92,7 +92,7 @@
         'cyclamenlift/runtime/stopping.py',
         'if not self.is_idle() and now < self.deadline:',
         'if False:',
-        SYSTEM + '::test_graceful_stops_cut_off_no_upload',
+        SYSTEM + '::test_graceful_shutdown_completes_uploads',
     ),
     Mutant(
         'retries have no budget',
@@ -128,7 +128,7 @@
         'self.gate.drain()',
         'pass',
         'tests/system/test_under_load.py::'
-        'test_target_that_drains_twice_under_load_gets_nothing_new',
+        'test_target_drained_twice_under_load_receives_no_new_calls',
     ),
     Mutant(
         'a stop leaves at once, under load',
@@ -136,7 +136,7 @@
         'if not self.is_idle() and now < self.deadline:',
         'if False:',
         'tests/system/test_under_load.py::'
-        'test_daemon_that_stops_under_load_costs_no_answer',
+        'test_daemon_shutdown_under_load_loses_no_answer',
     ),
     Mutant(
         'a stop ends with connections open',
