--- a/Makefile
+++ b/Makefile
@@ -1,5 +1,5 @@
-# Two commands matter to a newcomer: ``make test`` and ``make demo``.
-# Both make their own environment from the pinned requirements.
+# Start with ``make test`` and ``make demo``. Both create a virtual
+# environment from the pinned requirements.
 
 PYTHON ?= python3.11
 VENV := .venv
@@ -33,7 +33,7 @@
 	$(BIN)/ruff check --fix .
 	$(BIN)/ruff format .
 
-# Only for those who change the IDL: the generated code is committed.
+# Needed only after a change of the IDL: the generated code is committed.
 thrift:
 	rm -rf cyclamenlift/wire/gen
 	mkdir -p cyclamenlift/wire/gen
--- a/conftest.py
+++ b/conftest.py
@@ -1,7 +1,7 @@
-"""Lets CI pass over the tests that KNOWN-RED.txt lists, and prints them.
+"""Marks the tests listed in KNOWN-RED.txt as expected failures.
 
-A line is ``test | cause | issue``. A listed test still runs; whether it
-passes or fails, it is told at the end.
+A line is ``test | cause | issue``. A listed test still runs, but does not
+fail CI; the list is printed at the end of the run either way.
 """
 
 import pathlib
@@ -12,7 +12,7 @@
 
 
 def known_red() -> dict[str, str]:
-    """Return the listed tests with their cause."""
+    """Return the cause of each listed test by node ID."""
     if not LIST.exists():
         return {}
     rows = [line.split('|') for line in LIST.read_text().splitlines()]
--- a/demo/__init__.py
+++ b/demo/__init__.py
@@ -1,1 +1,1 @@
-"""The whole product on loopback, with its promises counted."""
+"""Runs a complete deployment on loopback and checks its guarantees."""
--- a/demo/__main__.py
+++ b/demo/__main__.py
@@ -1,7 +1,7 @@
-"""``make demo``: a small fleet, a load, a drain and a kill.
+"""``make demo``: a small fleet under load, with a drain and a crash.
 
-Every number in the table is counted by the senders and the stand-in
-targets, not by the product. The exit status is 1 if a promise broke.
+The senders and the stand-in targets, not the load balancer, count every
+number in the table. The exit status is 1 if a guarantee was violated.
 """
 
 import asyncio
@@ -28,15 +28,15 @@
 DRAIN_AT = 3.0
 KILL_AT = 6.0
 UPLOAD_BYTES = 3_000_000
-LEAST_ANSWERED = 0.95
-FLEET = (('prices', 4), ('scheduling', 2), ('documents', 2))
+MIN_ANSWERED_SHARE = 0.95
+TARGET_COUNTS = (('prices', 4), ('scheduling', 2), ('documents', 2))
 
 
 def start_fleet(fleet: Fleet) -> None:
-    """Start control instances, targets and the daemons beside them."""
+    """Start control instances, and targets each with its daemon."""
     fleet.start_controls(3)
     number = 0
-    for service, count in FLEET:
+    for service, count in TARGET_COUNTS:
         for _ in range(count):
             name = f'{service}-{number}'
             target = fleet.start_target(name, service, 20, seed=number + 1)
@@ -51,7 +51,7 @@
 
 
 def publish(fleet: Fleet) -> None:
-    """Publish the event document through the command line."""
+    """Publish the event document with the command line."""
     path = fleet.folder / 'event.json'
     path.write_text(json.dumps(demo_document()))
 
@@ -76,7 +76,7 @@
 
 
 async def send_load(fleet: Fleet) -> dict[str, Summary]:
-    """Send all loads side by side; drain one target and kill another."""
+    """Send all loads concurrently; drain one target and kill another."""
     entries = tuple(d.entry for d in fleet.daemons[-4:])
     plans = {
         'price look-ups': LoadPlan(
@@ -106,26 +106,26 @@
         ),
     }
     loop = asyncio.get_running_loop()
-    loop.call_later(DRAIN_AT, drain, fleet, 0)
-    loop.call_later(KILL_AT, kill, fleet, 1)
-    found = await asyncio.gather(*(run_load(p) for p in plans.values()))
-    return dict(zip(plans, found, strict=True))
+    loop.call_later(DRAIN_AT, drain_daemon, fleet, 0)
+    loop.call_later(KILL_AT, kill_target, fleet, 1)
+    results = await asyncio.gather(*(run_load(p) for p in plans.values()))
+    return dict(zip(plans, results, strict=True))
 
 
-def drain(fleet: Fleet, number: int) -> None:
+def drain_daemon(fleet: Fleet, number: int) -> None:
     daemon = fleet.daemons[number]
     fleet.start(
         'drain', ['cyclamenlift', 'drain', f'--addresses={daemon.admin}']
     )
 
 
-def kill(fleet: Fleet, number: int) -> None:
-    """Take a target away without warning."""
+def kill_target(fleet: Fleet, number: int) -> None:
+    """Kill a target without a drain."""
     fleet.targets[number].running.kill()
 
 
 async def send_direct(fleet: Fleet) -> Summary:
-    """Send the same look-ups straight to targets, for comparison."""
+    """Send look-ups directly to two targets, as the baseline."""
     alive = fleet.targets[2:4]
     plan = LoadPlan(
         addresses=tuple(t.address for t in alive),
@@ -138,7 +138,7 @@
 
 
 async def send_through(fleet: Fleet) -> Summary:
-    """Send look-ups through entries to the same two targets."""
+    """Send the same look-ups through entries."""
     entries = tuple(d.entry for d in fleet.daemons[-4:])
     plan = LoadPlan(
         addresses=entries,
@@ -150,8 +150,8 @@
     return await run_load(plan)
 
 
-def count_doubled(fleet: Fleet) -> int:
-    """Return the keys that ran more than once, over all targets."""
+def count_duplicate_runs(fleet: Fleet) -> int:
+    """Return how many keys ran more than once over all live targets."""
     runs: dict[str, int] = {}
     for target in fleet.targets:
         if target.running.alive():
@@ -161,16 +161,20 @@
 
 
 def count_lost_uploads(fleet: Fleet, summary: Summary) -> int:
-    """Return the answered uploads that no target holds whole."""
-    held = set()
+    """Return how many answered uploads no live target has completely."""
+    stored = set()
     for target in fleet.targets:
         if target.running.alive():
             for upload in target.counters()['uploads']:
-                held.add(upload['sha256'])
-    return sum(1 for _, sha in summary.uploads_answered if sha not in held)
+                stored.add(upload['sha256'])
+    return sum(
+        1 for _, digest in summary.uploads_answered if digest not in stored
+    )
 
 
-def show(summaries: dict[str, Summary], doubled: int, lost: int) -> None:
+def print_summaries(
+    summaries: dict[str, Summary], duplicate_runs: int, lost: int
+) -> None:
     table = Table(title='cyclamenlift demo: counted by senders and targets')
     for name in (
         'load',
@@ -185,7 +189,7 @@
         table.add_column(name, justify='left' if name == 'load' else 'right')
     for name, summary in summaries.items():
         total = summary.total.as_json()
-        rest = total['sent'] - sum(
+        other_count = total['sent'] - sum(
             total[c.value]
             for c in (
                 CallClass.ANSWERED,
@@ -200,21 +204,23 @@
             str(total['answered']),
             str(total['not_run']),
             str(total['unknown']),
-            str(rest),
+            str(other_count),
             f'{latency["p50"]:.2f}',
             f'{latency["p99"]:.2f}',
         )
     console = Console(width=100)
     console.print(table)
-    console.print(f'doubled keys: {doubled}   lost uploads: {lost}')
+    console.print(
+        f'keys run more than once: {duplicate_runs}   lost uploads: {lost}'
+    )
 
 
-def added(through: Summary, direct: Summary) -> str:
-    """Return what the path added to a direct call, p50 and p99."""
-    first = through.total.as_json()['latency_ms']
-    second = direct.total.as_json()['latency_ms']
-    p50 = first['p50'] - second['p50']
-    p99 = first['p99'] - second['p99']
+def format_added_latency(through: Summary, direct: Summary) -> str:
+    """Return the latency added to a direct call, p50 and p99, as text."""
+    through_latency = through.total.as_json()['latency_ms']
+    direct_latency = direct.total.as_json()['latency_ms']
+    p50 = through_latency['p50'] - direct_latency['p50']
+    p99 = through_latency['p99'] - direct_latency['p99']
     return f'added to a direct call: p50 {p50:.2f} ms, p99 {p99:.2f} ms'
 
 
@@ -222,7 +228,7 @@
     """Return the share of operations that were answered.
 
     Two attempts with one key are one operation: while the first runs, the
-    second is told "in progress" at once.
+    second is answered "in progress" at once.
     """
     total = summary.total
     if not summary.keys_answered:
@@ -232,49 +238,49 @@
     return len(set(summary.keys_answered)) / max(1, booked + uploaded)
 
 
-def find_broken(
-    summaries: dict[str, Summary], doubled: int, lost: int
+def find_violations(
+    summaries: dict[str, Summary], duplicate_runs: int, lost: int
 ) -> list[str]:
-    """Return the promises that did not hold."""
-    broken = []
-    if doubled:
-        broken.append(f'{doubled} keys ran more than once')
+    """Return a description of each violated guarantee."""
+    violations = []
+    if duplicate_runs:
+        violations.append(f'{duplicate_runs} keys ran more than once')
     if lost:
-        broken.append(f'{lost} uploads were lost')
+        violations.append(f'{lost} uploads were lost')
     for name, summary in summaries.items():
         classes = summary.total.classes
         if classes[CallClass.BROKEN]:
-            broken.append(f'{name}: answers not whole or not their own')
+            violations.append(f'{name}: incomplete or mismatched answers')
         if classes[CallClass.NO_ANSWER]:
-            broken.append(f'{name}: calls without any answer')
-        if answered_share(summary) < LEAST_ANSWERED:
-            broken.append(f'{name}: too few were answered')
-    return broken
+            violations.append(f'{name}: calls without an answer')
+        if answered_share(summary) < MIN_ANSWERED_SHARE:
+            violations.append(f'{name}: too few calls were answered')
+    return violations
 
 
 def main() -> int:
-    began = time.monotonic()
+    started_at = time.monotonic()
     with temporary_fleet() as fleet:
         start_fleet(fleet)
         publish(fleet)
         fleet.wait_in_force(1, len(fleet.daemons))
         sys.stdout.write(
             f'{len(fleet.processes)} processes, document in force after '
-            f'{time.monotonic() - began:.1f} s\n'
+            f'{time.monotonic() - started_at:.1f} s\n'
         )
         summaries = asyncio.run(send_load(fleet))
-        doubled = count_doubled(fleet)
+        duplicate_runs = count_duplicate_runs(fleet)
         lost = count_lost_uploads(fleet, summaries['uploads'])
         through = asyncio.run(send_through(fleet))
         direct = asyncio.run(send_direct(fleet))
-    show(summaries, doubled, lost)
-    sys.stdout.write(added(through, direct) + '\n')
-    broken = find_broken(summaries, doubled, lost)
-    for line in broken:
-        sys.stdout.write(f'BROKEN PROMISE: {line}\n')
-    if not broken:
-        sys.stdout.write('every promise held\n')
-    return 1 if broken else 0
+    print_summaries(summaries, duplicate_runs, lost)
+    sys.stdout.write(format_added_latency(through, direct) + '\n')
+    violations = find_violations(summaries, duplicate_runs, lost)
+    for line in violations:
+        sys.stdout.write(f'GUARANTEE VIOLATED: {line}\n')
+    if not violations:
+        sys.stdout.write('all guarantees held\n')
+    return 1 if violations else 0
 
 
 if __name__ == '__main__':
--- a/demo/document.py
+++ b/demo/document.py
@@ -1,4 +1,4 @@
-"""The event document of the demo."""
+"""The event document that the demo publishes."""
 
 import datetime
 
@@ -6,7 +6,7 @@
 
 
 def demo_document() -> dict:
-    """Return an event that began an hour ago and runs for three."""
+    """Return an event that started an hour ago and ends in three hours."""
     now = datetime.datetime.now(datetime.UTC).replace(microsecond=0)
     hour = datetime.timedelta(hours=1)
     return {
--- a/tests/tools/test_proofs.py
+++ b/tests/tools/test_proofs.py
@@ -1,4 +1,4 @@
-"""The page of proofs names tests and mutants that exist."""
+"""The tests and mutants named in ``docs/PROOFS.md`` exist."""
 
 import ast
 import pathlib
@@ -10,11 +10,11 @@
 
 ROOT = pathlib.Path(__file__).parents[2]
 PAGE = (ROOT / 'docs' / 'PROOFS.md').read_text()
-NAMED = sorted(set(re.findall(r'`(tests/[\w/]+\.py)::(\w+)`', PAGE)))
+LISTED_TESTS = sorted(set(re.findall(r'`(tests/[\w/]+\.py)::(\w+)`', PAGE)))
 
 
 def names_in(path: str) -> set[str]:
-    """Return the functions and variables at the top of a test module."""
+    """Return the names defined at the top level of a test module."""
     names = set()
     for node in ast.parse((ROOT / path).read_text()).body:
         if isinstance(node, ast.FunctionDef):
@@ -25,13 +25,15 @@
 
 
 def test_every_test_of_the_page_exists():
-    assert len(NAMED) > 50
-    missing = [(p, name) for p, name in NAMED if name not in names_in(p)]
+    assert len(LISTED_TESTS) > 50
+    missing = [
+        (p, name) for p, name in LISTED_TESTS if name not in names_in(p)
+    ]
     assert not missing
 
 
 @pytest.mark.parametrize('mutant', MUTANTS, ids=lambda mutant: mutant.name)
-def test_mutant_breaks_what_is_there_and_is_on_the_page(mutant):
+def test_mutant_matches_the_source_and_is_on_the_page(mutant):
     text = (ROOT / mutant.path).read_text()
     assert mutant.old in text
     assert f'| {mutant.name} |' in PAGE
--- a/tests/tools/test_reference.py
+++ b/tests/tools/test_reference.py
@@ -1,4 +1,4 @@
-"""Pages made from the code say what the code says."""
+"""The generated reference pages match the code."""
 
 import pytest
 
@@ -9,7 +9,7 @@
 
 
 @pytest.mark.parametrize('name', PAGES)
-def test_page_is_as_the_code_makes_it(name):
+def test_page_matches_the_code(name):
     assert (DOCS / name).read_text() == PAGES[name]()
 
 
--- a/tools/mutants_control.py
+++ b/tools/mutants_control.py
@@ -1,4 +1,4 @@
-"""Broken rules of control: ledger, documents, replicated log, strangers."""
+"""Mutants of control: ledger, documents, replicated log, foreign peers."""
 
 from tools.mutation import Mutant
 
--- a/tools/mutants_quarantine.py
+++ b/tools/mutants_quarantine.py
@@ -1,4 +1,4 @@
-"""Broken rules of what is known against requests that end targets."""
+"""Mutants of the quarantine of requests that crash targets."""
 
 from tools.mutation import Mutant
 
--- a/tools/mutation.py
+++ b/tools/mutation.py
@@ -1,4 +1,4 @@
-"""One broken rule, and the run of the tests that should notice it."""
+"""Apply a mutant to a copy of the sources and run its tests there."""
 
 import dataclasses
 import pathlib
@@ -8,8 +8,8 @@
 import tempfile
 
 ROOT = pathlib.Path(__file__).parents[1]
-SECONDS = 300
-COPIED = (
+TEST_TIMEOUT_SECONDS = 300
+COPIED_PATHS = (
     'cyclamenlift',
     'tests',
     'bench',
@@ -18,16 +18,16 @@
     'pyproject.toml',
     'docs',
 )
-EXIT_FAILED_TESTS = 1
+EXIT_TESTS_FAILED = 1
 
 
 class StaleMutantError(Exception):
-    """The text that a mutant breaks is no longer in the code."""
+    """The text that a mutant replaces is no longer in the source."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Mutant:
-    """One broken rule: ``old`` in ``path`` becomes ``new``."""
+    """Replaces ``old`` by ``new`` in ``path``; ``tests`` must then fail."""
 
     name: str
     path: str
@@ -36,22 +36,22 @@
     tests: str
 
 
-def copy(source: pathlib.Path, goal: pathlib.Path) -> None:
+def copy_path(source: pathlib.Path, destination: pathlib.Path) -> None:
     if source.is_dir():
         ignored = shutil.ignore_patterns('__pycache__', 'results')
-        shutil.copytree(source, goal, ignore=ignored)
+        shutil.copytree(source, destination, ignore=ignored)
     elif source.exists():
-        shutil.copy(source, goal)
+        shutil.copy(source, destination)
 
 
-def copy_tree(folder: pathlib.Path) -> None:
-    """Copy what the tests need."""
-    for part in COPIED:
-        copy(ROOT / part, folder / part)
+def copy_sources(folder: pathlib.Path) -> None:
+    """Copy the files that the tests need."""
+    for part in COPIED_PATHS:
+        copy_path(ROOT / part, folder / part)
 
 
-def break_rule(mutant: Mutant, folder: pathlib.Path) -> None:
-    """Replace the text once; raise StaleMutantError if it is not there."""
+def apply_mutant(mutant: Mutant, folder: pathlib.Path) -> None:
+    """Replace the first match; raise StaleMutantError if there is none."""
     path = folder / mutant.path
     text = path.read_text()
     if mutant.old not in text:
@@ -68,24 +68,24 @@
         env={'PYTHONPATH': str(folder), 'PATH': '/usr/bin:/bin'},
         capture_output=True,
         text=True,
-        timeout=SECONDS,
+        timeout=TEST_TIMEOUT_SECONDS,
         check=False,
     )
     return done.returncode
 
 
-def is_noticed(mutant: Mutant) -> bool:
-    """Return whether a test fails; an error of another kind does not count."""
+def is_killed(mutant: Mutant) -> bool:
+    """Return whether a test fails; other errors of pytest do not count."""
     with tempfile.TemporaryDirectory(prefix='mutant-') as name:
         folder = pathlib.Path(name)
-        copy_tree(folder)
-        break_rule(mutant, folder)
-        return run_tests(folder, mutant.tests) == EXIT_FAILED_TESTS
+        copy_sources(folder)
+        apply_mutant(mutant, folder)
+        return run_tests(folder, mutant.tests) == EXIT_TESTS_FAILED
 
 
-def passes_unbroken(tests: str) -> bool:
-    """Return whether the tests pass in a copy that nothing is broken in."""
+def passes_without_mutant(tests: str) -> bool:
+    """Return whether the tests pass in an unmodified copy."""
     with tempfile.TemporaryDirectory(prefix='mutant-') as name:
         folder = pathlib.Path(name)
-        copy_tree(folder)
+        copy_sources(folder)
         return run_tests(folder, tests) == 0
--- a/tools/reference.py
+++ b/tools/reference.py
@@ -1,6 +1,6 @@
-"""Write the reference pages that are made from the code.
+"""Generate the reference pages from the code: ``python -m tools.reference``.
 
-``python -m tools.reference`` writes them; a test compares them.
+A test checks that the committed pages match the code.
 """
 
 import pathlib
@@ -24,7 +24,7 @@
 from cyclamenlift.models.routes import ShareModel
 
 DOCS = pathlib.Path(__file__).parents[1] / 'docs'
-MADE = 'This page is made by `python -m tools.reference`.\n'
+GENERATED_NOTE = 'This page is made by `python -m tools.reference`.\n'
 
 CODES_HEAD = """# Result codes
 
@@ -71,11 +71,11 @@
             f'| {int(code)} | {code.name} | {info.status or "-"} '
             f'| {info.title} | {info.hint} |'
         )
-    return CODES_HEAD + MADE + '\n' + '\n'.join(rows) + '\n'
+    return CODES_HEAD + GENERATED_NOTE + '\n' + '\n'.join(rows) + '\n'
 
 
 def settings_page() -> str:
-    parts = [SETTINGS_HEAD, MADE]
+    parts = [SETTINGS_HEAD, GENERATED_NOTE]
     for title, kind in (
         ('Daemon', DaemonSettings),
         ('Control instance', ControlSettings),
@@ -86,14 +86,14 @@
         for name, field in kind.model_fields.items():
             parts.append(
                 f'| `--{name}` | `{PREFIX}{name.upper()}` '
-                f'| {default_of(field)} | {limits_of(field)} '
+                f'| {format_default(field)} | {format_constraints(field)} '
                 f'| {field.description} |\n'
             )
     return ''.join(parts)
 
 
 def document_page() -> str:
-    parts = [DOCUMENT_HEAD, MADE]
+    parts = [DOCUMENT_HEAD, GENERATED_NOTE]
     for title, kind in (
         ('Event', EventDocument),
         ('services[]', ServiceModel),
@@ -107,8 +107,8 @@
         parts.append('| meaning |\n|---|---|---|---|\n')
         for name, field in kind.model_fields.items():
             parts.append(
-                f'| `{name}` | {default_of(field)} | {limits_of(field)} '
-                f'| {field.description} |\n'
+                f'| `{name}` | {format_default(field)} '
+                f'| {format_constraints(field)} | {field.description} |\n'
             )
     parts.append(
         '\nA call that matches no operation counts as idempotent for GET, '
@@ -117,8 +117,8 @@
     return ''.join(parts)
 
 
-def default_of(field) -> str:
-    """Return a field's default in words."""
+def format_default(field) -> str:
+    """Return a field's default as a table cell."""
     if field.is_required():
         return 'required'
     value = field.default
@@ -131,9 +131,9 @@
     return f'`{value}`'
 
 
-def limits_of(field) -> str:
-    """Return what a value must keep to."""
-    found = [word_of(item) for item in field.metadata]
+def format_constraints(field) -> str:
+    """Return the constraints of a field's value as a table cell."""
+    found = [format_bound(item) for item in field.metadata]
     kind = field.annotation
     if typing.get_origin(kind) is typing.Literal:
         found.append(', '.join(f'`{v}`' for v in typing.get_args(kind)))
@@ -141,10 +141,10 @@
         found.append('`true`, `false`')
     elif isinstance(kind, types.GenericAlias | types.UnionType):
         found.append('a list')
-    return '; '.join(word for word in found if word)
+    return '; '.join(text for text in found if text)
 
 
-def word_of(item) -> str:
+def format_bound(item) -> str:
     if isinstance(item, annotated_types.Ge):
         return f'from {item.ge}'
     if isinstance(item, annotated_types.Gt):
@@ -164,8 +164,8 @@
 
 
 def main() -> None:
-    for name, make in PAGES.items():
-        (DOCS / name).write_text(make())
+    for name, render in PAGES.items():
+        (DOCS / name).write_text(render())
 
 
 if __name__ == '__main__':
