--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -1,13 +1,13 @@
-"""What each mechanism of deciding is worth: days played without it.
+"""Measure the effect of each routing mechanism by switching it off.
 
-Each play is a day of a deployment, run by a program that is given, on a copy
-of this repository whose daemons are told to run without one mechanism. What
-is done already is not played again, so a run that was cut goes on::
+Each run simulates one day of a deployment with the program ``--player``, on
+a copy of this repository whose daemons run without one mechanism. Completed
+runs are not repeated, so an interrupted command can be resumed::
 
     python -m bench.ablation --player PROGRAM --copies FOLDER \\
         --out ablation.json --plays "SITE DAY" --plays "SITE DAY" --jobs 4
 
-The table is written with ``--table`` from the same file.
+``--table`` prints the table of the results in the same file.
 """
 
 import argparse
@@ -25,16 +25,16 @@
 from cyclamenlift.runtime.mechanisms import MECHANISMS
 
 ROOT = pathlib.Path(__file__).parents[1]
-WORTH = re.compile(r'^worth (-?\d+\.\d+)', re.MULTILINE)
-# Seconds that one day may take: ten times the usual.
-MOST_SECONDS = 900
-ALL = 'all on'
-NOT_COPIED = shutil.ignore_patterns('.git', '.venv', '__pycache__')
+SCORE = re.compile(r'^worth (-?\d+\.\d+)', re.MULTILINE)
+# Time limit of one run in seconds: ten times the usual duration.
+RUN_TIMEOUT_SECONDS = 900
+ALL_ENABLED = 'all on'
+IGNORED_FILES = shutil.ignore_patterns('.git', '.venv', '__pycache__')
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Play:
-    """One day of one deployment without one mechanism."""
+class DayRun:
+    """One simulated day of a deployment without one mechanism."""
 
     site: str
     day: str
@@ -46,115 +46,124 @@
 
 
 class Results:
-    """The worth of each play by name, kept in a file after each."""
+    """Scores by name of the run, saved to a file after each run."""
 
     def __init__(self, path: pathlib.Path):
         self.path = path
         self.lock = threading.Lock()
-        self.worth: dict[str, float] = {}
+        self.scores: dict[str, float] = {}
         if path.exists():
-            self.worth = json.loads(path.read_text())
+            self.scores = json.loads(path.read_text())
 
-    def note(self, play: Play, worth: float) -> None:
+    def record(self, run: DayRun, score: float) -> None:
         with self.lock:
-            self.worth[play.name] = worth
-            text = json.dumps(self.worth, indent=1, sort_keys=True)
+            self.scores[run.name] = score
+            text = json.dumps(self.scores, indent=1, sort_keys=True)
             self.path.write_text(text + '\n')
 
 
-def read_worth(text: str) -> float | None:
-    """Return the worth that a play printed, None if it printed none.
+def read_score(text: str) -> float | None:
+    """Return the score that a run printed, None if it printed none.
 
-    >>> read_worth('worth 0.605 = whole day 0.821')
+    >>> read_score('worth 0.605 = whole day 0.821')
     0.605
     """
-    found = WORTH.search(text)
+    found = SCORE.search(text)
     return float(found[1]) if found else None
 
 
-def without_line(name: str) -> str:
-    """Return the line of a deploy file that switches a mechanism off."""
+def disabling_line(name: str) -> str:
+    """Return the line of ``system.toml`` that disables a mechanism."""
     return f'env = {{ CYCLAMENLIFT_WITHOUT = "{name}" }}\n'
 
 
 def make_copy(folder: pathlib.Path, name: str) -> pathlib.Path:
-    """Return a copy of the repository that runs without ``name``."""
+    """Return a copy of the repository with mechanism ``name`` disabled."""
     copy = folder / f'without-{name.replace(" ", "-")}'
     if copy.exists():
         return copy
     subprocess.run(
         ('git', 'clone', '--quiet', str(ROOT), str(copy)), check=True
     )
-    shutil.copytree(ROOT, copy, ignore=NOT_COPIED, dirs_exist_ok=True)
-    if name != ALL:
+    shutil.copytree(ROOT, copy, ignore=IGNORED_FILES, dirs_exist_ok=True)
+    if name != ALL_ENABLED:
         path = copy / 'deploy' / 'system.toml'
         text = path.read_text()
         head = '[roles.daemon]\n'
-        path.write_text(text.replace(head, head + without_line(name)))
+        path.write_text(text.replace(head, head + disabling_line(name)))
     return copy
 
 
-def play(player: str, folder: pathlib.Path, one: Play) -> float | None:
-    """Play one day; return its worth, None where it failed."""
-    copy = make_copy(folder, one.without)
+def simulate_day(
+    player: str, folder: pathlib.Path, day_run: DayRun
+) -> float | None:
+    """Simulate one day; return its score, None if the run failed."""
+    copy = make_copy(folder, day_run.without)
     command = (
         player,
         'run',
-        one.site,
-        one.day,
+        day_run.site,
+        day_run.day,
         '--no-cpu',
         '--jobs',
         '1',
         '--why',
-        f'Ablation: {one.day} without {one.without}',
+        f'Ablation: {day_run.day} without {day_run.without}',
     )
     done = subprocess.run(
         command,
         cwd=copy,
         capture_output=True,
         text=True,
-        timeout=MOST_SECONDS,
+        timeout=RUN_TIMEOUT_SECONDS,
         check=False,
     )
-    return read_worth(done.stdout)
+    return read_score(done.stdout)
 
 
-def wanted(pairs: list[str], names: list[str]) -> list[Play]:
-    """Return all plays, those with everything on first."""
+def list_runs(pairs: list[str], names: list[str]) -> list[DayRun]:
+    """Return all runs, starting with those that disable nothing."""
     split = [pair.rsplit(' ', 1) for pair in pairs]
     return [
-        Play(site, day, name) for name in (ALL, *names) for site, day in split
+        DayRun(site, day, name)
+        for name in (ALL_ENABLED, *names)
+        for site, day in split
     ]
 
 
-def run_plays(
-    plays: list[Play],
+def execute_missing_runs(
+    runs: list[DayRun],
     results: Results,
     jobs: int,
-    run: Callable[[Play], float | None],
+    run: Callable[[DayRun], float | None],
 ) -> None:
-    """Play what is not done yet, mechanisms beside each other."""
+    """Execute the missing runs, with different mechanisms in parallel."""
 
-    def run_one(one: Play) -> None:
-        worth = run(one)
-        if worth is None:
-            print(f'{one.name}: no result', flush=True)
+    def execute_run(day_run: DayRun) -> None:
+        score = run(day_run)
+        if score is None:
+            print(f'{day_run.name}: no result', flush=True)
             return
-        results.note(one, worth)
-        print(f'{one.name}: {worth}', flush=True)
+        results.record(day_run, score)
+        print(f'{day_run.name}: {score}', flush=True)
 
-    left = [p for p in plays if p.name not in results.worth]
-    by_copy: dict[str, list[Play]] = {}
-    for one in left:
-        by_copy.setdefault(one.without, []).append(one)
+    missing = [p for p in runs if p.name not in results.scores]
+    by_copy: dict[str, list[DayRun]] = {}
+    for day_run in missing:
+        by_copy.setdefault(day_run.without, []).append(day_run)
     with concurrent.futures.ThreadPoolExecutor(jobs) as pool:
-        # A copy is built by its first play, so its plays do not overlap.
-        list(pool.map(lambda p: [run_one(one) for one in p], by_copy.values()))
-
-
-def table(plays: list[Play], results: Results) -> str:
-    """Return what each mechanism is worth, as a table of a page."""
-    days = [(p.site, p.day) for p in plays if p.without == ALL]
+        # The first run creates the copy, so runs of one copy are sequential.
+        list(
+            pool.map(
+                lambda p: [execute_run(day_run) for day_run in p],
+                by_copy.values(),
+            )
+        )
+
+
+def table(runs: list[DayRun], results: Results) -> str:
+    """Return the score change without each mechanism as a Markdown table."""
+    days = [(p.site, p.day) for p in runs if p.without == ALL_ENABLED]
     labels = [
         f'{pathlib.Path(s).stem} {pathlib.Path(d).stem}' for s, d in days
     ]
@@ -162,20 +171,24 @@
         '| without | ' + ' | '.join(labels) + ' | mean | spread |',
         '|---' * (len(days) + 3) + '|',
     ]
-    for name in dict.fromkeys(p.without for p in plays):
-        cells, losses = [], []
+    for name in dict.fromkeys(p.without for p in runs):
+        cells, changes = [], []
         for site, day in days:
-            worth = results.worth.get(Play(site, day, name).name)
-            base = results.worth.get(Play(site, day, ALL).name)
-            if worth is None or base is None:
+            score = results.scores.get(DayRun(site, day, name).name)
+            base = results.scores.get(DayRun(site, day, ALL_ENABLED).name)
+            if score is None or base is None:
                 cells.append('not run')
                 continue
-            change = worth - base
-            losses.append(change)
-            cells.append(f'{worth:.3f}' if name == ALL else f'{change:+.3f}')
-        mean = statistics.mean(losses) if losses else 0.0
-        spread = statistics.pstdev(losses) if losses else 0.0
-        ends = '| |' if name == ALL else f'{mean:+.3f} | {spread:.3f} |'
+            change = score - base
+            changes.append(change)
+            cells.append(
+                f'{score:.3f}' if name == ALL_ENABLED else f'{change:+.3f}'
+            )
+        mean = statistics.mean(changes) if changes else 0.0
+        spread = statistics.pstdev(changes) if changes else 0.0
+        ends = (
+            '| |' if name == ALL_ENABLED else f'{mean:+.3f} | {spread:.3f} |'
+        )
         lines.append(f'| {name} | ' + ' | '.join(cells) + f' | {ends}')
     return '\n'.join(lines) + '\n'
 
@@ -189,18 +202,20 @@
     parser.add_argument('--names', default=','.join(MECHANISMS))
     parser.add_argument('--jobs', type=int, default=4)
     parser.add_argument('--table', action='store_true')
-    given = parser.parse_args()
-    plays = wanted(given.plays, given.names.split(','))
-    results = Results(given.out)
-    if given.table:
-        print(table(plays, results))
+    options = parser.parse_args()
+    runs = list_runs(options.plays, options.names.split(','))
+    results = Results(options.out)
+    if options.table:
+        print(table(runs, results))
         return
-    given.copies.mkdir(parents=True, exist_ok=True)
-    run_plays(
-        plays,
+    options.copies.mkdir(parents=True, exist_ok=True)
+    execute_missing_runs(
+        runs,
         results,
-        given.jobs,
-        lambda one: play(given.player, given.copies.resolve(), one),
+        options.jobs,
+        lambda day_run: simulate_day(
+            options.player, options.copies.resolve(), day_run
+        ),
     )
 
 
--- a/bench/claim_load.py
+++ b/bench/claim_load.py
@@ -1,4 +1,4 @@
-"""A daemon's claim client that keeps a number of claims outstanding."""
+"""Load generator that keeps a fixed number of claims outstanding."""
 
 import dataclasses
 import itertools
@@ -19,7 +19,7 @@
 SERVICE = 'sale'
 CLAIM_SECONDS = 20.0
 TICK_SECONDS = 0.01
-GIVE_UP_SECONDS = 60.0
+LOAD_TIMEOUT_SECONDS = 60.0
 FINGERPRINT = b'f' * 32
 ANSWER = RecordedAnswer(201, [], b'x' * 200, True)
 MILLISECONDS = 1000
@@ -27,10 +27,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadFigures:
-    """What one load gave; latencies are those of claims, in milliseconds.
+    """Results of one load; latencies are of claims, in milliseconds.
 
-    ``client_core`` is the processor time of this client by elapsed time:
-    near 1 the client was the limit, not control.
+    ``client_core`` is the CPU time of this client divided by elapsed time:
+    near 1 the client, not control, was the bottleneck.
     """
 
     claims: int
@@ -43,14 +43,14 @@
 
 
 def quantile(ordered: list[float], share: float) -> float:
-    """Return a quantile of ordered values, 0 for none."""
+    """Return a quantile of sorted values, 0 if there are none."""
     if not ordered:
         return 0.0
     return ordered[min(len(ordered) - 1, int(share * len(ordered)))]
 
 
 class ClaimLoad:
-    """Claims fresh keys; each decided claim is followed by the next."""
+    """Claims new keys; starts the next claim when one has been decided."""
 
     def __init__(self, control: list[str], seed: int = 1):
         self.loop = build_root()
@@ -68,7 +68,7 @@
         )
         self.numbers = itertools.count(1)
         self.with_end = False
-        self.left = 0
+        self.remaining = 0
         self.stop_at = 0.0
         self.outstanding = 0
         self.refused = 0
@@ -77,22 +77,22 @@
     def run(
         self,
         outstanding: int,
-        seconds: float = GIVE_UP_SECONDS,
+        seconds: float = LOAD_TIMEOUT_SECONDS,
         claims: int = 2**62,
         with_end: bool = False,
     ) -> LoadFigures:
-        """Load until the time is over or so many claims were made."""
+        """Send load for ``seconds`` or until ``claims`` have been made."""
         self.times = []
         self.refused = 0
-        self.left = claims
+        self.remaining = claims
         self.with_end = with_end
-        began, used = time.monotonic(), time.process_time()
-        self.stop_at = began + seconds
+        started_at, cpu_before = time.monotonic(), time.process_time()
+        self.stop_at = started_at + seconds
         for _ in range(min(outstanding, claims)):
-            self.begin()
+            self.start_claim()
         while self.outstanding:
             self.loop.tick(TICK_SECONDS)
-        elapsed = time.monotonic() - began
+        elapsed = time.monotonic() - started_at
         ordered = sorted(self.times)
         return LoadFigures(
             claims=len(ordered),
@@ -101,44 +101,46 @@
             p50_ms=MILLISECONDS * quantile(ordered, 0.5),
             p99_ms=MILLISECONDS * quantile(ordered, 0.99),
             worst_ms=MILLISECONDS * quantile(ordered, 1.0),
-            client_core=(time.process_time() - used) / elapsed,
+            client_core=(time.process_time() - cpu_before) / elapsed,
         )
 
-    def begin(self) -> None:
-        """Claim a key that was never used before."""
-        began = time.monotonic()
-        if not self.left or began >= self.stop_at:
+    def start_claim(self) -> None:
+        """Claim a new key, unless the load is complete."""
+        started_at = time.monotonic()
+        if not self.remaining or started_at >= self.stop_at:
             return
-        self.left -= 1
+        self.remaining -= 1
         self.outstanding += 1
         name = f'key-{next(self.numbers):012d}-0123456789abcdef'
         request = ClaimRequest(0, SERVICE, name, name, 0, 0, FINGERPRINT)
         self.client.claim(
             request,
-            began + CLAIM_SECONDS,
-            lambda answer: self.decided(answer, name, began),
+            started_at + CLAIM_SECONDS,
+            lambda answer: self.on_decision(answer, name, started_at),
         )
 
-    def decided(self, answer: ClaimAnswer, name: str, began: float) -> None:
+    def on_decision(
+        self, answer: ClaimAnswer, name: str, started_at: float
+    ) -> None:
         granted = answer.verdict == ClaimVerdict.GRANTED
         if granted:
-            self.times.append(time.monotonic() - began)
+            self.times.append(time.monotonic() - started_at)
         else:
             self.refused += 1
         if granted and self.with_end:
             self.end(name)
             return
-        self.go_on()
+        self.continue_load()
 
     def end(self, name: str) -> None:
-        """Record an answer, as an entry does after a booking."""
+        """End a claim with a recorded answer, as an entry does."""
         ending = ClaimEnd(0, SERVICE, name, name, ClaimEnding.ANSWERED, ANSWER)
         deadline = time.monotonic() + CLAIM_SECONDS
-        self.client.end(ending, deadline, lambda _ended: self.go_on())
+        self.client.end(ending, deadline, lambda _ended: self.continue_load())
 
-    def go_on(self) -> None:
+    def continue_load(self) -> None:
         self.outstanding -= 1
-        self.begin()
+        self.start_claim()
 
     def close(self) -> None:
         self.network.close_all()
--- a/bench/claims.py
+++ b/bench/claims.py
@@ -1,11 +1,11 @@
-"""What claims cost: ``python -m bench.claims``.
+"""Measure the cost of claims: ``python -m bench.claims``.
 
 Real control instances on loopback with real syncs, driven by the claim
-client of one daemon. Measured are claims a second and their latency by the
-number outstanding, alone and with the end that follows each; then memory
-by the number of keys held, with the worst claim on the way there, and the
-time that a snapshot of so many keys holds up the event loop. One JSON line
-for each point; it takes about 90 seconds.
+client of one daemon. Measured are the rate and latency of claims by the
+number outstanding, alone and with the end that follows each claim; memory by
+the number of keys held, with the slowest claim while filling; and the time
+for which a snapshot of that many keys blocks the event loop. Prints one JSON
+line for each point and takes about 90 seconds.
 """
 
 import dataclasses
@@ -26,12 +26,12 @@
 from cyclamenlift.standins.fleet import Fleet
 from cyclamenlift.standins.fleet import temporary_fleet
 
-SIZES = (3, 5)
+CLUSTER_SIZES = (3, 5)
 OUTSTANDING = (1, 32, 128, 256)
 WITH_END = 32
 LOAD_SECONDS = 3.0
-HELD = (10_000, 50_000, 100_000, 200_000)
-FILLING = 256
+HELD_KEYS = (10_000, 50_000, 100_000, 200_000)
+FILL_OUTSTANDING = 256
 MAX_CLAIMS = 300_000
 SNAPSHOT_ENTRIES = 5_000
 SNAPSHOTS = 5
@@ -43,7 +43,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RatePoint:
-    """Claims at one number outstanding; cores are processor by elapsed."""
+    """Claim rate and latency; ``*_core`` is CPU time by elapsed time."""
 
     instances: int
     outstanding: int
@@ -59,7 +59,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MemoryPoint:
-    """One control instance with so many keys held."""
+    """Memory and claim latency with a number of keys held."""
 
     held: int
     leader_rss_mb: float
@@ -71,14 +71,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SnapshotPoint:
-    """Median time on the event loop, with 5,000 claims since the last."""
+    """Median time of a snapshot, 5,000 claims after the previous one."""
 
     held: int
     snapshot_ms: float
     snapshot_mb: float
 
 
-def show(point) -> None:
+def print_point(point) -> None:
     """Print one point as a JSON line."""
     row = {'kind': type(point).__name__}
     for name, value in dataclasses.asdict(point).items():
@@ -88,8 +88,8 @@
     print(json.dumps(row), flush=True)
 
 
-def start(fleet: Fleet, size: int) -> ControlHandle:
-    """Found a cluster with a document in force; return its leader."""
+def start_cluster(fleet: Fleet, size: int) -> ControlHandle:
+    """Start a cluster, publish a document and return the leader."""
     fleet.start_controls(size, max_claims=MAX_CLAIMS)
     leader = wait_for_leader(fleet)
     publish(leader, 0, document())
@@ -104,9 +104,9 @@
     with_end: bool,
 ) -> RatePoint:
     pid = leader.running.process.pid
-    used, began = processor_seconds(pid), time.monotonic()
+    cpu_used, started_at = processor_seconds(pid), time.monotonic()
     figures = load.run(outstanding, LOAD_SECONDS, with_end=with_end)
-    used = processor_seconds(pid) - used
+    cpu_used = processor_seconds(pid) - cpu_used
     return RatePoint(
         instances=size,
         outstanding=outstanding,
@@ -116,33 +116,33 @@
         p99_ms=figures.p99_ms,
         worst_ms=figures.worst_ms,
         refused=figures.refused,
-        leader_core=used / (time.monotonic() - began),
+        leader_core=cpu_used / (time.monotonic() - started_at),
         client_core=figures.client_core,
     )
 
 
 def measure_rates(size: int) -> None:
     with temporary_fleet() as fleet:
-        leader = start(fleet, size)
+        leader = start_cluster(fleet, size)
         load = ClaimLoad([c.peer for c in fleet.controls])
         load.run(1, claims=10)
         for outstanding in OUTSTANDING:
-            show(measure_rate(load, leader, size, outstanding, False))
-        show(measure_rate(load, leader, size, WITH_END, True))
+            print_point(measure_rate(load, leader, size, outstanding, False))
+        print_point(measure_rate(load, leader, size, WITH_END, True))
         load.close()
 
 
 def measure_memory() -> None:
-    """Fill three instances step by step."""
+    """Measure three instances while they fill up with keys."""
     with temporary_fleet() as fleet:
-        leader = start(fleet, SIZES[0])
+        leader = start_cluster(fleet, CLUSTER_SIZES[0])
         follower = next(c for c in fleet.controls if c is not leader)
         load = ClaimLoad([c.peer for c in fleet.controls])
         held = 0
-        for goal in HELD:
-            figures = load.run(FILLING, claims=goal - held)
+        for goal in HELD_KEYS:
+            figures = load.run(FILL_OUTSTANDING, claims=goal - held)
             held += figures.claims
-            show(
+            print_point(
                 MemoryPoint(
                     held=held,
                     leader_rss_mb=resident_megabytes(
@@ -159,8 +159,8 @@
         load.close()
 
 
-def claim_in(machine: ControlMachine, first: int, count: int) -> None:
-    """Grant fresh keys in a state machine, without a log."""
+def grant_claims(machine: ControlMachine, first: int, count: int) -> None:
+    """Grant new keys in a state machine, without a log."""
     for number in range(first, first + count):
         name = f'key-{number:012d}-0123456789abcdef'
         attempt = Attempt('sale', name, name, 0, b'f' * 32, 1000)
@@ -168,23 +168,23 @@
 
 
 def measure_snapshots() -> None:
-    """Time snapshots as an instance takes them: some claims are new."""
+    """Time snapshots, each after new claims as in a running instance."""
     machine = ControlMachine()
     machine.ledger.advance(START_MS)
     held = 0
-    for goal in HELD:
-        claim_in(machine, held, goal - SNAPSHOTS * SNAPSHOT_ENTRIES - held)
+    for goal in HELD_KEYS:
+        grant_claims(machine, held, goal - SNAPSHOTS * SNAPSHOT_ENTRIES - held)
         held = len(machine.ledger)
         machine.snapshot()
         times = []
         for _ in range(SNAPSHOTS):
             count = min(SNAPSHOT_ENTRIES, goal - held)
-            claim_in(machine, held, count)
+            grant_claims(machine, held, count)
             held = len(machine.ledger)
-            began = time.monotonic()
+            started_at = time.monotonic()
             data = machine.snapshot()
-            times.append(MILLISECONDS * (time.monotonic() - began))
-        show(
+            times.append(MILLISECONDS * (time.monotonic() - started_at))
+        print_point(
             SnapshotPoint(
                 held=held,
                 snapshot_ms=sorted(times)[SNAPSHOTS // 2],
@@ -194,8 +194,8 @@
 
 
 def main() -> None:
-    """Measure everything; the processes end with the command."""
-    for size in SIZES:
+    """Run all measurements."""
+    for size in CLUSTER_SIZES:
         measure_rates(size)
     measure_memory()
     measure_snapshots()
--- a/bench/control_fleet.py
+++ b/bench/control_fleet.py
@@ -1,4 +1,4 @@
-"""Control instances for benches: a founded cluster with a document."""
+"""Helpers for benchmarks that run a cluster of control instances."""
 
 import json
 import os
@@ -14,11 +14,11 @@
 ACCEPTED = 5000
 KIBIBYTES_IN_MEGABYTE = 1024
 TICKS_PER_SECOND = os.sysconf('SC_CLK_TCK')
-USER_FIELD = 11
+USER_TIME_FIELD = 11
 
 
 def document(deadline_ms: int = 1000) -> str:
-    """Return a small event document that holds until 2036."""
+    """Return a small event document that is valid until 2036."""
     service = {'name': 'sale', 'deadline_ms': deadline_ms}
     value = {
         'event': 'bench',
@@ -30,10 +30,10 @@
 
 
 def find_leader(fleet: Fleet) -> ControlHandle | None:
-    """Return the instance whose leadership a majority confirms."""
+    """Return the instance whose leadership a majority confirms, if any."""
     for control in fleet.controls:
-        shown = ask_json(control.admin, '/api/document')
-        if shown and shown.get('confirmed'):
+        answer = ask_json(control.admin, '/api/document')
+        if answer and answer.get('confirmed'):
             return control
     return None
 
@@ -45,7 +45,7 @@
 
 
 def publish(leader: ControlHandle, base: int, text: str) -> None:
-    """Publish one change at the leader; raise FleetError if refused."""
+    """Publish a document at the leader; raise FleetError if refused."""
     change = {
         'change_id': f'bench-{base}',
         'base_version': base,
@@ -57,7 +57,7 @@
 
 
 def resident_megabytes(pid: int) -> float:
-    """Return the memory of a process that is in RAM now."""
+    """Return the resident memory of a process."""
     for line in pathlib.Path(f'/proc/{pid}/status').read_text().splitlines():
         name, _, value = line.partition(':')
         if name == 'VmRSS':
@@ -66,8 +66,8 @@
 
 
 def processor_seconds(pid: int) -> float:
-    """Return the processor time that a process has used."""
+    """Return the CPU time, user and system, of a process."""
     text = pathlib.Path(f'/proc/{pid}/stat').read_text()
     fields = text.rpartition(')')[2].split()
-    ticks = int(fields[USER_FIELD]) + int(fields[USER_FIELD + 1])
+    ticks = int(fields[USER_TIME_FIELD]) + int(fields[USER_TIME_FIELD + 1])
     return ticks / TICKS_PER_SECOND
--- a/bench/fit.py
+++ b/bench/fit.py
@@ -1,4 +1,4 @@
-"""Straight lines through measured points."""
+"""Least-squares lines through measured points."""
 
 import dataclasses
 
@@ -7,7 +7,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Line:
-    """``value = base + slope * size`` with the fit's error.
+    """The line ``value = base + slope * size`` and its error.
 
     ``error`` is the root mean square of the residuals, in the unit of the
     values.
@@ -19,7 +19,7 @@
     points: tuple[tuple[float, float], ...]
 
     def at(self, size: float) -> float:
-        """Return the value that the line gives at ``size``."""
+        """Return the value of the line at ``size``."""
         return self.base + self.slope * size
 
 
--- a/bench/floor.py
+++ b/bench/floor.py
@@ -1,11 +1,11 @@
-"""The bare floors under a call: ``python -m bench.floor``.
-
-Two processes, entry and gate, on loopback, with framed thrift and no logic:
-once with the stock sockets of circuits, once with ours. Then the HTTP
-border alone, for a trivial answer: the stock server, our border under
-``circuits.web`` controllers, and our border as the call path uses it. One
-call at a time; the floors alternate in rounds, so that noise of the machine
-meets all. Each process ends by itself.
+"""Measure lower bounds for the cost of a call: ``python -m bench.floor``.
+
+Two processes on loopback, entry and gate, exchange framed thrift without any
+logic: once with the stock sockets of circuits, once with ours. Then the HTTP
+server alone, with a trivial answer: the stock server, ours below
+``circuits.web`` controllers, and ours as the call path uses it. Calls are
+sequential; the baselines alternate in rounds, so that noise of the machine
+affects all of them. Each process exits by itself.
 """
 
 from collections.abc import Callable
@@ -39,7 +39,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Figures:
-    """One round: times and processor time in microseconds a call."""
+    """Latency and CPU time of one round, in microseconds per call."""
 
     floor: str
     p50: float
@@ -56,8 +56,8 @@
     )
 
 
-class Floor:
-    """The processes of one floor and a connection to the first of them."""
+class Baseline:
+    """Processes of one baseline, and a connection to the last one started."""
 
     def __init__(self, name: str, *roles: str):
         self.name = name
@@ -70,15 +70,15 @@
 
     def start(self, role: str, gate):
         context = multiprocessing.get_context('spawn')
-        here, there = context.Pipe()
+        parent_end, child_end = context.Pipe()
         process = context.Process(
-            target=run_role, args=(role, there, gate), daemon=True
+            target=run_role, args=(role, child_end, gate), daemon=True
         )
         process.start()
         self.processes.append(process)
-        if not here.poll(START_SECONDS):
+        if not parent_end.poll(START_SECONDS):
             raise TimeoutError(f'{role} did not start')
-        return here.recv()
+        return parent_end.recv()
 
     def processor_seconds(self) -> float:
         times = [
@@ -110,39 +110,43 @@
         data += sock.recv(READ_SIZE)
 
 
-def measure(floor: Floor, ask: Callable, calls: int) -> Figures:
-    """Time that many calls, one at a time."""
+def measure(baseline: Baseline, send_call: Callable, calls: int) -> Figures:
+    """Measure ``calls`` sequential calls."""
     for _ in range(WARM_UP):
-        ask(floor.sock)
-    before = floor.processor_seconds()
+        send_call(baseline.sock)
+    before = baseline.processor_seconds()
     times = []
     for _ in range(calls):
         start = time.perf_counter()
-        ask(floor.sock)
+        send_call(baseline.sock)
         times.append(time.perf_counter() - start)
-    spent = floor.processor_seconds() - before
+    cpu_used = baseline.processor_seconds() - before
     times.sort()
     return Figures(
-        floor.name,
+        baseline.name,
         times[calls // 2] * MICROSECONDS,
         times[calls * 99 // 100] * MICROSECONDS,
-        spent / calls * MICROSECONDS,
+        cpu_used / calls * MICROSECONDS,
     )
 
 
-def run_floors(
-    floors: list[Floor], ask: Callable, calls: int, rounds: int
+def run_baselines(
+    baselines: list[Baseline], send_call: Callable, calls: int, rounds: int
 ) -> list[Figures]:
-    """Measure each floor in turn, several times; the medians count."""
-    found: dict[str, list[Figures]] = {floor.name: [] for floor in floors}
+    """Measure the baselines in alternation; return their medians."""
+    results: dict[str, list[Figures]] = {
+        baseline.name: [] for baseline in baselines
+    }
     try:
         for _ in range(rounds):
-            for floor in floors:
-                found[floor.name].append(measure(floor, ask, calls))
+            for baseline in baselines:
+                results[baseline.name].append(
+                    measure(baseline, send_call, calls)
+                )
     finally:
-        for floor in floors:
-            floor.stop()
-    return [median(figures) for figures in found.values()]
+        for baseline in baselines:
+            baseline.stop()
+    return [median(figures) for figures in results.values()]
 
 
 def median(figures: list[Figures]) -> Figures:
@@ -155,39 +159,39 @@
     )
 
 
-def call_floors(calls: int, rounds: int) -> list[Figures]:
-    floors = [
-        Floor('gate alone, stock sockets', 'stock gate'),
-        Floor('entry and gate, stock sockets', 'stock gate', 'stock entry'),
-        Floor('gate alone, our sockets', 'own gate'),
-        Floor('entry and gate, our sockets', 'own gate', 'own entry'),
+def call_baselines(calls: int, rounds: int) -> list[Figures]:
+    baselines = [
+        Baseline('gate alone, stock sockets', 'stock gate'),
+        Baseline('entry and gate, stock sockets', 'stock gate', 'stock entry'),
+        Baseline('gate alone, our sockets', 'own gate'),
+        Baseline('entry and gate, our sockets', 'own gate', 'own entry'),
     ]
-    return run_floors(floors, ask_frame, calls, rounds)
+    return run_baselines(baselines, ask_frame, calls, rounds)
 
 
-def border_floors(calls: int, rounds: int) -> list[Figures]:
+def http_baselines(calls: int, rounds: int) -> list[Figures]:
     names = [name for name in ROLES if 'web' in name or 'border' in name]
-    floors = [Floor(name, name) for name in names]
-    return run_floors(floors, ask_http, calls, rounds)
+    baselines = [Baseline(name, name) for name in names]
+    return run_baselines(baselines, ask_http, calls, rounds)
 
 
 def main(calls: int = 1500, rounds: int = 5, as_json: bool = False) -> None:
-    """Measure the floors and print a table, times in microseconds.
+    """Measure the baselines and print a table, times in microseconds.
 
-    ``processor`` is user and system time of the processes of the floor,
-    without the sender.
+    ``processor`` is the user and system time of the processes of the
+    baseline, without the sender.
     """
-    found = call_floors(calls, rounds) + border_floors(calls, rounds)
+    results = call_baselines(calls, rounds) + http_baselines(calls, rounds)
     if as_json:
-        rows = [dataclasses.asdict(figures) for figures in found]
+        rows = [dataclasses.asdict(figures) for figures in results]
         sys.stdout.write(json.dumps(rows, indent=2) + '\n')
         return
     sys.stdout.write('| floor | p50 us | p99 us | processor us |\n')
     sys.stdout.write('|---|---|---|---|\n')
-    for one in found:
+    for result in results:
         sys.stdout.write(
-            f'| {one.floor} | {one.p50:.0f} | {one.p99:.0f} '
-            f'| {one.processor:.0f} |\n'
+            f'| {result.floor} | {result.p50:.0f} | {result.p99:.0f} '
+            f'| {result.processor:.0f} |\n'
         )
 
 
--- a/bench/floor_roles.py
+++ b/bench/floor_roles.py
@@ -1,4 +1,4 @@
-"""The processes that ``bench.floor`` measures, each without any logic."""
+"""Processes that ``bench.floor`` measures, each without any logic."""
 
 from collections.abc import Callable
 import signal
@@ -51,7 +51,7 @@
 
 
 class StockGate(BaseComponent):
-    """Answers each frame."""
+    """Answers each frame at once."""
 
     channel = 'gate'
 
@@ -68,7 +68,7 @@
 
 
 class StockEntry(BaseComponent):
-    """Passes calls on to the gate and answers back."""
+    """Forwards calls to the gate and answers to the caller."""
 
     channel = 'entry'
 
@@ -99,7 +99,7 @@
 
 
 class Announcer(BaseComponent):
-    """Tells the sender the address, once the server has one."""
+    """Sends the server's address to the parent once it listens."""
 
     def __init__(self, server, pipe):
         super().__init__()
@@ -112,7 +112,7 @@
 
 
 def run_stock(component: BaseComponent, server, pipe) -> None:
-    """Run on stock circuits until the sender ends the process."""
+    """Run on stock circuits until the parent ends the process."""
     EPoll().register(component)
     Announcer(server, pipe).register(component)
     component.run()
@@ -133,8 +133,8 @@
 # -- entry and gate on our sockets -------------------------------------------
 
 
-class OwnGate(StreamOwner):
-    """Answers each frame."""
+class StreamGate(StreamOwner):
+    """Answers each frame at once."""
 
     def on_accepted(self, stream: Stream) -> None:
         stream.context = FrameReader()
@@ -144,8 +144,8 @@
             stream.write(make_answer(call.call_id))
 
 
-class OwnEntry(StreamOwner):
-    """Passes calls on to the gate and answers back."""
+class StreamEntry(StreamOwner):
+    """Forwards calls to the gate and answers to the caller."""
 
     def __init__(self, poller, gate: Address):
         super().__init__(poller, 'entry')
@@ -167,32 +167,32 @@
             other.write(encode_frame(message))
 
 
-def run_own(root, address: Address, pipe) -> None:
-    """Run on our loop until the sender ends the process."""
+def run_streams(root, address: Address, pipe) -> None:
+    """Run on our event loop until the parent ends the process."""
     pipe.send(tuple(address))
     root.run()
 
 
 @ROLES.register('own gate')
-def run_own_gate(pipe, _gate) -> None:
+def run_stream_gate(pipe, _gate) -> None:
     root = build_root()
-    gate = OwnGate(root.poller, 'gate').register(root)
-    run_own(root, gate.listen(LOOPBACK), pipe)
+    gate = StreamGate(root.poller, 'gate').register(root)
+    run_streams(root, gate.listen(LOOPBACK), pipe)
 
 
 @ROLES.register('own entry')
-def run_own_entry(pipe, gate) -> None:
+def run_stream_entry(pipe, gate) -> None:
     root = build_root()
-    entry = OwnEntry(root.poller, Address(*gate)).register(root)
+    entry = StreamEntry(root.poller, Address(*gate)).register(root)
     entry.open_link()
-    run_own(root, entry.listen(LOOPBACK), pipe)
+    run_streams(root, entry.listen(LOOPBACK), pipe)
 
 
-# -- the border towards callers -----------------------------------------------
+# -- the HTTP server towards callers ------------------------------------------
 
 
 class Page(BaseController):
-    """One trivial page."""
+    """A single trivial page."""
 
     channel = '/'
 
@@ -211,25 +211,25 @@
 @ROLES.register('our border, circuits.web pages')
 def run_pages(pipe, _gate) -> None:
     root = build_root()
-    run_own(root, WebServer(root, LOOPBACK, [Page()]).address, pipe)
+    run_streams(root, WebServer(root, LOOPBACK, [Page()]).address, pipe)
 
 
 @ROLES.register('our border, as on the call path')
-def run_border(pipe, _gate) -> None:
+def run_http_server(pipe, _gate) -> None:
     root = build_root()
     fields = [('content-type', 'text/plain')]
 
-    def take(exchange) -> None:
+    def handle(exchange) -> None:
         exchange.respond(200, fields, BODY)
 
-    server = HttpServer(root.poller, HttpLimits(), take, 'border')
-    run_own(root, server.register(root).listen(LOOPBACK), pipe)
+    server = HttpServer(root.poller, HttpLimits(), handle, 'border')
+    run_streams(root, server.register(root).listen(LOOPBACK), pipe)
 
 
 def run_role(role: str, pipe, gate) -> None:
-    """Run one role; it sends its address through ``pipe``.
+    """Run one role, which sends its address through ``pipe``.
 
-    The alarm ends the process even if the sender was killed.
+    The alarm ends the process even if the parent was killed.
     """
     signal.alarm(LIFETIME_SECONDS)
     ROLES.get(role)(pipe, gate)
--- a/bench/gossip.py
+++ b/bench/gossip.py
@@ -1,7 +1,8 @@
-"""Cost and speed of the membership protocol against the number of members.
+"""Measure cost and speed of the membership protocol by number of members.
 
 Run ``.venv/bin/python -m bench.gossip``; it ends by itself. Each size runs
-in a process of its own with the pure state, see ``bench.gossip_loop``.
+in a process of its own on the pure protocol state, see
+``bench.gossip_loop``.
 """
 
 import argparse
@@ -19,15 +20,15 @@
 
 SIZES = (50, 100, 200, 400, 680)
 STEADY_PERIODS = 20
-SPREAD_BOUND = 40
-LOSS_BOUND = 60
-COLD_BOUND = 60
+MAX_SPREAD_PERIODS = 40
+MAX_LOSS_PERIODS = 60
+MAX_COLD_PERIODS = 60
 DATA_CENTRE_SHARE = 8
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Cost:
-    """Bytes (in and out) and processor time of one member a second."""
+    """Bytes, in and out, and CPU time of one member per second."""
 
     bytes_mean: float
     bytes_max: float
@@ -36,7 +37,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SizeResult:
-    """What was measured at one number of members; None: not in the bound."""
+    """Results for one number of members; None if over the period limit."""
 
     members: int
     steady: Cost
@@ -51,8 +52,8 @@
     largest_packet: int
 
 
-def cost_of(loop: GossipLoop, periods: int) -> Cost:
-    """Return the cost since the last reset, and reset."""
+def take_cost(loop: GossipLoop, periods: int) -> Cost:
+    """Return the cost since the last reset, and reset the counters."""
     seconds = max(1, periods) * PERIOD
     traffic = [loop.traffic[address] for address in loop.members]
     rates = [(t.bytes_in + t.bytes_out) / seconds for t in traffic]
@@ -61,8 +62,8 @@
     return Cost(statistics.fmean(rates), max(rates), cpu * 1000)
 
 
-def build_warm(members: int) -> GossipLoop:
-    """Return members that know each other and have nothing to tell."""
+def build_converged(members: int) -> GossipLoop:
+    """Return members that know each other and have no updates queued."""
     loop = GossipLoop()
     states = [loop.add(number) for number in range(members)]
     loop.queue.clear()
@@ -78,14 +79,14 @@
     return loop
 
 
-def steady(loop: GossipLoop) -> Cost:
+def measure_steady(loop: GossipLoop) -> Cost:
     for _ in range(STEADY_PERIODS):
         loop.run_period()
-    return cost_of(loop, STEADY_PERIODS)
+    return take_cost(loop, STEADY_PERIODS)
 
 
-def spread_drain(loop: GossipLoop) -> tuple[int, int | None]:
-    """Return how many know a drain at once, and the periods until all do."""
+def measure_drain(loop: GossipLoop) -> tuple[int, int | None]:
+    """Return how many know a drain at once, and periods until all do."""
     address, state = next(iter(loop.members.items()))
     name = state.own.instance
     loop.send(address, state.announce(TargetState.DRAINING, None, loop.now))
@@ -95,15 +96,17 @@
         return record.target_state == TargetState.DRAINING
 
     at_once = sum(knows(s.table.get(name)) for s in loop.members.values())
-    done = loop.run_until(lambda: loop.all_know(name, knows), SPREAD_BOUND)
+    done = loop.run_until(
+        lambda: loop.all_know(name, knows), MAX_SPREAD_PERIODS
+    )
     return at_once, done
 
 
-def spread_version(loop: GossipLoop) -> int | None:
-    """Return the periods until all hold a version that one member has.
+def measure_version(loop: GossipLoop) -> int | None:
+    """Return the periods until all members have one member's version.
 
-    A member that sees the version holds it from its next round on, as one
-    that has to fetch the document first.
+    A member that sees the version announces it from its next round on, like
+    one that has to fetch the document first.
     """
     address, state = next(iter(loop.members.items()))
     loop.send(address, state.announce(None, 1, loop.now))
@@ -116,22 +119,22 @@
         loop.deliver()
         return all(s.own.config_version == 1 for s in loop.members.values())
 
-    return loop.run_until(step_done, SPREAD_BOUND)
+    return loop.run_until(step_done, MAX_SPREAD_PERIODS)
 
 
-def lose_data_centre(loop: GossipLoop) -> tuple[Cost, int | None]:
-    """Kill an eighth of the members; run until the others agree."""
-    gone = len(loop.members) // DATA_CENTRE_SHARE
+def measure_loss(loop: GossipLoop) -> tuple[Cost, int | None]:
+    """Kill an eighth of the members; run until the others converge."""
+    lost_count = len(loop.members) // DATA_CENTRE_SHARE
     loop.reset_traffic()
-    for number in range(3, 3 + gone):
+    for number in range(3, 3 + lost_count):
         loop.kill(number)
     began = loop.now
-    done = loop.run_until(loop.all_agree, LOSS_BOUND)
-    return cost_of(loop, int((loop.now - began) / PERIOD)), done
+    done = loop.run_until(loop.all_agree, MAX_LOSS_PERIODS)
+    return take_cost(loop, int((loop.now - began) / PERIOD)), done
 
 
-def start_cold(members: int) -> tuple[Cost, int | None, float]:
-    """Start all at one instant; also return the share known after 10 s."""
+def measure_cold_start(members: int) -> tuple[Cost, int | None, float]:
+    """Start all members at once; also return the share known after 10 s."""
     loop = GossipLoop()
     for number in range(members):
         loop.add(number)
@@ -140,26 +143,26 @@
     known = statistics.fmean(
         s.table.live_count() for s in loop.members.values()
     )
-    rest = loop.run_until(loop.all_agree, COLD_BOUND - 10)
+    rest = loop.run_until(loop.all_agree, MAX_COLD_PERIODS - 10)
     done = None if rest is None else rest + 10
-    cost = cost_of(loop, int(loop.now / PERIOD))
+    cost = take_cost(loop, int(loop.now / PERIOD))
     return cost, done, known / members
 
 
 def measure(members: int) -> SizeResult:
-    """Return everything for one size."""
-    loop = build_warm(members)
-    quiet = steady(loop)
-    at_once, drained = spread_drain(loop)
-    versioned = spread_version(loop)
+    """Run all measurements for one number of members."""
+    loop = build_converged(members)
+    steady_cost = measure_steady(loop)
+    at_once, drained = measure_drain(loop)
+    versioned = measure_version(loop)
     for _ in range(10):
         loop.run_period()
-    loss, lost = lose_data_centre(loop)
-    cold, joined, known = start_cold(members)
+    loss, lost = measure_loss(loop)
+    cold, joined, known = measure_cold_start(members)
     largest = max(t.largest for t in loop.traffic.values())
     return SizeResult(
         members,
-        quiet,
+        steady_cost,
         at_once,
         drained,
         versioned,
@@ -172,12 +175,12 @@
     )
 
 
-def periods_text(value: int | None, bound: int) -> str:
-    return f'over {bound}' if value is None else str(value)
+def format_periods(value: int | None, limit: int) -> str:
+    return f'over {limit}' if value is None else str(value)
 
 
-def show(results: list[SizeResult]) -> None:
-    """Print the tables and the fits."""
+def print_results(results: list[SizeResult]) -> None:
+    """Print the table and the fitted lines."""
     table = Table(title='membership, one member, period 1 s')
     for title in (
         'members',
@@ -197,12 +200,12 @@
             f'{r.steady.bytes_mean:.0f} ({r.steady.bytes_max:.0f})',
             f'{r.steady.cpu_ms:.3f}',
             str(r.drain_at_once),
-            periods_text(r.drain_periods, SPREAD_BOUND),
-            periods_text(r.version_periods, SPREAD_BOUND),
+            format_periods(r.drain_periods, MAX_SPREAD_PERIODS),
+            format_periods(r.version_periods, MAX_SPREAD_PERIODS),
             f'{r.loss.bytes_mean:.0f}, {r.loss.cpu_ms:.3f}, '
-            + periods_text(r.loss_periods, LOSS_BOUND),
+            + format_periods(r.loss_periods, MAX_LOSS_PERIODS),
             f'{r.cold.bytes_mean:.0f} ({r.cold.bytes_max:.0f}), '
-            + periods_text(r.cold_periods, COLD_BOUND),
+            + format_periods(r.cold_periods, MAX_COLD_PERIODS),
             f'{r.cold_known_10:.2f}',
         )
     console = Console(width=150)
@@ -225,10 +228,10 @@
     parser.add_argument('--processes', type=int, default=3)
     arguments = parser.parse_args()
     with concurrent.futures.ProcessPoolExecutor(arguments.processes) as pool:
-        # The largest first, so that it does not run alone at the end.
+        # Largest first, so that it does not run alone at the end.
         sizes = sorted(arguments.sizes, reverse=True)
         results = list(pool.map(measure, sizes))
-    show(sorted(results, key=lambda r: r.members))
+    print_results(sorted(results, key=lambda r: r.members))
 
 
 if __name__ == '__main__':
--- a/bench/gossip_loop.py
+++ b/bench/gossip_loop.py
@@ -1,8 +1,8 @@
-"""A plain loop that carries packets between membership states.
+"""A simulated network that delivers packets between membership states.
 
-Each period every member does its round, in a shuffled order, and packets
-are handed over at once until none is left. Bytes count IP and UDP headers;
-processor time counts decoding, deciding and encoding.
+In each period every member runs its round, in shuffled order, and packets
+are delivered at once until none is left. Bytes include IP and UDP headers;
+processor time covers decoding, protocol logic and encoding.
 """
 
 import collections
@@ -26,7 +26,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Traffic:
-    """What one member sent, received and spent since the last reset."""
+    """Traffic and CPU time of one member since the last reset."""
 
     bytes_in: int = 0
     bytes_out: int = 0
@@ -40,7 +40,7 @@
 
 
 class GossipLoop:
-    """Members by address, with a clock of its own."""
+    """Members by address, with a simulated clock."""
 
     def __init__(self, seed: int = 1, loss: float = 0.0) -> None:
         self.rng = random.Random(seed)
@@ -52,7 +52,7 @@
         self.side_of = None
 
     def add(self, number: int, boot: int = 0) -> MembershipState:
-        """Start the member with this number; ``boot`` counts its lives."""
+        """Start the member with this number; ``boot`` counts its restarts."""
         address = address_of(number)
         settings = MembershipSettings(
             instance=f'instance-{number:04d}',
@@ -82,7 +82,7 @@
         del self.members[address_of(number)]
 
     def cut(self, side_of) -> None:
-        """Lose packets between members for which ``side_of`` differs."""
+        """Drop packets between members for which ``side_of`` differs."""
         self.side_of = side_of
 
     def send(self, source: Address, outgoing: list) -> None:
@@ -116,7 +116,7 @@
         return self.loss > 0 and self.rng.random() < self.loss
 
     def run_period(self) -> None:
-        """Let every member do one round."""
+        """Run one round of every member."""
         self.now += PERIOD
         addresses = list(self.members)
         self.rng.shuffle(addresses)
@@ -131,7 +131,7 @@
             self.deliver()
 
     def run_until(self, done, bound: int) -> int | None:
-        """Run periods until ``done()``; return how many, None if over."""
+        """Run until ``done()``; return the periods, None if over ``bound``."""
         for count in range(bound + 1):
             if done():
                 return count
@@ -143,13 +143,13 @@
             self.traffic[address] = Traffic()
 
     def all_agree(self) -> bool:
-        """Tell whether each member knows exactly the running members."""
+        """Return whether each member knows exactly the running members."""
         digests = {state.table.digest for state in self.members.values()}
         counts = {state.table.live_count() for state in self.members.values()}
         return len(digests) == 1 and counts == {len(self.members)}
 
     def all_know(self, instance: str, test) -> bool:
-        """Tell whether ``test`` holds for a record at each member."""
+        """Return whether ``test`` holds for a record at each member."""
         return all(
             test(state.table.get(instance)) for state in self.members.values()
         )
--- a/bench/gossip_sockets.py
+++ b/bench/gossip_sockets.py
@@ -1,7 +1,7 @@
-"""Membership with real sockets: ``python -m bench.gossip_sockets``.
+"""Measure membership with real sockets: ``python -m bench.gossip_sockets``.
 
-Many members share one loop and process, so that a hundred are cheap. The
-period is shortened; bytes and processor time are given for each period,
+Many members share one event loop and process, which makes a hundred
+affordable. The period is shortened; bytes and processor time are per period,
 which is what a member with a period of 1 s spends in a second.
 """
 
@@ -24,8 +24,8 @@
 MEASURED_PERIODS = 40
 
 
-class Members:
-    """Members under one loop, and what they spent."""
+class MemberGroup:
+    """Members on one event loop, and the cost of all of them."""
 
     def __init__(self, count: int) -> None:
         self.root = build_root()
@@ -57,8 +57,8 @@
         count = len(self.members)
         return all(len(m.members()) == count for m in self.members)
 
-    def spent(self) -> tuple[float, float]:
-        """Return bytes with headers and processor seconds so far."""
+    def total_cost(self) -> tuple[float, float]:
+        """Return bytes, with headers, and CPU seconds so far."""
         total = 0
         for member in self.members:
             counters = member.counters
@@ -68,39 +68,39 @@
         return total, time.process_time()
 
     def measure(self, done) -> None:
-        """Join, warm up, measure; then hand the figures to ``done``."""
-        began = time.monotonic()
-        marks: dict[str, float] = {}
+        """Join, warm up and measure; then call ``done`` with the figures."""
+        started_at = time.monotonic()
+        baseline: dict[str, float] = {}
 
-        def watch() -> None:
-            passed = time.monotonic() - began
+        def wait_for_join() -> None:
+            elapsed = time.monotonic() - started_at
             if self.all_joined():
-                marks['joined'] = passed
-                self.later(WARM_PERIODS, begin)
-            elif passed < JOIN_SECONDS:
-                self.root.scheduler.after(0.05, watch)
+                baseline['joined'] = elapsed
+                self.call_after_periods(WARM_PERIODS, start_measuring)
+            elif elapsed < JOIN_SECONDS:
+                self.root.scheduler.after(0.05, wait_for_join)
             else:
                 done(None)
 
-        def begin() -> None:
-            marks['bytes'], marks['cpu'] = self.spent()
-            self.later(MEASURED_PERIODS, end)
+        def start_measuring() -> None:
+            baseline['bytes'], baseline['cpu'] = self.total_cost()
+            self.call_after_periods(MEASURED_PERIODS, finish)
 
-        def end() -> None:
-            total, cpu = self.spent()
+        def finish() -> None:
+            total, cpu = self.total_cost()
             share = len(self.members) * MEASURED_PERIODS
             done(
                 {
                     'members': len(self.members),
-                    'joined_s': round(marks['joined'], 2),
-                    'bytes': round((total - marks['bytes']) / share),
-                    'cpu_ms': round(1000 * (cpu - marks['cpu']) / share, 3),
+                    'joined_s': round(baseline['joined'], 2),
+                    'bytes': round((total - baseline['bytes']) / share),
+                    'cpu_ms': round(1000 * (cpu - baseline['cpu']) / share, 3),
                 }
             )
 
-        watch()
+        wait_for_join()
 
-    def later(self, periods: int, callback) -> None:
+    def call_after_periods(self, periods: int, callback) -> None:
         self.root.scheduler.after(periods * PERIOD, callback)
 
     def close(self) -> None:
@@ -112,11 +112,11 @@
     """Print one JSON line for each number of members.
 
     Args:
-        sizes: Numbers of members, with commas between.
+        sizes: Numbers of members, separated by commas.
     """
-    listed = sizes if isinstance(sizes, tuple) else str(sizes).split(',')
-    for size in listed:
-        group = Members(int(size))
+    size_list = sizes if isinstance(sizes, tuple) else str(sizes).split(',')
+    for size in size_list:
+        group = MemberGroup(int(size))
 
         def done(value, group=group) -> None:
             sys.stdout.write(json.dumps(value) + '\n')
--- a/bench/path.py
+++ b/bench/path.py
@@ -1,12 +1,12 @@
-"""What the path adds to a direct call: ``python -m bench.path``.
+"""Measure the latency that the path adds to a call: ``python -m bench.path``.
 
 One entry daemon and one gate daemon (two processes) between a sender and a
 stand-in target with a constant service time. Direct calls and calls through
-the path alternate in rounds, so that noise of the machine meets both. The
-processor time of both daemons is read from the system.
+the path alternate in rounds, so that noise of the machine affects both. The
+CPU time of both daemons is read from the operating system.
 
-``python -m bench.path --closed=3000`` sends one call at a time instead, with
-a target that answers at once: what a single caller waits for.
+``python -m bench.path --closed=3000`` sends one call at a time instead, to a
+target that answers at once: the latency that a single caller sees.
 """
 
 import dataclasses
@@ -42,9 +42,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Point:
-    """One rate: latency in milliseconds, processor time in microseconds.
+    """One rate: latency in milliseconds, CPU time in microseconds.
 
-    A rate of 0 stands for calls one at a time.
+    A rate of 0 stands for sequential calls.
     """
 
     rate: float
@@ -59,7 +59,7 @@
     failures: int
 
 
-def start(
+def start_fleet(
     fleet: Fleet, service_ms: float = SERVICE_MS
 ) -> tuple[DaemonHandle, DaemonHandle, str]:
     """Start control, target, gate and entry; publish the document."""
@@ -98,45 +98,45 @@
 
 
 async def measure(entry, gate, target: str, rate: float, seconds: float):
-    """Return the point of one rate over alternating rounds."""
+    """Measure one rate in alternating rounds."""
     direct, through = [], []
-    spent = [0.0, 0.0]
+    cpu_used = [0.0, 0.0]
     for seed in range(1, ROUNDS + 1):
         direct.append(await send(target, rate, seconds, seed))
         before = [cpu_seconds(d) for d in (entry, gate)]
         through.append(await send(entry.entry, rate, seconds, seed))
         after = [cpu_seconds(d) for d in (entry, gate)]
         for side in (0, 1):
-            spent[side] += after[side] - before[side]
-    return make_point(rate, direct, through, spent)
+            cpu_used[side] += after[side] - before[side]
+    return make_point(rate, direct, through, cpu_used)
 
 
-def call_in_turn(address: str, calls: int) -> list[float]:
-    """Return the sorted latencies of calls sent one after the other, ms."""
+def call_sequentially(address: str, calls: int) -> list[float]:
+    """Return the sorted latencies in ms of sequential calls."""
     found = []
     with socket.create_connection(Address.parse(address)) as caller:
         caller.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         for _ in range(calls):
-            began = time.perf_counter()
+            started_at = time.perf_counter()
             caller.sendall(CLOSED_REQUEST)
             answer = caller.recv(READ_SIZE)
-            found.append((time.perf_counter() - began) * 1000)
+            found.append((time.perf_counter() - started_at) * 1000)
             if not answer.startswith(b'HTTP/1.1 200'):
                 raise SystemExit(f'an answer began with {answer[:40]!r}')
     return sorted(found)
 
 
 def measure_closed(entry, gate, target: str, calls: int) -> Point:
-    """Return the point of calls one at a time, over alternating rounds."""
+    """Measure sequential calls in alternating rounds."""
     direct, through = [], []
-    spent = [0.0, 0.0]
+    cpu_used = [0.0, 0.0]
     for _ in range(ROUNDS):
-        direct += call_in_turn(target, calls)
+        direct += call_sequentially(target, calls)
         before = [cpu_seconds(d) for d in (entry, gate)]
-        through += call_in_turn(entry.entry, calls)
+        through += call_sequentially(entry.entry, calls)
         after = [cpu_seconds(d) for d in (entry, gate)]
         for side in (0, 1):
-            spent[side] += after[side] - before[side]
+            cpu_used[side] += after[side] - before[side]
     total = len(through)
     p50 = [sorted(found)[total // 2] for found in (direct, through)]
     p99 = [sorted(found)[total * 99 // 100] for found in (direct, through)]
@@ -148,13 +148,13 @@
         path_p99=round(p99[1], 3),
         added_p50=round(p50[1] - p50[0], 3),
         added_p99=round(p99[1] - p99[0], 3),
-        entry_us=round(spent[0] / total * MICROSECONDS, 1),
-        gate_us=round(spent[1] / total * MICROSECONDS, 1),
+        entry_us=round(cpu_used[0] / total * MICROSECONDS, 1),
+        gate_us=round(cpu_used[1] / total * MICROSECONDS, 1),
         failures=0,
     )
 
 
-def make_point(rate: float, direct, through, spent) -> Point:
+def make_point(rate: float, direct, through, cpu_used) -> Point:
     found = [merge(direct), merge(through)]
     p50 = [h.get_value_at_percentile(50.0) / 1000 for h in found]
     p99 = [h.get_value_at_percentile(99.0) / 1000 for h in found]
@@ -167,21 +167,21 @@
         path_p99=p99[1],
         added_p50=round(p50[1] - p50[0], 3),
         added_p99=round(p99[1] - p99[0], 3),
-        entry_us=round(spent[0] / calls * MICROSECONDS, 1),
-        gate_us=round(spent[1] / calls * MICROSECONDS, 1),
+        entry_us=round(cpu_used[0] / calls * MICROSECONDS, 1),
+        gate_us=round(cpu_used[1] / calls * MICROSECONDS, 1),
         failures=sum(s.failures() for s in through),
     )
 
 
 def merge(summaries):
-    """Return one histogram over all rounds."""
+    """Return one latency histogram over all rounds."""
     first = summaries[0].total.latency
     for other in summaries[1:]:
         first.add(other.total.latency)
     return first
 
 
-def write_point(point: Point) -> None:
+def print_point(point: Point) -> None:
     sys.stdout.write(json.dumps(dataclasses.asdict(point)) + '\n')
     sys.stdout.flush()
 
@@ -192,23 +192,23 @@
     """Print one JSON line for each rate.
 
     Args:
-        rates: Calls a second, with commas between.
-        seconds: Length of one round; three rounds each way for a rate.
-        closed: Send that many calls a round, one at a time, and no rates.
+        rates: Calls per second, separated by commas.
+        seconds: Length of a round; a rate has three rounds each way.
+        closed: If set, sequential calls per round, in place of rates.
     """
     if closed:
         with temporary_fleet('warning') as fleet:
-            parts = start(fleet, CLOSED_SERVICE_MS)
-            write_point(measure_closed(*parts, closed))
+            processes = start_fleet(fleet, CLOSED_SERVICE_MS)
+            print_point(measure_closed(*processes, closed))
         return
-    listed = rates if isinstance(rates, tuple) else str(rates).split(',')
+    rate_list = rates if isinstance(rates, tuple) else str(rates).split(',')
     with temporary_fleet('warning') as fleet:
-        entry, gate, target = start(fleet)
-        for rate in listed:
+        entry, gate, target = start_fleet(fleet)
+        for rate in rate_list:
             point = run_precisely(
                 measure(entry, gate, target, float(rate), seconds)
             )
-            write_point(point)
+            print_point(point)
 
 
 if __name__ == '__main__':
--- a/bench/plots.py
+++ b/bench/plots.py
@@ -1,4 +1,4 @@
-"""Plot latency by policy and fault, and what became of calls by time.
+"""Plot latency by policy and fault, and call outcomes over time.
 
     python -m bench.plots policies bench/results/policies-dundee.jsonl \\
         docs/plots/policies-dundee.svg
@@ -18,8 +18,8 @@
 from cyclamenlift.reports.losses import count
 from cyclamenlift.reports.losses import read_lines
 
-# What became of calls, in the order in which the areas are stacked.
-FATES = {
+# Outcomes of calls, in the order in which the areas are stacked.
+OUTCOMES = {
     'answered': '#66a61e',
     'refused': '#e6ab02',
     'lost': '#d1495b',
@@ -32,12 +32,12 @@
     'hot_cold': '#d1495b',
 }
 BAR_WIDTH = 0.16
-# The length of a window of the plot of losses, in seconds.
-LOSS_SECONDS = 1.0
+# Length of a window in the plot of losses.
+WINDOW_SECONDS = 1.0
 
 
 def policies(results: str, out: str) -> None:
-    """Draw p99 by scenario and policy, with the range over the runs.
+    """Plot p99 by scenario and policy, with the range over the runs.
 
     Args:
         results: File that ``bench.policies run`` wrote.
@@ -66,11 +66,11 @@
 
 
 def losses(out: str, *logs: str) -> None:
-    """Draw what became of callers' calls by time, a panel for each log.
+    """Plot call outcomes over time, one panel for each log.
 
     Args:
         out: SVG file to write.
-        logs: Files with the JSON lines of all processes of a day each.
+        logs: Files, each with the JSON log lines of all processes of a day.
     """
     mpl.use('svg')
     mpl.rcParams['svg.hashsalt'] = 'cyclamenlift'
@@ -79,32 +79,35 @@
     )
     for axes, name in zip(panels[:, 0], logs, strict=True):
         text = pathlib.Path(name).read_text(errors='replace')
-        draw_losses(axes, count(read_lines(text.splitlines()), LOSS_SECONDS))
+        draw_losses(axes, count(read_lines(text.splitlines()), WINDOW_SECONDS))
         axes.set_title(pathlib.Path(name).stem, fontsize=9)
         axes.set_ylabel('calls a second')
     panels[-1, 0].set_xlabel('seconds')
-    panels[0, 0].legend(ncols=len(FATES), frameon=False, fontsize=9)
+    panels[0, 0].legend(ncols=len(OUTCOMES), frameon=False, fontsize=9)
     path = pathlib.Path(out)
     path.parent.mkdir(parents=True, exist_ok=True)
     figure.savefig(path, metadata={'Date': None})
 
 
 def draw_losses(axes, windows) -> None:
-    """Stack the fates of the calls of each window."""
+    """Draw the outcomes of the calls of each window as stacked areas."""
     starts = sorted(windows)
     found = [windows[start] for start in starts]
     rates = (
-        [w.answered / LOSS_SECONDS for w in found],
-        [w.refused.total() / LOSS_SECONDS for w in found],
-        [(w.unknown.total() + w.target_errors) / LOSS_SECONDS for w in found],
+        [w.answered / WINDOW_SECONDS for w in found],
+        [w.refused.total() / WINDOW_SECONDS for w in found],
+        [
+            (w.unknown.total() + w.target_errors) / WINDOW_SECONDS
+            for w in found
+        ],
     )
     axes.stackplot(
-        starts, *rates, labels=list(FATES), colors=list(FATES.values())
+        starts, *rates, labels=list(OUTCOMES), colors=list(OUTCOMES.values())
     )
 
 
 def draw_policy(axes, found, scenarios, policy: str, number: int) -> None:
-    """Draw one policy's bars: the median, with least and most."""
+    """Draw one policy's bars: the median, with minimum and maximum."""
     for place, scenario in enumerate(scenarios):
         rows = found.get((scenario, policy))
         if not rows:
--- a/bench/policies.py
+++ b/bench/policies.py
@@ -3,11 +3,11 @@
     python -m bench.policies run --site dundee --out results.jsonl
     python -m bench.policies table --results results.jsonl
 
-One run is a fresh fleet: stand-in targets with slots, daemons (some beside
-a target, some as entries only), one control instance, and an open-loop
-sender that checks every answer. The policy is a field of the event
-document. A fault starts one second into the measured load. Bookings with a
-key ride along so that doubled and lost ones can be counted at the targets.
+Each run starts a new fleet: stand-in targets with slots, daemons (some next
+to a target, some as entries only), one control instance, and an open-loop
+sender that checks every answer. The policy is a field of the event document.
+A fault starts one second into the measured load. The load includes bookings
+with a key, so that duplicate and lost ones can be counted at the targets.
 """
 
 import asyncio
@@ -43,10 +43,10 @@
 MEASURED_SECONDS = 5.0
 BOOKING_SHARE = 0.02
 GOSSIP_SECONDS = 0.3
-TRIES = 2
-QUIET_TRIES = 20
-QUIET_PERCENT = 75.0
-LATE_MS = 5.0
+MAX_ATTEMPTS = 2
+IDLE_CHECKS = 20
+MAX_CPU_PERCENT = 75.0
+MAX_SENDER_LATENESS_MS = 5.0
 POLICY_NAMES = (
     'random',
     'round_robin',
@@ -58,7 +58,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Site:
-    """Sizes of one site; the load is a share of all its slots."""
+    """Sizes of one site; ``load`` is the share of all its slots in use."""
 
     data_centres: tuple[str, ...]
     targets: int
@@ -91,12 +91,12 @@
     'drain': {},
     'kill': {},
 }
-COLD = {'cold_ms': 4000, 'cold_factor': 8}
+COLD_START = {'cold_ms': 4000, 'cold_factor': 8}
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Job:
-    """One run to make."""
+    """Parameters of one run."""
 
     site: str
     scenario: str
@@ -105,19 +105,19 @@
     hedge: bool = True
 
 
-class Bench:
-    """One fleet under one scenario."""
+class FleetRun:
+    """One fleet in one scenario."""
 
     def __init__(self, fleet: Fleet, job: Job):
         self.fleet = fleet
         self.job = job
         self.site = SITES[job.site]
 
-    def place(self, number: int) -> str:
+    def data_centre_of(self, number: int) -> str:
         return self.site.data_centres[number % len(self.site.data_centres)]
 
     def start(self) -> None:
-        """Start everything but, for a cold start, the first daemon."""
+        """Start the fleet; for a cold start, without the first daemon."""
         self.fleet.start_controls(1)
         for number in range(self.site.targets):
             self.fleet.start_target(
@@ -135,18 +135,18 @@
         for number in range(self.site.entries):
             self.fleet.start_daemon(
                 f'entry{number}',
-                self.place(number),
+                self.data_centre_of(number),
                 gossip_seconds=GOSSIP_SECONDS,
             )
         self.publish()
         try:
             self.fleet.wait_in_force(1, len(self.fleet.daemons))
         except FleetError:
-            self.report()
+            self.print_daemon_states()
             raise
 
-    def report(self) -> None:
-        """Say what each daemon knows, for a fleet that did not start."""
+    def print_daemon_states(self) -> None:
+        """Print the status and log of each daemon, if the start failed."""
         for daemon in self.fleet.daemons:
             sys.stderr.write(f'{daemon.running.name}: {daemon.status()}\n')
             sys.stderr.write(daemon.running.log.read_text()[-500:])
@@ -154,14 +154,14 @@
     def start_daemon(self, number: int) -> None:
         self.fleet.start_daemon(
             f't{number}',
-            self.place(number),
+            self.data_centre_of(number),
             self.fleet.targets[number],
             health_path='/health',
             gossip_seconds=GOSSIP_SECONDS,
         )
 
     def publish(self) -> None:
-        """Publish the document that names the policy."""
+        """Publish a document that selects the policy."""
         document = demo_document()
         document['services'] = [
             {
@@ -188,14 +188,14 @@
 
         wait_until(accepted, 30.0, 'the document published')
 
-    def break_it(self) -> None:
-        """Bring the fault about; runs beside the sender's loop."""
+    def inject_fault(self) -> None:
+        """Inject the fault; runs in a thread next to the sender's loop."""
         scenario = self.job.scenario
         for number, faults in FAULTS[scenario].items():
             if number < self.site.targets:
                 self.fleet.targets[number].fault(**faults)
         if scenario == 'cold_start':
-            self.fleet.targets[0].fault(**COLD)
+            self.fleet.targets[0].fault(**COLD_START)
             self.start_daemon(0)
         elif scenario == 'drain':
             ask_json(self.first_daemon().admin, '/drain', 'POST', {})
@@ -207,7 +207,7 @@
         return self.fleet.daemons[self.site.targets - 1]
 
     async def send(self) -> Summary:
-        """Warm up, then send the measured load with the fault in it."""
+        """Warm up, then send the measured load, which the fault interrupts."""
         entries = tuple(
             d.entry
             for d in self.fleet.daemons
@@ -233,12 +233,12 @@
         )
         loop = asyncio.get_running_loop()
         loop.call_later(
-            FAULT_AT, lambda: loop.run_in_executor(None, self.break_it)
+            FAULT_AT, lambda: loop.run_in_executor(None, self.inject_fault)
         )
         return await run_load(plan)
 
     def probes(self) -> int:
-        """Return the probes that reached gates, answered or not."""
+        """Return the number of probes that reached gates, answered or not."""
         found = 0
         for daemon in self.fleet.daemons:
             status = daemon.status() if daemon.running.alive() else None
@@ -248,7 +248,7 @@
         return found
 
     def result(self, summary: Summary, probes: int) -> dict:
-        """Return one line of results; latency of the look-ups in ms."""
+        """Return a row of results; latency of the look-ups in ms."""
         reads = summary.kinds[Kind.READ]
         runs: collections.Counter = collections.Counter()
         load_requests = 0
@@ -278,43 +278,43 @@
         }
 
 
-def end_cleanly() -> None:
-    """Let a worker that is told to end close its fleet first."""
+def exit_on_sigterm() -> None:
+    """Make a terminated worker close its fleet before it exits."""
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(1))
 
 
-def wait_for_quiet() -> None:
-    """Wait, for a minute at most, until the machine has cores to spare."""
-    for _ in range(QUIET_TRIES):
-        if psutil.cpu_percent(1.0) < QUIET_PERCENT:
+def wait_for_idle_cpu() -> None:
+    """Wait, for IDLE_CHECKS seconds at most, until the CPU is less busy."""
+    for _ in range(IDLE_CHECKS):
+        if psutil.cpu_percent(1.0) < MAX_CPU_PERCENT:
             return
 
 
 def run_job(job: Job) -> dict | None:
-    """Make one run in a worker; None when the fleet did not start.
+    """Execute one run in a worker; None if the fleet did not start.
 
-    A run in which the sender itself was late says more of the machine than
-    of a policy: it is made again.
+    If the sender itself was late, the result depends more on the machine
+    than on the policy, and the run is repeated.
     """
     result = None
-    for _ in range(TRIES):
-        wait_for_quiet()
+    for _ in range(MAX_ATTEMPTS):
+        wait_for_idle_cpu()
         try:
             with temporary_fleet('warning') as fleet:
-                bench = Bench(fleet, job)
-                bench.start()
-                before = bench.probes()
-                summary = run_precisely(bench.send())
-                result = bench.result(summary, bench.probes() - before)
-            if result['late_p99'] <= LATE_MS:
+                fleet_run = FleetRun(fleet, job)
+                fleet_run.start()
+                before = fleet_run.probes()
+                summary = run_precisely(fleet_run.send())
+                result = fleet_run.result(summary, fleet_run.probes() - before)
+            if result['late_p99'] <= MAX_SENDER_LATENESS_MS:
                 return result
         except (FleetError, OSError) as error:
             sys.stderr.write(f'{job}: {error}\n')
     return result
 
 
-def words(value) -> tuple[str, ...]:
-    """Read a list that ``fire`` may have split already."""
+def split_names(value) -> tuple[str, ...]:
+    """Return a comma-separated list, which ``fire`` may have split."""
     return tuple(value.split(',')) if isinstance(value, str) else value
 
 
@@ -327,31 +327,31 @@
     workers: int = 1,
     hedge: bool = True,
 ) -> None:
-    """Make all runs, round by round; append each result to a file.
+    """Execute all runs, round by round; append each result to a file.
 
-    Runs that the file holds already are not made again.
+    Runs whose results are already in the file are skipped.
 
     Args:
         site: dundee or addis.
         out: File that gets one JSON line for each run.
-        scenarios: Some of the scenarios, with commas.
-        policies: Some of the policies, with commas.
-        runs: Runs of each scenario and policy.
-        workers: Fleets at a time.
-        hedge: Whether the event allows hedges.
+        scenarios: Scenarios, separated by commas.
+        policies: Policies, separated by commas.
+        runs: Number of runs of each scenario and policy.
+        workers: Number of concurrent fleets.
+        hedge: Whether the event document allows hedged requests.
     """
     jobs = [
         Job(site, scenario, policy, number, hedge)
         for number, scenario, policy in itertools.product(
-            range(1, runs + 1), words(scenarios), words(policies)
+            range(1, runs + 1), split_names(scenarios), split_names(policies)
         )
     ]
     path = pathlib.Path(out)
     path.parent.mkdir(parents=True, exist_ok=True)
-    done = made_already(path)
+    done = completed_jobs(path)
     jobs = [job for job in jobs if job not in done]
-    end_cleanly()
-    pool = multiprocessing.Pool(workers, initializer=end_cleanly)
+    exit_on_sigterm()
+    pool = multiprocessing.Pool(workers, initializer=exit_on_sigterm)
     with pool, path.open('a') as file:
         for result in pool.imap_unordered(run_job, jobs, chunksize=1):
             if result is not None:
@@ -359,8 +359,8 @@
                 file.flush()
 
 
-def made_already(path: pathlib.Path) -> set[Job]:
-    """Return the jobs whose results a file holds, late ones not."""
+def completed_jobs(path: pathlib.Path) -> set[Job]:
+    """Return the jobs with results in a file, without late senders."""
     if not path.exists():
         return set()
     names = [field.name for field in dataclasses.fields(Job)]
@@ -372,34 +372,34 @@
 
 
 def load_results(path: str) -> dict[tuple[str, str], list[dict]]:
-    """Return the runs of a file by scenario and policy, late ones not."""
+    """Return rows by scenario and policy, without late senders."""
     found: dict[tuple[str, str], list[dict]] = {}
     for line in pathlib.Path(path).read_text().splitlines():
         row = json.loads(line)
-        if row['late_p99'] > LATE_MS:
+        if row['late_p99'] > MAX_SENDER_LATENESS_MS:
             continue
         found.setdefault((row['scenario'], row['policy']), []).append(row)
     return found
 
 
 def table(results: str) -> None:
-    """Print medians over the runs as a Markdown table.
+    """Print the medians of all runs as a Markdown table.
 
     Args:
         results: File that ``run`` wrote.
     """
-    say = sys.stdout.write
-    say(
+    output = sys.stdout.write
+    output(
         '| scenario | policy | runs | p50 ms | p99 ms (least to most) '
         '| p99.9 ms | failed | probes a call | doubled | lost |\n'
     )
-    say('|---|---|---|---|---|---|---|---|---|---|\n')
+    output('|---|---|---|---|---|---|---|---|---|---|\n')
     for (scenario, policy), rows in load_results(results).items():
-        say(f'| {scenario} | {policy} | {len(rows)} | {describe(rows)} |\n')
+        output(f'| {scenario} | {policy} | {len(rows)} | {describe(rows)} |\n')
 
 
 def describe(rows: list[dict]) -> str:
-    """Return the cells of one scenario and policy."""
+    """Return the table cells for one scenario and policy."""
     p99 = [row['p99'] for row in rows]
 
     def median(name: str) -> float:
--- a/bench/policy_trial.py
+++ b/bench/policy_trial.py
@@ -1,8 +1,9 @@
-"""A quick trial of the routing policies without processes.
+"""Simulate the routing policies quickly, without processes.
 
 Entries are real ``RoutingState`` objects; targets are slots with a queue on
-an event heap. It shows weaknesses of a decision within seconds. Its figures
-are trials: ``bench.policies`` measures with processes.
+an event heap. The simulation reveals weaknesses of routing decisions within
+seconds. Its figures are trials, not measurements: ``bench.policies``
+measures with processes.
 
     python -m bench.policy_trial --sites dundee --scenarios straggler
 """
@@ -34,10 +35,10 @@
 FAULT_AT = 2.0
 WARM_UP = 1.0
 GOSSIP_SECONDS = 1.0
-DEATH_SECONDS = 4.0
+FAILURE_DETECTION_SECONDS = 4.0
 MAX_TRIES = 3
 UPLOAD_SHARE = 0.01
-UPLOAD_WORK = 15.0
+UPLOAD_WORK_FACTOR = 15.0
 QUEUE_LIMIT = 16
 POLICY_NAMES = (
     'random',
@@ -61,13 +62,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Site:
-    """One site's sizes; times in seconds."""
+    """Sizes of one site; times in seconds."""
 
     data_centres: int
     entries: int
     targets: int
     slots: int
-    between: float
+    cross_centre_delay: float
     service: float = 0.020
     load: float = 0.6
     seconds: float = 8.0
@@ -85,7 +86,7 @@
 
 
 class Target:
-    """Slots, a bounded queue and the faults of one target."""
+    """A target with slots, a bounded queue and injected faults."""
 
     def __init__(self, number: int, site: Site, rng: random.Random):
         self.number = number
@@ -101,8 +102,8 @@
         self.noise = False
         self.noisy = False
         self.noise_ends = 0.0
-        self.fails = False
-        self.lies = False
+        self.fails_fast = False
+        self.misreports_load = False
         self.draining = False
         self.dead = False
         self.calls = 0
@@ -120,13 +121,13 @@
         return factor
 
     def service_time(self, now: float) -> float:
-        drawn = math.exp(self.rng.gauss(0.0, 0.5) - 0.125)
-        return self.site.service * drawn * self.slowdown(now)
+        random_factor = math.exp(self.rng.gauss(0.0, 0.5) - 0.125)
+        return self.site.service * random_factor * self.slowdown(now)
 
     def figures(self, now: float) -> LoadFigures:
         state = TargetState.DRAINING if self.draining else TargetState.READY
-        busy = 0 if self.lies else self.running
-        waiting = 0 if self.lies else len(self.queue)
+        busy = 0 if self.misreports_load else self.running
+        waiting = 0 if self.misreports_load else len(self.queue)
         return LoadFigures(
             busy,
             waiting,
@@ -139,10 +140,10 @@
 
 @dataclasses.dataclass(slots=True)
 class Call:
-    """One call on its way."""
+    """A call in progress."""
 
     entry: int
-    began: float
+    started_at: float
     tried: frozenset = frozenset()
     tries: int = 0
     work: float = 1.0
@@ -150,8 +151,8 @@
     target: Target | None = None
 
 
-class Trial:
-    """One run of one policy under one scenario."""
+class Simulation:
+    """A simulation of one policy in one scenario."""
 
     def __init__(self, site: Site, policy: str, scenario: str, seed: int):
         self.site = site
@@ -159,7 +160,7 @@
         self.scenario = scenario
         self.now = 0.0
         self.heap: list = []
-        self.order = itertools.count()
+        self.sequence = itertools.count()
         self.targets = [
             Target(i, site, random.Random(seed * 100 + i))
             for i in range(site.targets)
@@ -173,8 +174,8 @@
         self.probes = 0
 
     def build_entry(self, number: int, policy: str) -> RoutingState:
-        place = self.place_of(number)
-        state = RoutingState(place, random.Random(self.rng.random()))
+        data_centre = self.data_centre_of(number)
+        state = RoutingState(data_centre, random.Random(self.rng.random()))
         document = {
             'event': 'trial',
             'starts_at': '2026-01-01T00:00:00Z',
@@ -184,22 +185,22 @@
         parsed = document_from_value(document).unwrap()
         state.set_rules(rules_from_document(parsed, 1))
         for target in self.targets:
-            state.note_member(self.record(target), 0.0)
+            state.note_member(self.build_record(target), 0.0)
         for other in range(self.site.targets, self.site.entries):
             record = MemberRecord(f'e{other}', 1, MemberState.ALIVE)
             record.service_name = ''
             state.note_member(record, 0.0)
         return state
 
-    def place_of(self, number: int) -> str:
+    def data_centre_of(self, number: int) -> str:
         return f'dc{number % self.site.data_centres}'
 
-    def record(self, target: Target, **changes) -> MemberRecord:
+    def build_record(self, target: Target, **changes) -> MemberRecord:
         record = MemberRecord(
             instance=target.name,
             incarnation=1,
             state=MemberState.ALIVE,
-            data_centre=self.place_of(target.number),
+            data_centre=self.data_centre_of(target.number),
             peer_address=f'127.0.0.1:{1000 + target.number}',
             service_name=SERVICE,
             slots=self.site.slots,
@@ -210,19 +211,19 @@
             setattr(record, name, value)
         return record
 
-    def at(self, when: float, action: Callable, *arguments) -> None:
-        item = (when, next(self.order), action, arguments)
+    def schedule(self, when: float, action: Callable, *arguments) -> None:
+        item = (when, next(self.sequence), action, arguments)
         heapq.heappush(self.heap, item)
 
     def run(self) -> None:
-        self.at(FAULT_AT, self.start_fault)
-        self.at(0.0, self.arrive)
+        self.schedule(FAULT_AT, self.start_fault)
+        self.schedule(0.0, self.start_next_call)
         while self.heap:
             self.now, _, action, arguments = heapq.heappop(self.heap)
             action(*arguments)
 
     def start_fault(self) -> None:
-        """Bring the scenario's fault about on the first target."""
+        """Inject the fault of the scenario, mostly into the first target."""
         first = self.targets[0]
         match self.scenario:
             case 'straggler':
@@ -232,53 +233,59 @@
                     target.noise = True
                     target.noise_ends = self.now
             case 'fail_fast':
-                first.fails = True
+                first.fails_fast = True
             case 'misleading':
                 first.factor = 3.0
                 for target in self.targets[::2]:
-                    target.lies = True
+                    target.misreports_load = True
             case 'cold_start':
-                self.leave(first, MemberState.LEFT)
-                self.at(FAULT_AT + 1.0, self.come_back, first)
+                self.announce_state(first, MemberState.LEFT)
+                self.schedule(FAULT_AT + 1.0, self.rejoin, first)
             case 'drain':
                 first.draining = True
                 changes = {'target_state': TargetState.DRAINING}
-                self.spread(first, GOSSIP_SECONDS, changes)
+                self.gossip_record(first, GOSSIP_SECONDS, changes)
             case 'kill':
                 self.kill(first)
 
-    def leave(self, target: Target, state: MemberState) -> None:
-        self.spread(target, 0.0, {'state': state})
+    def announce_state(self, target: Target, state: MemberState) -> None:
+        self.gossip_record(target, 0.0, {'state': state})
 
-    def spread(self, target: Target, seconds: float, changes: dict) -> None:
-        """Let every entry learn of a record within ``seconds``."""
+    def gossip_record(
+        self, target: Target, seconds: float, changes: dict
+    ) -> None:
+        """Deliver a changed record to each entry within ``seconds``."""
         for entry in self.entries:
-            record = self.record(target, **changes)
+            record = self.build_record(target, **changes)
             delay = self.rng.random() * seconds
-            self.at(self.now + delay, self.tell, entry, record)
+            self.schedule(self.now + delay, self.deliver_record, entry, record)
 
-    def tell(self, entry: RoutingState, record: MemberRecord) -> None:
+    def deliver_record(
+        self, entry: RoutingState, record: MemberRecord
+    ) -> None:
         entry.note_member(record, self.now)
 
-    def come_back(self, target: Target) -> None:
+    def rejoin(self, target: Target) -> None:
         target.cold_until = self.now + 3.0
-        self.spread(target, GOSSIP_SECONDS, {'incarnation': 2})
+        self.gossip_record(target, GOSSIP_SECONDS, {'incarnation': 2})
 
     def kill(self, target: Target) -> None:
         target.dead = True
         while target.queue:
-            self.answer(target.queue.popleft(), Outcome.LOST)
-        self.spread(target, DEATH_SECONDS, {'state': MemberState.DEAD})
+            self.send_answer(target.queue.popleft(), Outcome.LOST)
+        self.gossip_record(
+            target, FAILURE_DETECTION_SECONDS, {'state': MemberState.DEAD}
+        )
 
-    def arrive(self) -> None:
+    def start_next_call(self) -> None:
         if self.now < self.site.seconds:
             pause = self.rng.expovariate(self.site.rate())
-            self.at(self.now + pause, self.arrive)
+            self.schedule(self.now + pause, self.start_next_call)
         self.calls += self.now >= WARM_UP
         entry = self.rng.randrange(self.site.entries)
         call = Call(entry, self.now)
         if self.scenario == 'uploads' and self.rng.random() < UPLOAD_SHARE:
-            call.work = UPLOAD_WORK
+            call.work = UPLOAD_WORK_FACTOR
         self.send(call)
 
     def send(self, call: Call) -> None:
@@ -292,68 +299,72 @@
         call.target = self.targets[int(choice.instance[1:])]
         call.tried = call.tried | {choice.instance}
         entry.call_started(SERVICE, choice.instance, self.now)
-        self.at(self.now + self.one_way(call), self.reach, call)
+        self.schedule(
+            self.now + self.network_delay(call), self.arrive_at_gate, call
+        )
         for order in entry.probes_due(SERVICE, self.now):
             self.probes += 1
             probed = self.targets[int(order.instance[1:])]
-            back = self.now + 2 * self.one_way(call)
-            self.at(back, self.tell_load, entry, probed)
+            arrives_at = self.now + 2 * self.network_delay(call)
+            self.schedule(arrives_at, self.deliver_load, entry, probed)
 
-    def one_way(self, call: Call) -> float:
-        near = self.place_of(call.entry) == self.place_of(call.target.number)
-        return 0.0002 if near else 0.0002 + self.site.between
+    def network_delay(self, call: Call) -> float:
+        near = self.data_centre_of(call.entry) == self.data_centre_of(
+            call.target.number
+        )
+        return 0.0002 if near else 0.0002 + self.site.cross_centre_delay
 
-    def tell_load(self, entry: RoutingState, target: Target) -> None:
+    def deliver_load(self, entry: RoutingState, target: Target) -> None:
         if not target.dead:
             figures = target.figures(self.now)
             entry.note_load(SERVICE, target.name, figures, self.now)
 
-    def reach(self, call: Call) -> None:
-        """Take a call at its gate, or refuse it."""
+    def arrive_at_gate(self, call: Call) -> None:
+        """Accept, queue or refuse a call at its gate."""
         target = call.target
         if target.dead:
-            self.answer(call, Outcome.LOST)
+            self.send_answer(call, Outcome.LOST)
         elif target.draining:
-            self.answer(call, Outcome.REFUSED_DRAINING)
-        elif target.fails:
+            self.send_answer(call, Outcome.REFUSED_DRAINING)
+        elif target.fails_fast:
             target.errors.note(True, self.now)
-            self.answer(call, Outcome.TARGET_ERROR)
+            self.send_answer(call, Outcome.TARGET_ERROR)
         elif target.running < self.site.slots:
-            self.start(call)
+            self.start_call(call)
         elif len(target.queue) < QUEUE_LIMIT:
             target.queue.append(call)
         else:
-            self.answer(call, Outcome.REFUSED_OVERLOAD)
+            self.send_answer(call, Outcome.REFUSED_OVERLOAD)
 
-    def start(self, call: Call) -> None:
+    def start_call(self, call: Call) -> None:
         target = call.target
         target.running += 1
         target.calls += 1
         seconds = call.work * target.service_time(self.now)
-        self.at(self.now + seconds, self.end, call, seconds)
+        self.schedule(self.now + seconds, self.end_call, call, seconds)
 
-    def end(self, call: Call, seconds: float) -> None:
+    def end_call(self, call: Call, seconds: float) -> None:
         target = call.target
         target.running -= 1
         target.latency.note(seconds)
         target.errors.note(False, self.now)
         if target.queue:
-            self.start(target.queue.popleft())
-        lost = Outcome.LOST if target.dead else Outcome.ANSWERED
-        self.answer(call, lost)
+            self.start_call(target.queue.popleft())
+        outcome = Outcome.LOST if target.dead else Outcome.ANSWERED
+        self.send_answer(call, outcome)
 
-    def answer(self, call: Call, outcome: Outcome) -> None:
+    def send_answer(self, call: Call, outcome: Outcome) -> None:
         figures = call.target.figures(self.now)
-        back = self.now + self.one_way(call)
-        self.at(back, self.arrive_back, call, outcome, figures)
+        arrives_at = self.now + self.network_delay(call)
+        self.schedule(arrives_at, self.receive_answer, call, outcome, figures)
 
-    def arrive_back(self, call: Call, outcome: Outcome, figures) -> None:
+    def receive_answer(self, call: Call, outcome: Outcome, figures) -> None:
         entry = self.entries[call.entry]
         name = call.target.name
-        taken = self.now - call.sent
+        duration = self.now - call.sent
         if outcome is not Outcome.LOST:
             entry.note_load(SERVICE, name, figures, self.now)
-        entry.call_ended(SERVICE, name, outcome, taken, self.now)
+        entry.call_ended(SERVICE, name, outcome, duration, self.now)
         if outcome is Outcome.ANSWERED:
             self.finish(call, True)
         elif outcome is Outcome.TARGET_ERROR:
@@ -362,17 +373,17 @@
             self.send(call)
 
     def finish(self, call: Call, answered: bool) -> None:
-        if call.began < WARM_UP or call.work > 1.0:
+        if call.started_at < WARM_UP or call.work > 1.0:
             return
         if answered:
-            self.latencies.append(self.now - call.began)
+            self.latencies.append(self.now - call.started_at)
         else:
             self.failures += 1
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Row:
-    """The result of one run; latency in milliseconds."""
+    """Result of one run; latency in milliseconds."""
 
     p50: float
     p99: float
@@ -382,26 +393,26 @@
 
 
 def run_one(job: tuple[str, str, str, int]) -> Row:
-    """Run one trial in a worker process."""
+    """Run one simulation in a worker process."""
     site, scenario, policy, seed = job
-    trial = Trial(SITES[site], policy, scenario, seed)
-    trial.run()
-    ordered = sorted(trial.latencies)
+    simulation = Simulation(SITES[site], policy, scenario, seed)
+    simulation.run()
+    ordered = sorted(simulation.latencies)
 
-    def at(share: float) -> float:
+    def percentile_ms(share: float) -> float:
         return 1000.0 * ordered[int(share * (len(ordered) - 1))]
 
     return Row(
-        at(0.5),
-        at(0.99),
-        at(0.999),
-        trial.failures / trial.calls,
-        trial.probes / trial.calls,
+        percentile_ms(0.5),
+        percentile_ms(0.99),
+        percentile_ms(0.999),
+        simulation.failures / simulation.calls,
+        simulation.probes / simulation.calls,
     )
 
 
-def words(value) -> tuple[str, ...]:
-    """Read a list that ``fire`` may have split already."""
+def split_names(value) -> tuple[str, ...]:
+    """Return a comma-separated list, which ``fire`` may have split."""
     return tuple(value.split(',')) if isinstance(value, str) else value
 
 
@@ -412,9 +423,11 @@
     seeds: int = 5,
     workers: int = 4,
 ) -> None:
-    """Print medians over the seeds for each site, scenario and policy."""
+    """Print the medians of all seeds for each site, scenario and policy."""
     groups = list(
-        itertools.product(words(sites), words(scenarios), words(policies))
+        itertools.product(
+            split_names(sites), split_names(scenarios), split_names(policies)
+        )
     )
     jobs = [(*group, seed) for group in groups for seed in range(seeds)]
     with multiprocessing.Pool(workers) as pool:
@@ -425,7 +438,7 @@
 
 
 def describe(rows: list[Row]) -> str:
-    """Return one line with the medians of several runs."""
+    """Return a line with the medians of several runs."""
     p99 = [row.p99 for row in rows]
     median = {
         name: statistics.median(getattr(row, name) for row in rows)
--- a/bench/replication.py
+++ b/bench/replication.py
@@ -1,10 +1,9 @@
-"""What the replicated log costs: ``python -m bench.replication``.
+"""Measure the cost of the replicated log: ``python -m bench.replication``.
 
-Real processes on loopback with real syncs. Measured are a bare sync,
-commits a second and latency by the number of proposals that wait at once,
-recovery after the leader was killed, and restart time and bytes by length
-of history. The results go to
-``bench/results/replication.json``.
+Real processes on loopback with real syncs. Measured are a bare sync, the
+rate and latency of commits by number of concurrent proposals, recovery after
+a kill of the leader, and restart time and storage size by length of history.
+The results are written to ``bench/results/replication.json``.
 """
 
 import dataclasses
@@ -21,10 +20,10 @@
 from bench.replication_cluster import Instance
 from bench.replication_cluster import Processes
 
-NAMES = ('a', 'b', 'c', 'd', 'e')
-SIZES = (3, 5)
+INSTANCE_NAMES = ('a', 'b', 'c', 'd', 'e')
+CLUSTER_SIZES = (3, 5)
 CONCURRENCY = (1, 8, 64, 256, 1024)
-HISTORIES = (0, 500, 2000, 8000, 32000)
+HISTORY_LENGTHS = (0, 500, 2000, 8000, 32000)
 LOAD_SECONDS = 2
 ROUNDS = 3
 KILLS = 10
@@ -37,7 +36,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CommitPoint:
-    """Medians of several rounds."""
+    """Commit rate and latency: medians of several rounds."""
 
     instances: int
     waiting: int
@@ -49,7 +48,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RecoveryPoint:
-    """From the kill of the leader to the first commit after it."""
+    """Time from the kill of the leader to the next commit."""
 
     instances: int
     runs: int
@@ -60,7 +59,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RestartPoint:
-    """A killed instance opens its folder, then holds all commits."""
+    """Time for a killed instance to open its folder and to catch up."""
 
     changes: int
     folder_bytes: int
@@ -70,7 +69,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SyncPoint:
-    """The disk alone: an append and its sync, without the product."""
+    """The disk alone: an append and its sync, without a replica."""
 
     syncs: int
     p50_ms: float
@@ -110,7 +109,7 @@
     )
 
 
-def commit_anywhere(instances: list[Instance]) -> None:
+def wait_for_commit(instances: list[Instance]) -> None:
     while True:
         for instance in instances:
             if 'answer' in instance.ask('propose', 'x'):
@@ -119,7 +118,7 @@
 
 
 def measure_recovery(cluster: Processes, size: int) -> RecoveryPoint:
-    """Kill the leader several times and bring it back each time."""
+    """Kill and restart the leader several times."""
     times = []
     for _ in range(KILLS):
         cluster.propose('x')
@@ -127,7 +126,7 @@
         others = [i for i in cluster.running() if i is not leader]
         leader.kill()
         killed_at = time.monotonic()
-        commit_anywhere(others)
+        wait_for_commit(others)
         times.append(MILLISECONDS * (time.monotonic() - killed_at))
         cluster.restart(leader.name)
     return RecoveryPoint(
@@ -144,39 +143,39 @@
 
 
 def measure_restart(changes: int) -> RestartPoint:
-    """Kill and restart one follower after a number of changes."""
+    """Kill and restart a follower after a number of changes."""
     folder = pathlib.Path(tempfile.mkdtemp(prefix='replication-'))
     try:
-        with Processes(folder, NAMES[:3]) as cluster:
+        with Processes(folder, INSTANCE_NAMES[:3]) as cluster:
             leader = cluster.leader()
             if changes:
                 leader.ask('fill', changes)
-            name = next(n for n in NAMES if n != leader.name)
-            cluster.wait_for(lambda: is_current(cluster, name, leader))
+            name = next(n for n in INSTANCE_NAMES if n != leader.name)
+            cluster.wait_for(lambda: has_caught_up(cluster, name, leader))
             cluster.instances[name].kill()
             size = folder_bytes(folder / name)
             instance = cluster.restart(name)
-            started_at = time.monotonic()
-            cluster.wait_for(lambda: is_current(cluster, name, leader))
-            waited = time.monotonic() - started_at
+            restarted_at = time.monotonic()
+            cluster.wait_for(lambda: has_caught_up(cluster, name, leader))
+            catch_up_seconds = time.monotonic() - restarted_at
     finally:
         shutil.rmtree(folder)
-    opened = instance.started['seconds']
+    open_seconds = instance.started['seconds']
     return RestartPoint(
         changes=changes,
         folder_bytes=size,
-        open_ms=MILLISECONDS * opened,
-        current_ms=MILLISECONDS * (opened + waited),
+        open_ms=MILLISECONDS * open_seconds,
+        current_ms=MILLISECONDS * (open_seconds + catch_up_seconds),
     )
 
 
-def is_current(cluster: Processes, name: str, leader: Instance) -> bool:
+def has_caught_up(cluster: Processes, name: str, leader: Instance) -> bool:
     status = cluster.instances[name].ask('status')
     committed = leader.ask('status')['commit_index']
     return status['applied_index'] >= committed > 0
 
 
-def show(point) -> None:
+def print_point(point) -> None:
     fields = dataclasses.asdict(point)
     print(
         type(point).__name__,
@@ -189,26 +188,26 @@
     folder = pathlib.Path(tempfile.mkdtemp(prefix='replication-'))
     points: list = []
     try:
-        with Processes(folder, NAMES[:size]) as cluster:
+        with Processes(folder, INSTANCE_NAMES[:size]) as cluster:
             for waiting in CONCURRENCY:
                 points.append(measure_commits(cluster, size, waiting))
-                show(points[-1])
+                print_point(points[-1])
             points.append(measure_recovery(cluster, size))
-            show(points[-1])
+            print_point(points[-1])
     finally:
         shutil.rmtree(folder)
     return points
 
 
 def main(output: str = str(RESULTS)) -> None:
-    """Measure everything and keep the results as JSON."""
+    """Run all measurements and save the results as JSON."""
     points: list = [measure_sync()]
-    show(points[0])
-    for size in SIZES:
+    print_point(points[0])
+    for size in CLUSTER_SIZES:
         points.extend(measure_cluster(size))
-    for changes in HISTORIES:
+    for changes in HISTORY_LENGTHS:
         points.append(measure_restart(changes))
-        show(points[-1])
+        print_point(points[-1])
     path = pathlib.Path(output)
     path.parent.mkdir(exist_ok=True)
     rows = [
--- a/bench/replication_cluster.py
+++ b/bench/replication_cluster.py
@@ -1,4 +1,4 @@
-"""Replicas as real processes on loopback, for measurements and tests."""
+"""A cluster of replica processes on loopback, for benchmarks and tests."""
 
 import json
 import os
@@ -13,7 +13,7 @@
 
 
 class Instance:
-    """One process and the connection that drives it."""
+    """One replica process and its command connection."""
 
     def __init__(self, name: str, folder: pathlib.Path, bootstrap: bool):
         self.name = name
@@ -32,7 +32,7 @@
         )
 
     def connect(self) -> None:
-        """Wait until the process listens."""
+        """Wait until the process listens, then connect to it."""
         line = self.process.stdout.readline().split()
         self.peer_port, port = int(line[0]), int(line[1])
         self.sock = socket.create_connection(('127.0.0.1', port), SECONDS)
@@ -57,7 +57,7 @@
 
 
 class Processes:
-    """A cluster of processes; use it with ``with``."""
+    """A cluster of replica processes; a context manager."""
 
     def __init__(self, folder: pathlib.Path, names):
         self.folder = folder
@@ -68,7 +68,7 @@
     def __enter__(self) -> 'Processes':
         for instance in self.instances.values():
             instance.connect()
-        self.tell_peers()
+        self.send_peer_ports()
         for instance in self.instances.values():
             instance.ask('start')
         return self
@@ -81,7 +81,7 @@
     def running(self) -> list[Instance]:
         return [i for i in self.instances.values() if i.process.poll() is None]
 
-    def tell_peers(self) -> None:
+    def send_peer_ports(self) -> None:
         for instance in self.running():
             ports = {
                 other.name: other.peer_port
@@ -94,7 +94,7 @@
         instance = self.instances[name]
         instance.spawn(bootstrap)
         instance.connect()
-        self.tell_peers()
+        self.send_peer_ports()
         instance.started = instance.ask('start')
         return instance
 
@@ -109,7 +109,7 @@
         raise AssertionError('the condition was not met in time')
 
     def leader(self, without: str = '') -> Instance:
-        """Wait for an instance whose leadership a read confirms."""
+        """Wait for an instance whose leadership a confirmed read proves."""
 
         def find() -> Instance | None:
             for instance in self.running():
@@ -121,11 +121,11 @@
         return self.wait_for(find)
 
     def propose(self, text: str, without: str = '') -> dict:
-        """Propose at whoever leads until it is committed."""
+        """Propose to the current leader, again until it is committed."""
         return self.wait_for(
-            lambda: self.ask_committed(self.leader(without), text)
+            lambda: self.try_propose(self.leader(without), text)
         )
 
-    def ask_committed(self, leader: Instance, text: str) -> dict | None:
+    def try_propose(self, leader: Instance, text: str) -> dict | None:
         answer = leader.ask('propose', text)
         return answer if 'answer' in answer else None
--- a/bench/replication_node.py
+++ b/bench/replication_node.py
@@ -1,7 +1,8 @@
-"""One replica as a process of its own, driven by lines over TCP.
+"""A replica in a process of its own, controlled by commands over TCP.
 
-Usage: ``python -m bench.replication_node INSTANCE FOLDER BOOTSTRAP``. It
-prints its two ports, and ends when its standard input is closed.
+Usage: ``python -m bench.replication_node INSTANCE FOLDER BOOTSTRAP``. Prints
+its two ports, for peers and for commands, and exits when its standard input
+is closed.
 """
 
 from collections import deque
@@ -23,16 +24,16 @@
 from cyclamenlift.wire.tasks import PeerNetwork
 
 COMMAND = b'x' * 200
-KEPT_COMMANDS = 500
+MAX_KEPT_COMMANDS = 500
 ANY_PORT = Address('127.0.0.1', 0)
 
 
 class CountMachine:
-    """Counts commands and keeps the last ones, so its state is bounded."""
+    """State machine that counts commands and keeps only the last ones."""
 
     def __init__(self):
         self.count = 0
-        self.commands: deque[str] = deque(maxlen=KEPT_COMMANDS)
+        self.commands: deque[str] = deque(maxlen=MAX_KEPT_COMMANDS)
 
     def apply(self, index: int, stamp_unix_ms: int, command: bytes) -> bytes:
         self.count += 1
@@ -44,11 +45,11 @@
 
     def restore(self, data: bytes) -> None:
         self.count, commands = json.loads(data)
-        self.commands = deque(commands, KEPT_COMMANDS)
+        self.commands = deque(commands, MAX_KEPT_COMMANDS)
 
 
-class Load:
-    """Keeps a number of proposals waiting until a deadline."""
+class ProposalLoad:
+    """Keeps a number of proposals outstanding until a deadline."""
 
     def __init__(self, loop, replica, concurrency, seconds, finish):
         self.clock = loop.scheduler.clock
@@ -64,9 +65,9 @@
 
     def propose(self) -> None:
         sent_at = self.clock.now()
-        self.replica.propose(COMMAND, lambda r: self.done(sent_at, r))
+        self.replica.propose(COMMAND, lambda r: self.on_result(sent_at, r))
 
-    def done(self, sent_at, result) -> None:
+    def on_result(self, sent_at, result) -> None:
         now = self.clock.now()
         if isinstance(result, Success):
             self.seconds.append(now - sent_at)
@@ -90,8 +91,8 @@
         }
 
 
-class Runner(StreamOwner):
-    """Takes one command a line and answers each with a line of JSON."""
+class CommandServer(StreamOwner):
+    """Executes one command per line and answers with a line of JSON."""
 
     def __init__(self, loop, replica, machine):
         super().__init__(loop.poller, channel='runner')
@@ -124,11 +125,11 @@
         self.answer(stream, {})
 
     def run_start(self, stream) -> None:
-        """Open the folder; tell how long that took."""
+        """Start the replica and report how long that took."""
         clock = self.loop.scheduler.clock
-        began_at = clock.now()
+        start_time = clock.now()
         started = self.replica.start()
-        seconds = clock.now() - began_at
+        seconds = clock.now() - start_time
         fields = {'started': str(started), 'seconds': seconds}
         self.answer(stream, fields)
 
@@ -149,8 +150,8 @@
         self.answer(stream, dataclasses.asdict(self.replica.status()))
 
     def run_load(self, stream, concurrency, seconds) -> None:
-        """Keep proposals waiting for some seconds."""
-        Load(
+        """Keep a number of proposals outstanding for some seconds."""
+        ProposalLoad(
             self.loop,
             self.replica,
             int(concurrency),
@@ -159,7 +160,7 @@
         )
 
     def run_fill(self, stream, count) -> None:
-        """Commit a number of changes."""
+        """Propose a number of changes at once and wait for all."""
         answers = []
 
         def done(result) -> None:
@@ -181,14 +182,16 @@
     )
     rng = random.Random(instance)
     replica = Replica(loop, network, settings, machine, rng)
-    runner = Runner(loop, replica, machine).register(loop)
-    ports = [network.listen(ANY_PORT).port, runner.listen(ANY_PORT).port]
+    server = CommandServer(loop, replica, machine).register(loop)
+    ports = [network.listen(ANY_PORT).port, server.listen(ANY_PORT).port]
     print(*ports, flush=True)
-    threading.Thread(target=end_with_input, args=(loop,), daemon=True).start()
+    threading.Thread(
+        target=stop_at_end_of_input, args=(loop,), daemon=True
+    ).start()
     loop.run()
 
 
-def end_with_input(loop) -> None:
+def stop_at_end_of_input(loop) -> None:
     sys.stdin.read()
     loop.stop()
 
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -1,8 +1,8 @@
-"""Slopes of one daemon's cost: ``python -m bench.slopes``.
+"""Measure how the cost of a daemon grows: ``python -m bench.slopes``.
 
 Real processes on loopback, about 60 daemons at most. Each stage prints its
-points, the straight line through them and the fit's error, and ends its
-processes. The figures go to ``docs/CAPACITY.md``.
+points, the line fitted through them and the error of the fit, and ends its
+processes. The figures are used in ``docs/CAPACITY.md``.
 """
 
 import contextlib
@@ -59,19 +59,19 @@
 
 
 class Recorder:
-    """Keeps points and prints the lines through them."""
+    """Collects points and prints the lines fitted through them."""
 
     def __init__(self) -> None:
         self.points: list[Point] = []
 
-    def note(
+    def record(
         self, stage: str, value: str, unit: str, size: float, measured: float
     ) -> None:
         point = Point(stage, value, unit, size, round(measured, 5))
         self.points.append(point)
-        say(json.dumps(dataclasses.asdict(point)))
+        print_line(json.dumps(dataclasses.asdict(point)))
 
-    def show_lines(self) -> None:
+    def print_fits(self) -> None:
         names = dict.fromkeys((p.stage, p.value, p.unit) for p in self.points)
         for stage, value, unit in names:
             points = [
@@ -80,13 +80,13 @@
                 if (p.stage, p.value) == (stage, value)
             ]
             line = fit_line(points)
-            say(
+            print_line(
                 f'{stage}, {value}: {line.base:.4g} + {line.slope:.4g} x size'
                 f' {unit}, rms error {line.error:.2g}, {len(points)} points'
             )
 
 
-def say(text: str) -> None:
+def print_line(text: str) -> None:
     sys.stdout.write(text + '\n')
     sys.stdout.flush()
 
@@ -103,7 +103,7 @@
 
 
 def idle_cpu(handles: list) -> list[float]:
-    """Return the processor time of each process, ms a second."""
+    """Return the CPU time of each idle process, in ms per second."""
     before = [cpu_seconds(h) for h in handles]
     time.sleep(IDLE_SECONDS)
     after = [cpu_seconds(h) for h in handles]
@@ -112,7 +112,7 @@
 
 
 def gossip_bytes(daemon: DaemonHandle) -> float:
-    """Return the payload of gossip in and out since the start."""
+    """Return the bytes of gossip, in and out, since the start."""
     _status, _headers, body = ask(daemon.admin, 'GET', '/metrics')
     return sum(
         float(line.rsplit(' ', 1)[1])
@@ -122,7 +122,7 @@
 
 
 def publish(fleet: Fleet, document: dict, base: int) -> float:
-    """Publish a document; return the instant of its acceptance."""
+    """Publish a document; return the time at which it was accepted."""
     path = fleet.folder / f'event-{base}.json'
     path.write_text(json.dumps(document))
     done = fleet.command(
@@ -138,7 +138,7 @@
 
 
 def document_with(services: int) -> dict:
-    """Return the demo's document with so many services."""
+    """Return the document of the demo with a number of services."""
     document = demo_document()
     first = document['services'][0]
     extra = [
@@ -155,11 +155,11 @@
 
 
 def start_daemons(fleet: Fleet, count: int, target: TargetHandle) -> None:
-    """Start daemons a few at a time, all beside one target.
+    """Start daemons in batches, all with the same target.
 
-    A port that was found free is taken only once its process listens. No
-    connections are kept warm: together they would pass the target's limit,
-    and each daemon would open its own again and again.
+    A free port is reserved only once its process listens, hence the batches.
+    No connections are kept warm: together they would exceed the limit of the
+    target, and each daemon would reopen its own repeatedly.
     """
     for number in range(count):
         fleet.start_daemon(
@@ -172,7 +172,7 @@
 
 @STAGES.register('members')
 def members_stage(recorder: Recorder) -> None:
-    """Idle cost, spread of a document and links, against daemons."""
+    """Idle cost, document distribution and links, by number of daemons."""
     for size in MEMBER_SIZES:
         with temporary_fleet('warning') as fleet:
             start_control(fleet)
@@ -185,10 +185,10 @@
 
 @STAGES.register('settled')
 def settled_stage(recorder: Recorder) -> None:
-    """Idle cost once the start's changes have stopped going round.
+    """Idle cost after the updates of the start have stopped circulating.
 
-    The sizes run at the same time, each a cluster of its own; a start's
-    records are sent on for about two minutes.
+    Member records of a start are forwarded for about two minutes. The sizes
+    run at the same time, each as a cluster of its own.
     """
     with contextlib.ExitStack() as stack:
         fleets = {}
@@ -211,15 +211,15 @@
     before = [gossip_bytes(d) for d in daemons]
     *costs, control = idle_cpu([*daemons, fleet.controls[0]])
     cost = statistics.fmean(costs)
-    recorder.note(stage, 'idle CPU', 'ms/s', size, cost)
-    recorder.note(stage, 'control CPU', 'ms/s', size, control)
+    recorder.record(stage, 'idle CPU', 'ms/s', size, cost)
+    recorder.record(stage, 'control CPU', 'ms/s', size, control)
     held = memory(fleet.controls[0])
-    recorder.note(stage, 'control memory', 'MiB', size, held)
+    recorder.record(stage, 'control memory', 'MiB', size, held)
     spent = [gossip_bytes(d) - b for d, b in zip(daemons, before)]
     rate = statistics.fmean(spent) / IDLE_SECONDS
-    recorder.note(stage, 'gossip payload', 'B/s', size, rate)
+    recorder.record(stage, 'gossip payload', 'B/s', size, rate)
     rss = statistics.fmean(memory(d) for d in daemons)
-    recorder.note(stage, 'memory', 'MiB', size, rss)
+    recorder.record(stage, 'memory', 'MiB', size, rss)
 
 
 def measure_members(fleet: Fleet, size: int, recorder: Recorder) -> None:
@@ -227,17 +227,17 @@
     accepted = publish(fleet, document_with(2), 1)
     fleet.wait_in_force(2, size, READY_SECONDS)
     seconds = time.monotonic() - accepted
-    recorder.note('members', 'document everywhere', 's', size, seconds)
+    recorder.record('members', 'document everywhere', 's', size, seconds)
     entry = fleet.daemons[0]
-    quiet = memory(entry)
+    memory_before = memory(entry)
     send(entry, 200.0, LOAD_SECONDS)
-    grown = memory(entry) - quiet
-    recorder.note('members', 'growth of an entry', 'MiB', size, grown)
+    growth = memory(entry) - memory_before
+    recorder.record('members', 'growth of an entry', 'MiB', size, growth)
 
 
 @STAGES.register('services')
 def services_stage(recorder: Recorder) -> None:
-    """Memory and idle cost against services in the document."""
+    """Memory and idle cost, by number of services in the document."""
     for size in SERVICE_SIZES:
         with temporary_fleet('warning') as fleet:
             start_control(fleet)
@@ -246,16 +246,16 @@
             start_daemons(fleet, 4, target)
             fleet.wait_in_force(1, 4)
             cost = statistics.fmean(idle_cpu(fleet.daemons))
-            recorder.note('services', 'idle CPU', 'ms/s', size, cost)
+            recorder.record('services', 'idle CPU', 'ms/s', size, cost)
             rss = statistics.fmean(memory(d) for d in fleet.daemons)
-            recorder.note('services', 'memory', 'MiB', size, rss)
+            recorder.record('services', 'memory', 'MiB', size, rss)
             data = len(json.dumps(document_with(size)))
-            recorder.note('services', 'document', 'B', size, data)
+            recorder.record('services', 'document', 'B', size, data)
 
 
 @STAGES.register('calls')
 def calls_stage(recorder: Recorder) -> None:
-    """Processor time and memory of an entry and a gate against calls."""
+    """CPU time and memory of an entry and a gate, by call rate."""
     with temporary_fleet('warning') as fleet:
         start_control(fleet)
         target = fleet.start_target(
@@ -272,10 +272,12 @@
             after = [cpu_seconds(d) for d in (entry, gate)]
             for name, a, b in zip(('entry', 'gate'), before, after):
                 cost = 1000.0 * (b - a) / sent.seconds
-                recorder.note('calls', f'{name} CPU', 'ms/s', rate, cost)
-            recorder.note('calls', 'entry memory', 'MiB', rate, memory(entry))
-            recorder.note('calls', 'gate memory', 'MiB', rate, memory(gate))
-            recorder.note('calls', 'failed', 'calls', rate, sent.failures())
+                recorder.record('calls', f'{name} CPU', 'ms/s', rate, cost)
+            recorder.record(
+                'calls', 'entry memory', 'MiB', rate, memory(entry)
+            )
+            recorder.record('calls', 'gate memory', 'MiB', rate, memory(gate))
+            recorder.record('calls', 'failed', 'calls', rate, sent.failures())
 
 
 def send(entry: DaemonHandle, rate: float, seconds: float):
@@ -290,23 +292,23 @@
 
 @STAGES.register('callers')
 def callers_stage(recorder: Recorder) -> None:
-    """Memory of an entry against connections of idle callers."""
+    """Memory of an entry, by number of idle caller connections."""
     with temporary_fleet('warning') as fleet:
         entry = fleet.start_daemon('entry', 'dc-a', idle_seconds=300)
         wait_until(entry.status, READY_SECONDS, 'entry')
         host, _, port = entry.entry.rpartition(':')
-        held: list[socket.socket] = []
+        connections: list[socket.socket] = []
         for size in CALLER_SIZES:
-            while len(held) < size:
-                held.append(socket.create_connection((host, int(port))))
+            while len(connections) < size:
+                connections.append(socket.create_connection((host, int(port))))
             time.sleep(1.0)
-            recorder.note('callers', 'memory', 'MiB', size, memory(entry))
-        for connection in held:
+            recorder.record('callers', 'memory', 'MiB', size, memory(entry))
+        for connection in connections:
             connection.close()
 
 
 def save(points: list[Point]) -> None:
-    """Keep the points; those of stages that did not run stay."""
+    """Save the points; keep saved points of stages that did not run."""
     stages = {p.stage for p in points}
     old = json.loads(RESULTS.read_text()) if RESULTS.exists() else []
     kept = [p for p in old if p['stage'] not in stages]
@@ -315,17 +317,19 @@
 
 
 def main(stages: str = 'members,settled,services,calls,callers') -> None:
-    """Run stages in order, print their lines and keep the points.
+    """Run stages in order, save their points and print the fitted lines.
 
     Args:
-        stages: Names of stages, with commas between.
+        stages: Names of stages, separated by commas.
     """
-    listed = stages if isinstance(stages, tuple) else str(stages).split(',')
+    stage_names = (
+        stages if isinstance(stages, tuple) else str(stages).split(',')
+    )
     recorder = Recorder()
-    for name in listed:
+    for name in stage_names:
         STAGES.get(name)(recorder)
         save(recorder.points)
-    recorder.show_lines()
+    recorder.print_fits()
 
 
 if __name__ == '__main__':
--- a/tests/tools/test_ablation.py
+++ b/tests/tools/test_ablation.py
@@ -1,44 +1,44 @@
-"""Plays without a mechanism: what is left to play, and the table."""
+"""Ablation runs: which are still missing, and the table of results."""
 
-from bench.ablation import ALL
-from bench.ablation import Play
-from bench.ablation import read_worth
+from bench.ablation import ALL_ENABLED
+from bench.ablation import DayRun
+from bench.ablation import execute_missing_runs
+from bench.ablation import list_runs
+from bench.ablation import read_score
 from bench.ablation import Results
-from bench.ablation import run_plays
 from bench.ablation import table
-from bench.ablation import wanted
 
 PAIRS = ['here/a.toml heavy']
 
 
-def test_what_is_done_is_not_played_again(tmp_path):
+def test_completed_runs_are_not_repeated(tmp_path):
     path = tmp_path / 'results.json'
     results = Results(path)
-    results.note(Play('here/a.toml', 'heavy', ALL), 0.5)
-    played = []
+    results.record(DayRun('here/a.toml', 'heavy', ALL_ENABLED), 0.5)
+    executed = []
 
-    def run(one: Play) -> float:
-        played.append(one.without)
+    def run(day_run: DayRun) -> float:
+        executed.append(day_run.without)
         return 0.4
 
-    run_plays(wanted(PAIRS, ['hedges']), Results(path), 2, run)
-    assert played == ['hedges']
-    assert len(Results(path).worth) == 2
+    execute_missing_runs(list_runs(PAIRS, ['hedges']), Results(path), 2, run)
+    assert executed == ['hedges']
+    assert len(Results(path).scores) == 2
 
 
-def test_a_play_without_result_is_left_for_the_next_run(tmp_path):
+def test_a_run_without_result_stays_missing(tmp_path):
     results = Results(tmp_path / 'results.json')
-    run_plays(wanted(PAIRS, []), results, 1, lambda _one: None)
-    assert results.worth == {}
-    assert read_worth('the day was given up') is None
+    execute_missing_runs(list_runs(PAIRS, []), results, 1, lambda _one: None)
+    assert results.scores == {}
+    assert read_score('the day was given up') is None
 
 
-def test_the_table_tells_what_is_lost_without_each(tmp_path):
+def test_the_table_shows_the_change_without_each_mechanism(tmp_path):
     results = Results(tmp_path / 'results.json')
-    plays = wanted(PAIRS, ['hedges', 'ejection'])
-    results.note(plays[0], 0.5)
-    results.note(plays[1], 0.45)
-    text = table(plays, results)
+    runs = list_runs(PAIRS, ['hedges', 'ejection'])
+    results.record(runs[0], 0.5)
+    results.record(runs[1], 0.45)
+    text = table(runs, results)
     assert '| all on | 0.500 |' in text
     assert '| hedges | -0.050 | -0.050 | 0.000 |' in text
     assert '| ejection | not run |' in text
