--- a/cyclamenlift/cli/losses.py
+++ b/cyclamenlift/cli/losses.py
@@ -9,10 +9,10 @@
 from cyclamenlift.core.codes import describe
 from cyclamenlift.core.codes import ResultCode
 from cyclamenlift.core.problems import Problem
-from cyclamenlift.reports.losses import count
-from cyclamenlift.reports.losses import meanings
+from cyclamenlift.reports.losses import count_by_window
+from cyclamenlift.reports.losses import format_table
+from cyclamenlift.reports.losses import known_codes
 from cyclamenlift.reports.losses import read_lines
-from cyclamenlift.reports.losses import table
 
 
 @command('losses')
@@ -39,10 +39,10 @@
     if not records:
         complain(Problem(ResultCode.NOT_FOUND, 'no line to count'))
         return ExitStatus.FAILED
-    windows = count(records, length)
-    for line in table(windows):
+    windows = count_by_window(records, length)
+    for line in format_table(windows):
         say(line)
-    for code in meanings(windows):
+    for code in known_codes(windows):
         say(f'{code}: {describe(ResultCode(code)).title}')
     return ExitStatus.FINE
 
--- a/cyclamenlift/console/__init__.py
+++ b/cyclamenlift/console/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' console: forms that end in one validated document."""
+"""Web console in which operators edit and publish the event document."""
 
 from cyclamenlift.console.pages import ConsolePages
 from cyclamenlift.console.port import ContextPort
--- a/cyclamenlift/console/editing.py
+++ b/cyclamenlift/console/editing.py
@@ -1,4 +1,4 @@
-"""The edit form as it travels: its document, base version and change id."""
+"""State of the edit form: its document, base version and change id."""
 
 import dataclasses
 import json
@@ -8,7 +8,7 @@
 
 from cyclamenlift.console.forms import Fields
 from cyclamenlift.console.forms import FormError
-from cyclamenlift.console.forms import rows_at
+from cyclamenlift.console.forms import list_at
 from cyclamenlift.console.forms import value_from_fields
 from cyclamenlift.console.views import blank_operation
 from cyclamenlift.console.views import blank_service
@@ -26,18 +26,18 @@
     'document_text',
     'kept_parts',
 )
-# Parts without fields of their own: they travel with the form unchanged.
-# The source is not among them, for an edited document no longer is it.
+# Document parts without form fields: a hidden field carries them unchanged.
+# ``source`` is left out, because an edited document differs from its source.
 KEPT_PARTS = ('routes', 'caller_limits')
 MAX_DIGITS = 18
 
 
 @dataclasses.dataclass(slots=True)
 class Draft:
-    """One state of the form.
+    """Submitted or initial state of the edit form.
 
-    ``change_id`` stays the same while the same change is sent again, so
-    that a lost answer can be asked for once more without a second change.
+    ``change_id`` is kept while the same change is sent again, so that a
+    retry after a lost answer does not apply the change twice.
     """
 
     value: dict
@@ -49,16 +49,16 @@
     problems: tuple[FieldProblem, ...] = ()
 
     def kept_parts(self) -> str:
-        """Return, as JSON, the parts that the form does not show."""
+        """Return the document parts without form fields, as JSON."""
         kept = {k: self.value[k] for k in KEPT_PARTS if self.value.get(k)}
         return json.dumps(kept)
 
-    def renew(self) -> None:
-        """Make the next sending another change."""
+    def assign_change_id(self) -> None:
+        """Assign a new change id, so that the next submit is a new change."""
         self.change_id = str(uuid.uuid4())
 
     def publication(self) -> Publication:
-        """Return the change; raises ValueError when its id is malformed."""
+        """Return the change; raise ValueError if its id is malformed."""
         return Publication(
             document=json.dumps(self.value),
             base_version=self.base_version,
@@ -67,28 +67,28 @@
         )
 
     def check(self) -> bool:
-        """Validate without publishing; note the errors."""
-        return self.take(document_from_value(self.value))
+        """Validate without publishing; keep the errors for the form."""
+        return self.apply_result(document_from_value(self.value))
 
-    def take_text(self) -> bool:
-        """Replace the value by the document in ``document_text``."""
-        return self.take(document_from_text(self.document_text))
+    def load_text(self) -> bool:
+        """Replace the value with the document in ``document_text``."""
+        return self.apply_result(document_from_text(self.document_text))
 
-    def take(self, result) -> bool:
+    def apply_result(self, result) -> bool:
         if isinstance(result, Success):
             document = result.unwrap()
             self.value = json.loads(document_to_bytes(document))
             self.problems = ()
             return True
-        self.note(
+        self.set_problems(
             tuple(FieldProblem(p.where, p.detail) for p in result.failure())
         )
         return False
 
-    def note(self, problems: tuple[FieldProblem, ...]) -> None:
-        """Keep the errors, but none of a list that only follows from them.
+    def set_problems(self, problems: tuple[FieldProblem, ...]) -> None:
+        """Keep the errors, except those of a list that follow from its items.
 
-        A list whose items are all wrong is reported as too short as well.
+        A list whose items are all invalid is also reported as too short.
         """
         paths = [problem.path for problem in problems]
         self.problems = tuple(
@@ -98,60 +98,67 @@
         )
 
     def edit_rows(self) -> bool:
-        """Add or remove a row as ``action`` says; False if it says else."""
-        word, _, place = self.action.partition(':')
-        numbers = [int(p) for p in place.split('.') if p.isdigit()]
+        """Add or remove a row; return False if ``action`` is neither."""
+        verb, _, position = self.action.partition(':')
+        indexes = [int(p) for p in position.split('.') if p.isdigit()]
         services = self.value.setdefault('services', [])
-        if word == 'add-service':
+        if verb == 'add-service':
             services.append(blank_service())
-        elif word == 'remove-service' and numbers:
-            drop_row(services, numbers[0])
-        elif word == 'add-operation' and numbers:
-            if numbers[0] < len(services):
-                rows = rows_at(services, numbers[0], 'operations')
-                services[numbers[0]]['operations'] = rows
+        elif verb == 'remove-service' and indexes:
+            remove_row(services, indexes[0])
+        elif verb == 'add-operation' and indexes:
+            if indexes[0] < len(services):
+                rows = list_at(services, indexes[0], 'operations')
+                services[indexes[0]]['operations'] = rows
                 rows.append(blank_operation())
-        elif word == 'remove-operation' and len(numbers) == 2:
-            rows = rows_at(self.value, 'services', numbers[0], 'operations')
-            drop_row(rows, numbers[1])
+        elif verb == 'remove-operation' and len(indexes) == 2:
+            rows = list_at(self.value, 'services', indexes[0], 'operations')
+            remove_row(rows, indexes[1])
         else:
             return False
         return True
 
 
-def read_kept(text: str) -> dict:
-    """Return the parts that travelled with a form; raises FormError."""
+def parse_kept_parts(text: str) -> dict:
+    """Parse the hidden ``kept_parts`` field; raise FormError."""
     try:
         kept = json.loads(text or '{}')
     except ValueError as error:
-        raise FormError('the kept parts are no JSON') from error
+        raise FormError('kept_parts is not valid JSON') from error
     if not isinstance(kept, dict) or not set(kept) <= set(KEPT_PARTS):
-        raise FormError('the kept parts are none of a document')
+        raise FormError('kept_parts has unknown document parts')
     return kept
 
 
-def drop_row(rows: list, number: int) -> None:
-    if number < len(rows):
-        del rows[number]
+def remove_row(rows: list, index: int) -> None:
+    if index < len(rows):
+        del rows[index]
 
 
 def draft_from_fields(fields: Fields) -> Draft:
-    """Return the draft that a form describes; raises FormError."""
-    given = {name: text for name, text in fields if name in CONTROL_FIELDS}
-    rest = [field for field in fields if field[0] not in CONTROL_FIELDS]
-    base = given.get('base_version', '')
-    if not (base.isascii() and base.isdigit()) or len(base) > MAX_DIGITS:
-        raise FormError('the base version is no whole number')
-    value = value_from_fields(rest)
-    value.update(read_kept(given.get('kept_parts', '')))
-    draft = Draft(value, int(base))
-    draft.change_id = given.get('change_id', '')[:128]
-    draft.operator_name = given.get('operator_name', '')[:128]
-    draft.action = given.get('action', '')
-    draft.document_text = given.get('document_text', '')
+    """Build a draft from form fields; raise FormError."""
+    control_values = {
+        name: text for name, text in fields if name in CONTROL_FIELDS
+    }
+    document_fields = [
+        field for field in fields if field[0] not in CONTROL_FIELDS
+    ]
+    base_version = control_values.get('base_version', '')
+    if (
+        not (base_version.isascii() and base_version.isdigit())
+        or len(base_version) > MAX_DIGITS
+    ):
+        raise FormError('base_version is not a whole number')
+    value = value_from_fields(document_fields)
+    value.update(parse_kept_parts(control_values.get('kept_parts', '')))
+    draft = Draft(value, int(base_version))
+    draft.change_id = control_values.get('change_id', '')[:128]
+    draft.operator_name = control_values.get('operator_name', '')[:128]
+    draft.action = control_values.get('action', '')
+    draft.document_text = control_values.get('document_text', '')
     services = draft.value.get('services', [])
     if not isinstance(services, list) or not all(
         isinstance(service, dict) for service in services
     ):
-        raise FormError('the services are no list')
+        raise FormError('services is not a list of objects')
     return draft
--- a/cyclamenlift/console/forms.py
+++ b/cyclamenlift/console/forms.py
@@ -1,8 +1,8 @@
-"""Form fields to a document value and back.
+"""Conversion between form fields and document values.
 
 A form field is named by its path in the document, such as
-``services[0].deadline_ms``. The errors of a document name the same paths,
-so each error finds its field.
+``services[0].deadline_ms``. Validation errors use the same paths, so each
+error can be shown at its field.
 """
 
 import re
@@ -10,34 +10,34 @@
 PART = re.compile(r'([a-z_]+)|\[(\d{1,3})\]')
 PATH = re.compile(r'[a-z_]+(\[\d{1,3}\]|\.[a-z_]+)*')
 MAX_DEPTH = 6
-LISTS_OF_NAMES = ('targets', 'data_centres')
+NAME_LIST_FIELDS = ('targets', 'data_centres')
 
 Fields = list[tuple[str, str]]
 
 
 class FormError(ValueError):
-    """A form whose field names make no document."""
+    """The field names of a form do not describe a document."""
 
 
 def parse_path(name: str) -> list[str | int]:
-    """Return the parts of a field's path.
+    """Split the path of a field into names and list indexes.
 
     >>> parse_path('services[0].objective.percent')
     ['services', 0, 'objective', 'percent']
     """
     if PATH.fullmatch(name) is None:
-        raise FormError(f'no field is called {name[:100]!r}')
+        raise FormError(f'invalid field name {name[:100]!r}')
     parts = [word or int(index) for word, index in PART.findall(name)]
     if len(parts) > MAX_DEPTH:
-        raise FormError(f'{name[:100]!r} lies too deep')
+        raise FormError(f'{name[:100]!r} is nested too deeply')
     return parts
 
 
 def value_from_fields(fields: Fields) -> dict:
-    """Return the document value that a form describes, not validated.
+    """Build a document value from form fields without validating it.
 
-    Texts stay texts: the document's own validation turns them into numbers
-    and dates, and reports those that are none. Raises FormError.
+    Values stay strings: the document's validation converts them to numbers
+    and dates and reports invalid ones. Raises FormError.
 
     >>> value_from_fields([('event', 'm'), ('services[4].targets', 'a, b')])
     {'event': 'm', 'services': [{'targets': ['a', 'b']}]}
@@ -50,15 +50,15 @@
             node = node.setdefault(part, {})
             if not isinstance(node, dict):
                 raise FormError(f'{name!r} is both a field and a group')
-        if parts[-1] in LISTS_OF_NAMES:
+        if parts[-1] in NAME_LIST_FIELDS:
             node[parts[-1]] = split_names(text)
         else:
             node[parts[-1]] = text
-    return close_gaps(tree)
+    return groups_to_lists(tree)
 
 
 def split_names(text: str) -> list[str]:
-    """Return the names in a text with commas.
+    """Split a comma-separated list of names.
 
     >>> split_names('a, b,')
     ['a', 'b']
@@ -66,19 +66,19 @@
     return [part.strip() for part in text.split(',') if part.strip()]
 
 
-def close_gaps(node):
-    """Turn groups with numbers for names into lists, in their order."""
+def groups_to_lists(node):
+    """Turn groups with numeric keys into lists, ordered by key."""
     if not isinstance(node, dict):
         return node
     if node and all(isinstance(key, int) for key in node):
-        return [close_gaps(node[key]) for key in sorted(node)]
+        return [groups_to_lists(node[key]) for key in sorted(node)]
     if any(isinstance(key, int) for key in node):
-        raise FormError('a group mixes names and numbers')
-    return {key: close_gaps(item) for key, item in node.items()}
+        raise FormError('a group mixes field names and list indexes')
+    return {key: groups_to_lists(item) for key, item in node.items()}
 
 
 def text_at(value, path: str) -> str:
-    """Return what a form shows for ``path``, empty if there is nothing.
+    """Return the form text of the value at ``path``, empty if missing.
 
     >>> text_at({'services': [{'hedge': True}]}, 'services[0].hedge')
     'true'
@@ -89,14 +89,16 @@
             node = node[part]
         except (KeyError, IndexError, TypeError):
             return ''
-    return text_of(node)
+    return format_value(node)
 
 
-def text_of(item) -> str:
-    """Return one value as the text of a form field.
+def format_value(item) -> str:
+    """Format one value as the text of a form field.
 
-    >>> text_of(20.0), text_of(99.9), text_of(False), text_of(['a', 'b'])
-    ('20', '99.9', 'false', 'a, b')
+    >>> format_value(20.0), format_value(99.9)
+    ('20', '99.9')
+    >>> format_value(False), format_value(['a', 'b'])
+    ('false', 'a, b')
     """
     if item is None:
         return ''
@@ -105,12 +107,12 @@
     if isinstance(item, float) and item.is_integer():
         return str(int(item))
     if isinstance(item, list | tuple):
-        return ', '.join(text_of(part) for part in item)
+        return ', '.join(format_value(part) for part in item)
     return str(item)
 
 
-def rows_at(value, *path: str | int) -> list:
-    """Return the list at a place of a value, empty if there is none."""
+def list_at(value, *path: str | int) -> list:
+    """Return the list at ``path``, an empty one if there is none."""
     node = value
     for part in path:
         try:
--- a/cyclamenlift/console/pages.py
+++ b/cyclamenlift/console/pages.py
@@ -1,4 +1,4 @@
-"""The pages of the console: look, edit, publish, history, instances."""
+"""Console pages: view, edit, publish, history and control instances."""
 
 import json
 
@@ -28,8 +28,8 @@
 LOG = structlog.get_logger('console')
 HISTORY_LENGTH = 50
 MAX_DIGITS = 18
-# After these codes the same change may be sent again under its id.
-SAME_CHANGE = (
+# After these results the same change may be resubmitted with its change id.
+RESUBMITTABLE_CODES = (
     ResultCode.CHANGE_UNKNOWN,
     ResultCode.NOT_LEADER,
     ResultCode.DOCUMENT_INVALID,
@@ -39,7 +39,7 @@
 
 
 class ConsolePages(BaseController):
-    """``/``, ``/edit``, ``/version``, ``/history`` and ``/instances``."""
+    """Serves ``/``, ``/edit``, ``/version``, ``/history``, ``/instances``."""
 
     channel = '/'
 
@@ -55,18 +55,18 @@
     @expose('version')
     def version(self) -> Answer:
         """Show one version."""
-        return show_version(self.port, asked_version(self.request))
+        return show_version(self.port, requested_version(self.request))
 
     @expose('edit')
     def edit(self) -> Answer:
-        """Open the form on a version (GET), or work on it (POST)."""
+        """Show the form for a version (GET) or process it (POST)."""
         if self.request.method == 'POST':
-            return work_on_form(self.port, self.request)
-        return open_form(self.port, asked_version(self.request))
+            return handle_form(self.port, self.request)
+        return show_form(self.port, requested_version(self.request))
 
     @expose('history')
     def history(self) -> Answer:
-        """List who made the newest versions."""
+        """List the newest versions and who published them."""
         deferred = Deferred()
         self.port.history(
             HISTORY_LENGTH,
@@ -78,17 +78,17 @@
 
     @expose('instances')
     def instances(self) -> Answer:
-        """Show the control instances (GET), or replace a storage (POST)."""
+        """Show the control instances (GET) or replace a storage (POST)."""
         if self.request.method == 'POST':
             return replace_storage(self.port, self.request)
         return show_instances(self.port, None)
 
 
-# These are functions, since circuits exposes the methods of a controller.
+# Helpers are module functions: circuits serves every controller method.
 
 
-def asked_version(request) -> int:
-    """Return the version in the query, 0 (the newest) if there is none."""
+def requested_version(request) -> int:
+    """Return the version in the query, 0 (the newest) if missing."""
     text = query_of(request).get('version', '')
     if not (text.isascii() and text.isdigit()) or len(text) > MAX_DIGITS:
         return 0
@@ -102,7 +102,7 @@
         document = json.loads(report.document) if report.document else None
         code = report.code
         if not document and not report.current_version:
-            # A cluster without a document is new, not broken.
+            # A new cluster has no document yet; that is not an error.
             code = ResultCode.ANSWERED
         deferred.resolve(
             render('event.html', code, report=report, document=document)
@@ -112,22 +112,22 @@
     return deferred
 
 
-def open_form(port: ControlPort, version: int) -> Deferred:
-    """Return the form, filled with a version on the newest as its base."""
+def show_form(port: ControlPort, version: int) -> Deferred:
+    """Render the form for a version, with the newest version as its base."""
     deferred = Deferred()
 
     def finish(report: DocumentReport) -> None:
         value = json.loads(report.document) if report.document else None
         draft = Draft(value or blank_document(), report.current_version)
-        draft.renew()
+        draft.assign_change_id()
         deferred.resolve(render_form(draft, ResultCode.ANSWERED))
 
     port.show(version, finish)
     return deferred
 
 
-def work_on_form(port: ControlPort, request) -> Answer:
-    """Change rows, check or publish; the form is kept in each case."""
+def handle_form(port: ControlPort, request) -> Answer:
+    """Edit rows, validate or publish; the form keeps its values."""
     try:
         draft = draft_from_fields(form_of(request))
     except ValueError as error:
@@ -135,29 +135,29 @@
     if draft.edit_rows():
         return render_form(draft, ResultCode.ANSWERED)
     if draft.action == 'take-text':
-        return render_form(draft, code_of_check(draft.take_text()))
+        return render_form(draft, validation_code(draft.load_text()))
     if draft.action == 'check':
-        good = draft.check()
-        return render_form(draft, code_of_check(good), checked=good)
+        valid = draft.check()
+        return render_form(draft, validation_code(valid), checked=valid)
     if draft.action == 'rebase':
         return rebase(port, draft)
     if draft.action == 'publish':
         return publish(port, draft)
-    detail = f'no action is called {draft.action[:50]!r}'
+    detail = f'unknown action {draft.action[:50]!r}'
     return problem_answer(Problem(ResultCode.BAD_REQUEST, detail))
 
 
-def code_of_check(good: bool) -> ResultCode:
-    return ResultCode.ANSWERED if good else ResultCode.DOCUMENT_INVALID
+def validation_code(valid: bool) -> ResultCode:
+    return ResultCode.ANSWERED if valid else ResultCode.DOCUMENT_INVALID
 
 
 def rebase(port: ControlPort, draft: Draft) -> Deferred:
-    """Put the draft on the newest version, as another change."""
+    """Set the newest version as the base, under a new change id."""
     deferred = Deferred()
 
     def finish(report: DocumentReport) -> None:
         draft.base_version = report.current_version
-        draft.renew()
+        draft.assign_change_id()
         deferred.resolve(render_form(draft, ResultCode.ANSWERED))
 
     port.show(0, finish)
@@ -165,7 +165,7 @@
 
 
 def publish(port: ControlPort, draft: Draft) -> Answer:
-    """Publish the draft; the answer comes once the outcome is known."""
+    """Publish the draft; answer once the outcome is known."""
     try:
         change = draft.publication()
     except pydantic.ValidationError as error:
@@ -180,12 +180,12 @@
             code=int(report.code),
             version=report.version,
         )
-        draft.note(report.problems)
+        draft.set_problems(report.problems)
         if report.code == ResultCode.CHANGE_ACCEPTED:
             answer = render('accepted.html', report.code, report=report)
         else:
-            if report.code not in SAME_CHANGE:
-                draft.renew()
+            if report.code not in RESUBMITTABLE_CODES:
+                draft.assign_change_id()
             answer = render_form(draft, report.code, report=report)
         deferred.resolve(answer)
 
@@ -222,11 +222,11 @@
 
 
 def replace_storage(port: ControlPort, request) -> Answer:
-    """Order a replacement, then show the instances with its outcome."""
+    """Request a replacement, then show the instances with its outcome."""
     try:
         order = StorageReplacement(**dict(form_of(request)))
     except (ValueError, TypeError):
-        detail = 'instance and storage_id are needed'
+        detail = 'instance and storage_id are required'
         return problem_answer(Problem(ResultCode.BAD_REQUEST, detail))
     deferred = Deferred()
 
--- a/cyclamenlift/console/port.py
+++ b/cyclamenlift/console/port.py
@@ -1,4 +1,4 @@
-"""What the console needs of a control instance."""
+"""Interface between the console and its control instance."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -16,22 +16,22 @@
 
 
 class ControlPort(Protocol):
-    """Commands and queries; each ``done`` is called once, maybe later."""
+    """Commands and queries; ``done`` is called once, now or later."""
 
     def publish(
         self, change: Publication, done: Callable[[PublishReport], None]
     ) -> None:
-        """Publish a document on its base version."""
+        """Publish a document that replaces its base version."""
 
     def show(
         self, version: int, done: Callable[[DocumentReport], None]
     ) -> None:
-        """Report one version of the document, 0 for the newest."""
+        """Report one version of the document, the newest for 0."""
 
     def history(
         self, limit: int, done: Callable[[HistoryReport], None]
     ) -> None:
-        """Report who made the newest versions."""
+        """Report the newest versions and who published them."""
 
     def status(self, done: Callable[[ControlReport], None]) -> None:
         """Report the state of the control instances."""
@@ -39,11 +39,11 @@
     def replace_storage(
         self, order: StorageReplacement, done: Callable[[StorageReport], None]
     ) -> None:
-        """Let a new storage count in place of a lost one."""
+        """Make a new storage a voter in place of a lost one."""
 
 
 class ContextPort:
-    """The commands and queries that the JSON interface uses too."""
+    """Implementation with the commands and queries of the JSON API."""
 
     def __init__(self, context: ControlContext):
         self.context = context
--- a/cyclamenlift/console/rendering.py
+++ b/cyclamenlift/console/rendering.py
@@ -1,17 +1,17 @@
-"""Pages from templates: escaped, self-contained, readable on a phone."""
+"""Renders the page templates with escaping and security headers."""
 
 import datetime
 
 import jinja2
 
-from cyclamenlift.console.forms import text_of
+from cyclamenlift.console.forms import format_value
 from cyclamenlift.core.clock import MILLISECONDS
 from cyclamenlift.core.codes import describe
 from cyclamenlift.core.codes import ResultCode
 from cyclamenlift.http.pages import WebAnswer
 
-# Only what stands in the page itself may be used by it.
-SECURITY = (
+# The policy lets a page use only its inline styles and own form targets.
+SECURITY_HEADERS = (
     (
         'Content-Security-Policy',
         "default-src 'none'; style-src 'unsafe-inline'; form-action 'self'; "
@@ -23,7 +23,7 @@
 
 
 def utc_time(unix_ms: int) -> str:
-    """Return an instant as a person reads it.
+    """Format a Unix time in milliseconds as UTC.
 
     >>> utc_time(0)
     '1970-01-01 00:00:00 UTC'
@@ -34,7 +34,7 @@
     return instant.strftime('%Y-%m-%d %H:%M:%S UTC')
 
 
-def make_environment() -> jinja2.Environment:
+def create_environment() -> jinja2.Environment:
     environment = jinja2.Environment(
         loader=jinja2.PackageLoader('cyclamenlift.console'),
         autoescape=True,
@@ -43,18 +43,18 @@
         lstrip_blocks=True,
     )
     environment.filters['utc_time'] = utc_time
-    environment.filters['plain'] = text_of
+    environment.filters['plain'] = format_value
     return environment
 
 
-ENVIRONMENT = make_environment()
+ENVIRONMENT = create_environment()
 
 
 def render(template: str, code: ResultCode, **values) -> WebAnswer:
-    """Return a page under the HTTP status of ``code``."""
+    """Render a template with the HTTP status of ``code``."""
     info = describe(code)
     text = ENVIRONMENT.get_template(template).render(
         code=int(code), info=info, codes=ResultCode, **values
     )
-    headers = (*SECURITY, ('Cyclamenlift-Result', str(int(code))))
+    headers = (*SECURITY_HEADERS, ('Cyclamenlift-Result', str(int(code))))
     return WebAnswer(text.encode(), info.status or 200, headers=headers)
--- a/cyclamenlift/console/views.py
+++ b/cyclamenlift/console/views.py
@@ -1,4 +1,4 @@
-"""What the templates show of a form: fields with labels and errors."""
+"""View models of the edit form: fields with labels, hints and errors."""
 
 import dataclasses
 from typing import get_args
@@ -7,7 +7,7 @@
 
 import pydantic
 
-from cyclamenlift.console.forms import rows_at
+from cyclamenlift.console.forms import list_at
 from cyclamenlift.console.forms import text_at
 from cyclamenlift.events.reports import FieldProblem
 from cyclamenlift.models.document import EventDocument
@@ -21,36 +21,36 @@
     '_per_second': 'per second',
     '_bytes': 'bytes',
 }
-BASIC = ('name', 'targets', 'data_centres', 'deadline_ms', 'policy')
-GROUPS = ('operations', 'objective')
+BASIC_FIELDS = ('name', 'targets', 'data_centres', 'deadline_ms', 'policy')
+NESTED_FIELDS = ('operations', 'objective')
 HINTS = {
     'event': 'lower-case letters, digits, dots and dashes',
     'starts_at': 'with its offset, such as 2026-12-02T06:00:00+03:00',
     'ends_at': 'with its offset',
     'targets': 'names or patterns with *, separated by commas',
     'data_centres': 'separated by commas; empty: all',
-    'deadline_ms': 'a caller has its answer by then',
+    'deadline_ms': 'time limit for an answer to the caller',
     'upload_deadline_ms': 'for requests with a large body',
     'policy': 'how a target is chosen',
-    'max_tries': 'tries of a call that was proven not run',
-    'retry_budget_percent': 'repeated tries, of all first tries',
-    'hedge': 'a second try in parallel for a slow idempotent call',
-    'queue_limit': 'calls that wait at one target',
-    'probe_budget_per_second': 'at each target; its daemon holds to it alone',
-    'ejection_percent': 'of the targets, at most, at one time',
-    'slow_start_ms': 'until a fresh target gets its full share',
-    'path': 'ends in * for all that begins so',
-    'idempotent': 'may run twice without harm',
-    'latency_ms': 'a call counts as good up to here',
-    'percent': 'of the calls should be good',
+    'max_tries': 'attempts of a call that is known not to have run',
+    'retry_budget_percent': 'retries, as a share of first attempts',
+    'hedge': 'parallel second attempt of a slow idempotent call',
+    'queue_limit': 'waiting calls at each target, at most',
+    'probe_budget_per_second': 'at each target, enforced by its daemon',
+    'ejection_percent': 'share of targets ejected at a time, at most',
+    'slow_start_ms': 'time until a new target gets its full share',
+    'path': 'a trailing * matches every path with this prefix',
+    'idempotent': 'safe to run more than once',
+    'latency_ms': 'slower calls miss the objective',
+    'percent': 'share of calls that should meet the objective',
 }
-# Parts of the document that the form shows elsewhere or carries along.
-WITHOUT_FIELDS = ('services', 'routes', 'caller_limits', 'source')
+# Document parts that are shown elsewhere in the form or kept unchanged.
+SKIPPED_FIELDS = ('services', 'routes', 'caller_limits', 'source')
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FieldView:
-    """One input; ``options`` is empty for a free text."""
+    """One input field; ``options`` is empty for free text."""
 
     path: str
     label: str
@@ -67,7 +67,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OperationView:
-    """One row of a service's operations."""
+    """One operation of a service."""
 
     number: int
     fields: tuple[FieldView, ...]
@@ -75,31 +75,31 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServiceView:
-    """One service: what is set always, and what seldom."""
+    """One service, with its basic and its advanced settings."""
 
     number: int
     title: str
     basic: tuple[FieldView, ...]
-    more: tuple[FieldView, ...]
+    advanced: tuple[FieldView, ...]
     objective: tuple[FieldView, ...]
     operations: tuple[OperationView, ...]
 
     @property
-    def more_is_wrong(self) -> bool:
-        return any(field.error for field in (*self.more, *self.objective))
+    def advanced_has_errors(self) -> bool:
+        return any(field.error for field in (*self.advanced, *self.objective))
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FormView:
-    """The whole form; ``errors`` are those that belong to no field."""
+    """The whole form; ``errors`` are those without a field of their own."""
 
-    head: tuple[FieldView, ...]
+    event_fields: tuple[FieldView, ...]
     services: tuple[ServiceView, ...]
     errors: tuple[FieldProblem, ...]
 
 
 class FormBuilder:
-    """Builds the view of one document value and its errors."""
+    """Builds the form view of a document value and its errors."""
 
     def __init__(self, value: dict, problems: tuple[FieldProblem, ...]):
         self.value = value
@@ -108,22 +108,22 @@
         self.shown: set[str] = set()
 
     def build(self) -> FormView:
-        head = self.fields(EventDocument, '', skip=WITHOUT_FIELDS)
-        rows = rows_at(self.value, 'services')
+        event_fields = self.fields(EventDocument, '', skip=SKIPPED_FIELDS)
+        rows = list_at(self.value, 'services')
         services = tuple(self.service(n) for n in range(len(rows)))
-        left = tuple(p for p in self.problems if p.path not in self.shown)
-        return FormView(head, services, left)
+        unmatched = tuple(p for p in self.problems if p.path not in self.shown)
+        return FormView(event_fields, services, unmatched)
 
     def service(self, number: int) -> ServiceView:
         prefix = f'services[{number}].'
-        fields = self.fields(ServiceModel, prefix, skip=GROUPS)
-        short = {prefix + name for name in BASIC}
-        rows = rows_at(self.value, 'services', number, 'operations')
+        fields = self.fields(ServiceModel, prefix, skip=NESTED_FIELDS)
+        basic_paths = {prefix + name for name in BASIC_FIELDS}
+        rows = list_at(self.value, 'services', number, 'operations')
         return ServiceView(
             number,
             text_at(self.value, f'{prefix}name') or 'new service',
-            tuple(field for field in fields if field.path in short),
-            tuple(field for field in fields if field.path not in short),
+            tuple(field for field in fields if field.path in basic_paths),
+            tuple(field for field in fields if field.path not in basic_paths),
             self.fields(ObjectiveModel, f'{prefix}objective.'),
             tuple(self.operation(prefix, n) for n in range(len(rows))),
         )
@@ -138,7 +138,7 @@
         prefix: str,
         skip: tuple[str, ...] = (),
     ) -> tuple[FieldView, ...]:
-        """Return a view of each field of a model."""
+        """Return the view of each field of a model."""
         return tuple(
             self.field(name, info, prefix)
             for name, info in model.model_fields.items()
@@ -159,7 +159,7 @@
         )
 
     def error_at(self, path: str) -> str:
-        """Return the error of a field or of an item in its list."""
+        """Return the error of a field or of one of its list items."""
         for place, detail in self.errors.items():
             if place == path or place.startswith(path + '['):
                 self.shown.add(place)
@@ -168,7 +168,7 @@
 
 
 def label_of(name: str) -> str:
-    """Return a label with its unit.
+    """Return the label of a field, with its unit.
 
     >>> label_of('slow_start_ms'), label_of('max_tries')
     ('slow start (ms)', 'max tries')
@@ -180,7 +180,7 @@
 
 
 def options_of(annotation) -> tuple[str, ...]:
-    """Return the choices of a field, none for a free one."""
+    """Return the choices of a field, none for free text."""
     if annotation is bool:
         return ('true', 'false')
     if get_origin(annotation) is Literal:
@@ -189,7 +189,7 @@
 
 
 def blank_service() -> dict:
-    """Return a service with the defaults of the document."""
+    """Return a service with the default settings."""
     return {
         'name': '',
         **ServiceModel.model_construct(name='').model_dump(
@@ -199,12 +199,12 @@
 
 
 def blank_operation() -> dict:
-    """Return an operation that may not be repeated."""
+    """Return a new, non-idempotent operation."""
     return {'method': 'POST', 'path': '/*', 'idempotent': False}
 
 
 def blank_document() -> dict:
-    """Return the value that an empty form starts from."""
+    """Return the document value of an empty form."""
     return {
         'event': '',
         'starts_at': '',
--- a/cyclamenlift/reports/__init__.py
+++ b/cyclamenlift/reports/__init__.py
@@ -1,4 +1,4 @@
-"""Reports for operators: service-level burn."""
+"""Error-budget reports for operators."""
 
 from cyclamenlift.reports.queries import ServiceBurn
 from cyclamenlift.reports.state import BurnWindows
--- a/cyclamenlift/reports/burn.py
+++ b/cyclamenlift/reports/burn.py
@@ -1,4 +1,4 @@
-"""The command behind ``cyclamenlift report burn``."""
+"""Implementation of ``cyclamenlift report burn``."""
 
 from collections.abc import Mapping
 import pathlib
@@ -24,7 +24,7 @@
 from cyclamenlift.reports.queries import burn
 from cyclamenlift.reports.queries import ServiceBurn
 from cyclamenlift.reports.rendering import to_html
-from cyclamenlift.reports.rendering import to_plain
+from cyclamenlift.reports.rendering import to_jsonable
 from cyclamenlift.reports.rendering import to_table
 
 PATH = '/burn'
@@ -33,13 +33,13 @@
     'cyclamenlift report burn --addresses=HOST:PORT,... [--json] '
     '[--html=FILE]\n'
     '  --addresses  admin addresses of daemons\n'
-    '  --json       plain data instead of a table\n'
-    '  --html       also write a page with plots to this file'
+    '  --json       JSON instead of a table\n'
+    '  --html       also write an HTML page with plots to this file'
 )
 
 
 def fetch(address: Address) -> Result[BurnSnapshot, Problem]:
-    """Return the figures of one daemon."""
+    """Request the burn snapshot of one daemon."""
     return request(address, 'GET', PATH).bind(
         lambda answer: read_snapshot(answer.value)
     )
@@ -48,10 +48,10 @@
 def run(
     addresses: list[Address], as_json: bool, html_path: str = ''
 ) -> ExitStatus:
-    """Fetch, work out and show the burn of every service.
+    """Fetch the snapshots, compute the burn of every service and print it.
 
-    What some daemons did not give is named; the exit status then is that
-    of a failure, since the report does not cover all calls.
+    Daemons without a snapshot are listed in the report. The exit status is
+    then a failure, because the report does not cover all calls.
     """
     snapshots = []
     missing = []
@@ -63,19 +63,19 @@
         else:
             snapshots.append(result.unwrap())
     burns = burn(snapshots)
-    written = not html_path or write_page(html_path, burns, missing)
+    page_written = not html_path or write_page(html_path, burns, missing)
     if as_json:
-        say_json({'services': to_plain(burns), 'missing': missing})
+        say_json({'services': to_jsonable(burns), 'missing': missing})
     else:
         say_table(to_table(burns))
-    whole = written and not missing
-    return ExitStatus.FINE if whole else ExitStatus.FAILED
+    complete = page_written and not missing
+    return ExitStatus.FINE if complete else ExitStatus.FAILED
 
 
 def write_page(
     path: str, burns: list[ServiceBurn], missing: list[str]
 ) -> bool:
-    """Write the page; report a file that can't be written."""
+    """Write the HTML page; report an error if the file is not writable."""
     try:
         pathlib.Path(path).write_text(
             to_html(burns, missing), encoding='utf-8'
@@ -87,17 +87,17 @@
 
 
 def run_command(flags: Mapping[str, str]) -> ExitStatus:
-    """Run the command with the flags of the command line."""
+    """Validate the command-line flags and run the command."""
     if wants_help(flags):
         say(HELP)
         return ExitStatus.FINE
     unknown = sorted(set(flags) - set(FLAGS))
     if unknown:
-        complain(wrong('no such flag', unknown[0]))
+        complain(wrong('unknown flag', unknown[0]))
         return ExitStatus.WRONG_USE
-    places = parse_addresses(flags.get('addresses', ''), 'addresses')
-    if isinstance(places, Failure):
-        complain(places.failure())
+    parsed = parse_addresses(flags.get('addresses', ''), 'addresses')
+    if isinstance(parsed, Failure):
+        complain(parsed.failure())
         return ExitStatus.WRONG_USE
     as_json = is_true(flags.get('json', 'False'))
-    return run(places.unwrap(), as_json, flags.get('html', ''))
+    return run(parsed.unwrap(), as_json, flags.get('html', ''))
--- a/cyclamenlift/reports/losses.py
+++ b/cyclamenlift/reports/losses.py
@@ -1,8 +1,8 @@
-"""Where calls are lost, by time: counts made from the logs of processes.
+"""Counts of lost calls by time window, computed from the processes' logs.
 
-Lines of one event are bounded; the first line after some that were left out
-says how many, and stands for them too. So sums are right and what they are
-made of is an estimate where a crowd came.
+Log lines of one event are rate-limited. The first line after a suppressed
+run carries the number of suppressed lines and is counted with that weight.
+Totals are therefore exact; their breakdown is an estimate under high load.
 """
 
 import collections
@@ -14,25 +14,26 @@
 
 from cyclamenlift.core.codes import ResultCode
 
-ENDS = ('call_answered', 'call_not_answered')
+CALL_END_EVENTS = ('call_answered', 'call_not_answered')
 SERVER_ERROR = 500
 FIRST_NOT_RUN = 2000
 FIRST_UNKNOWN = 3000
-FIRST_WRONG = 4000
-# A target's pace that counts as a slow spell, in percent of the usual.
-SLOW_PACE = 200
+FIRST_CALLER_ERROR = 4000
+# Service time, in percent of the target's usual one, that counts as slow.
+SLOW_PACE_PERCENT = 200
 
 
 @dataclasses.dataclass(slots=True)
 class Window:
-    """What the logs tell of a span of time.
-
-    ``answered`` counts callers' calls with an answer that is no error,
-    ``target_errors`` those with the target's own error. ``refused`` counts
-    those that did not run, ``unknown`` those that may have, each by code;
-    ``nested_failed`` the calls of running work that failed. ``full`` and
-    ``slow`` count refusals of gates whose slots were taken and whose target
-    was slow, of ``gate_refusals`` in all.
+    """Counts of the log events of one time window.
+
+    ``answered`` counts callers' calls with a successful answer and
+    ``target_errors`` those with a server error of the target itself.
+    ``refused`` counts calls that did not run and ``unknown`` calls that may
+    have run, both by result code. ``nested_failed`` counts failed calls that
+    targets made while they ran other calls. ``gate_refusals`` counts all
+    refusals by gates, ``full`` those with every slot in use and ``slow``
+    those with a slow target.
     """
 
     answered: int = 0
@@ -49,23 +50,23 @@
     full: int = 0
     slow: int = 0
 
-    def note(self, record: dict) -> None:
-        """Count one log line."""
+    def add(self, record: dict) -> None:
+        """Count one log record."""
         weight = 1 + int(record.get('left_out', 0))
         event = record.get('event')
-        if event in ENDS:
-            self.note_end(record, weight)
+        if event in CALL_END_EVENTS:
+            self.add_call_end(record, weight)
         elif event == 'request_refused':
             self.refused[record['code']] += weight
         elif event == 'gate_refused':
             self.gate_refusals += weight
             if record.get('running', 0) >= record.get('room', 1):
                 self.full += weight
-            if record.get('pace_percent', 0) >= SLOW_PACE:
+            if record.get('pace_percent', 0) >= SLOW_PACE_PERCENT:
                 self.slow += weight
 
-    def note_end(self, record: dict, weight: int) -> None:
-        """Count the end of a call at its entry."""
+    def add_call_end(self, record: dict, weight: int) -> None:
+        """Count the end of a call, as logged by the daemon it entered at."""
         code = int(record.get('code', 0))
         good = code < FIRST_NOT_RUN and record['status'] < SERVER_ERROR
         if record.get('nested'):
@@ -77,12 +78,12 @@
             self.target_errors += weight
         elif code < FIRST_UNKNOWN:
             self.refused[code] += weight
-        elif code < FIRST_WRONG:
+        elif code < FIRST_CALLER_ERROR:
             self.unknown[code] += weight
 
 
 def read_lines(lines: Iterable[str]) -> Iterable[dict]:
-    """Return the records of log lines; what is none is left out.
+    """Yield the JSON records of log lines; other lines are skipped.
 
     >>> list(read_lines(['x {"event": "e", "timestamp": "t"}', 'y']))
     [{'event': 'e', 'timestamp': 't'}]
@@ -99,47 +100,49 @@
             yield record
 
 
-def count(records: Iterable[dict], seconds: float) -> dict[float, Window]:
-    """Return the windows by their start, in seconds after the first line."""
+def count_by_window(
+    records: Iterable[dict], seconds: float
+) -> dict[float, Window]:
+    """Return the windows by start, in seconds after the first record."""
     found: dict[float, Window] = {}
-    timed = sorted((instant(r), n, r) for n, r in enumerate(records))
+    timed = sorted((unix_seconds(r), n, r) for n, r in enumerate(records))
     for at, _, record in timed:
         start = (at - timed[0][0]) // seconds * seconds
-        found.setdefault(start, Window()).note(record)
+        found.setdefault(start, Window()).add(record)
     return found
 
 
-def instant(record: dict) -> float:
-    """Return the Unix seconds at which a line was written."""
+def unix_seconds(record: dict) -> float:
+    """Return the timestamp of a record in Unix seconds."""
     text = record['timestamp']
     return datetime.datetime.fromisoformat(text).timestamp()
 
 
-def table(windows: dict[float, Window]) -> list[str]:
-    """Return the windows as lines for a person, heading first."""
+def format_table(windows: dict[float, Window]) -> list[str]:
+    """Return the windows as the lines of a text table, header first."""
     lines = [
         'second  answered  p50 ms  refused  unknown  errors  nested lost'
         '  gates: refused  full  slow  codes'
     ]
     for start, window in sorted(windows.items()):
         times = window.milliseconds
-        middle = int(statistics.median(times)) if times else 0
+        median_ms = int(statistics.median(times)) if times else 0
         codes = window.refused + window.unknown
-        named = ' '.join(
+        code_counts = ' '.join(
             f'{code}:{number}' for code, number in codes.most_common(4)
         )
         lines.append(
-            f'{start:6.0f}  {window.answered:8}  {middle:6}'
+            f'{start:6.0f}  {window.answered:8}  {median_ms:6}'
             f'  {window.refused.total():7}  {window.unknown.total():7}'
             f'  {window.target_errors:6}  {window.nested_failed:11}'
             f'  {window.gate_refusals:14}  {window.full:4}'
-            f'  {window.slow:4}  {named}'
+            f'  {window.slow:4}  {code_counts}'
         )
     return lines
 
 
-def meanings(windows: dict[float, Window]) -> list[int]:
-    """Return the codes that occur, for a legend."""
+def known_codes(windows: dict[float, Window]) -> list[int]:
+    """Return the known result codes that occur, for a legend."""
     seen = set()
     for window in windows.values():
         seen.update(window.refused, window.unknown)
--- a/cyclamenlift/reports/models.py
+++ b/cyclamenlift/reports/models.py
@@ -1,4 +1,4 @@
-"""Border models of the figures that a daemon gives at ``/burn``."""
+"""Validation models of the JSON that a daemon serves at ``/burn``."""
 
 from typing import Annotated
 
@@ -15,20 +15,23 @@
 
 
 class FrozenModel(pydantic.BaseModel):
-    """A model whose values stay as they were read."""
+    """Base class of immutable models."""
 
     model_config = pydantic.ConfigDict(frozen=True)
 
 
 class ObjectiveFigures(FrozenModel):
-    """Share of calls that are to be answered within ``seconds``."""
+    """Objective of a service: ``share`` of its calls within ``seconds``."""
 
     seconds: Annotated[float, pydantic.Field(gt=0)]
     share: Annotated[float, pydantic.Field(gt=0, lt=1)]
 
 
 class ServiceFigures(FrozenModel):
-    """Calls of one service; ``minutes`` are (total, good), newest first."""
+    """Calls of one service.
+
+    ``minutes`` holds a (total, good) pair for each minute, newest first.
+    """
 
     total: Count
     good: Count
@@ -40,7 +43,7 @@
 
 
 class BurnSnapshot(FrozenModel):
-    """The figures of one daemon."""
+    """Objectives and call counts of one daemon."""
 
     instance: str
     data_centre: str
@@ -51,12 +54,12 @@
 
 
 def read_snapshot(value: object) -> Result[BurnSnapshot, Problem]:
-    """Return the snapshot in a decoded JSON value."""
+    """Validate a decoded JSON value as a snapshot."""
     try:
         return Success(BurnSnapshot.model_validate(value))
     except pydantic.ValidationError as error:
         first = error.errors()[0]
-        where = '.'.join(str(part) for part in first['loc'])
+        path = '.'.join(str(part) for part in first['loc'])
         return Failure(
-            Problem(ResultCode.DOCUMENT_UNREADABLE, first['msg'], where)
+            Problem(ResultCode.DOCUMENT_UNREADABLE, first['msg'], path)
         )
--- a/cyclamenlift/reports/queries.py
+++ b/cyclamenlift/reports/queries.py
@@ -1,4 +1,4 @@
-"""Service-level burn from the figures of many daemons."""
+"""Error-budget burn of services, computed from the daemons' snapshots."""
 
 from collections.abc import Iterable
 import dataclasses
@@ -14,20 +14,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Tally:
-    """Calls and those of them that met the objective."""
+    """Number of calls, and of those that met the objective."""
 
     total: int = 0
     good: int = 0
 
-    def plus(self, total: int, good: int) -> 'Tally':
+    def add(self, total: int, good: int) -> 'Tally':
         return Tally(self.total + total, self.good + good)
 
     def bad_share(self) -> float:
-        """Return the share of bad calls, 0 without calls."""
+        """Return the share of calls that missed the objective, 0 if none."""
         return (self.total - self.good) / self.total if self.total else 0.0
 
     def burn_rate(self, share: float) -> float:
-        """Return how fast the error budget goes; 1 uses it up exactly.
+        """Return the burn rate; at 1 the error budget is used up exactly.
 
         >>> round(Tally(1000, 990).burn_rate(0.999), 3)
         10.0
@@ -37,12 +37,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServiceBurn:
-    """One service of one event.
+    """Burn report of one service of one event.
 
-    ``budget_left`` is a share of the budget for the calls so far, negative
-    when more was used than allowed. ``minutes`` are newest first. The 99th
-    percentile is the highest that any daemon saw, since percentiles can't
-    be added up.
+    ``budget_left`` is the remaining share of the error budget for the calls
+    so far, negative when the budget is exceeded. ``minutes`` are newest
+    first. The 99th percentile is the highest of any daemon, since
+    percentiles of several daemons cannot be combined.
     """
 
     event: str
@@ -62,15 +62,15 @@
 def burn(snapshots: Iterable[BurnSnapshot]) -> list[ServiceBurn]:
     """Return the burn of each service that has an objective.
 
-    Objectives are those of the newest configuration among the daemons. The
-    services that burn fastest come first.
+    Objectives are taken from the newest configuration version among the
+    daemons. Services with the highest burn rate come first.
     """
-    given = list(snapshots)
-    if not given:
+    received = list(snapshots)
+    if not received:
         return []
-    newest = max(given, key=lambda snapshot: snapshot.version)
+    newest = max(received, key=lambda snapshot: snapshot.version)
     result = [
-        service_burn(newest.event, name, objective, given)
+        service_burn(newest.event, name, objective, received)
         for name, objective in newest.objectives.items()
     ]
     return sorted(
@@ -84,7 +84,7 @@
     objective: ObjectiveFigures,
     snapshots: list[BurnSnapshot],
 ) -> ServiceBurn:
-    """Return the burn of one service over all daemons."""
+    """Return the burn of one service across all daemons."""
     figures = [
         (s.data_centre, s.services[service])
         for s in snapshots
@@ -92,8 +92,8 @@
     ]
     calls = Tally()
     for _, one in figures:
-        calls = calls.plus(one.total, one.good)
-    minutes = add_minutes(one for _, one in figures)
+        calls = calls.add(one.total, one.good)
+    minutes = sum_minutes(one for _, one in figures)
     worst, worst_burn = worst_data_centre(figures, objective.share)
     return ServiceBurn(
         event=event,
@@ -102,8 +102,10 @@
         objective_seconds=objective.seconds,
         calls=calls,
         budget_left=1.0 - calls.burn_rate(objective.share),
-        short_burn=window(minutes, SHORT_MINUTES).burn_rate(objective.share),
-        long_burn=window(minutes, LONG_MINUTES).burn_rate(objective.share),
+        short_burn=sum_window(minutes, SHORT_MINUTES).burn_rate(
+            objective.share
+        ),
+        long_burn=sum_window(minutes, LONG_MINUTES).burn_rate(objective.share),
         worst_data_centre=worst,
         worst_burn=worst_burn,
         highest_p99_seconds=max((f.p99_us for _, f in figures), default=0)
@@ -112,32 +114,32 @@
     )
 
 
-def add_minutes(figures: Iterable[ServiceFigures]) -> tuple[Tally, ...]:
-    """Add up the minutes of several daemons, newest first."""
+def sum_minutes(figures: Iterable[ServiceFigures]) -> tuple[Tally, ...]:
+    """Sum the minutes of several daemons, newest first."""
     sums = [Tally()] * BUCKETS
     for one in figures:
         for age, (total, good) in enumerate(one.minutes):
-            sums[age] = sums[age].plus(total, good)
+            sums[age] = sums[age].add(total, good)
     return tuple(sums)
 
 
-def window(minutes: tuple[Tally, ...], length: int) -> Tally:
-    """Return the calls of the last ``length`` minutes."""
+def sum_window(minutes: tuple[Tally, ...], length: int) -> Tally:
+    """Sum the calls of the last ``length`` minutes."""
     result = Tally()
     for minute in minutes[:length]:
-        result = result.plus(minute.total, minute.good)
+        result = result.add(minute.total, minute.good)
     return result
 
 
 def worst_data_centre(
     figures: list[tuple[str, ServiceFigures]], share: float
 ) -> tuple[str, float]:
-    """Return the data centre with the highest burn of the long window."""
+    """Return the data centre with the highest burn in the long window."""
     groups: dict[str, list[ServiceFigures]] = {}
     for data_centre, one in figures:
         groups.setdefault(data_centre, []).append(one)
     rates = [
-        (window(add_minutes(group), LONG_MINUTES).burn_rate(share), name)
+        (sum_window(sum_minutes(group), LONG_MINUTES).burn_rate(share), name)
         for name, group in groups.items()
     ]
     if not rates:
--- a/cyclamenlift/reports/rendering.py
+++ b/cyclamenlift/reports/rendering.py
@@ -1,4 +1,4 @@
-"""The burn report as a table, as plain data and as a page with plots."""
+"""Renders the burn report as a table, as JSON or as a page with plots."""
 
 from collections.abc import Sequence
 import dataclasses
@@ -19,7 +19,7 @@
     'worst data centre',
     'p99',
 )
-# A budget for 30 days is gone in two days at this rate over one hour.
+# At this burn rate a 30-day budget is used up in about two days.
 FAST_BURN = 14.4
 STYLE = """
 body{font:16px/1.4 system-ui,sans-serif;margin:0 auto;max-width:46rem;
@@ -38,7 +38,7 @@
 
 
 def percent(share: float, digits: int = 1) -> str:
-    """Return a share as text.
+    """Format a share as a percentage.
 
     >>> percent(0.9995, 2)
     '99.95 %'
@@ -58,7 +58,7 @@
 
 
 def cells(burn: ServiceBurn) -> tuple[str, ...]:
-    """Return one line of the table, in the order of COLUMNS."""
+    """Return one table row, in the order of COLUMNS."""
     return (
         burn.service,
         objective_text(burn),
@@ -72,7 +72,7 @@
 
 
 def to_table(burns: Sequence[ServiceBurn]) -> Table:
-    """Return the report as a table, fastest burn first."""
+    """Return the report as a table, in the given order."""
     event = burns[0].event if burns else 'no event'
     table = Table(*COLUMNS, title=f'Service-level burn: {event}')
     for burn in burns:
@@ -80,13 +80,13 @@
     return table
 
 
-def to_plain(burns: Sequence[ServiceBurn]) -> list[dict[str, object]]:
-    """Return the report as values that JSON can carry."""
+def to_jsonable(burns: Sequence[ServiceBurn]) -> list[dict[str, object]]:
+    """Return the report as JSON-serialisable values."""
     return [dataclasses.asdict(burn) for burn in burns]
 
 
-def pace(burn: ServiceBurn) -> str:
-    """Return the CSS class for how urgent a service is."""
+def urgency_class(burn: ServiceBurn) -> str:
+    """Return the CSS class that shows how fast a service burns."""
     if burn.short_burn >= FAST_BURN and burn.long_burn >= FAST_BURN:
         return 'fast'
     return 'slow' if max(burn.short_burn, burn.long_burn) >= 1 else 'fine'
@@ -95,7 +95,7 @@
 def plot(burn: ServiceBurn) -> str:
     """Return the burn rate of the last hour as inline SVG.
 
-    matplotlib is loaded here only, since nothing else needs it.
+    matplotlib is imported here because nothing else needs it.
     """
     from matplotlib.backends.backend_svg import FigureCanvasSVG
     from matplotlib.figure import Figure
@@ -112,28 +112,29 @@
     axes.set_ylim(bottom=0)
     axes.set_xticks([-60, -45, -30, -15, 0], ['60', '45', '30', '15', '0'])
     canvas = FigureCanvasSVG(figure)
-    text = io.StringIO()
-    canvas.print_svg(text, metadata={'Date': None})
-    whole = text.getvalue()
-    return whole[whole.index('<svg') :]
+    buffer = io.StringIO()
+    canvas.print_svg(buffer, metadata={'Date': None})
+    document = buffer.getvalue()
+    return document[document.index('<svg') :]
 
 
 def article(burn: ServiceBurn) -> str:
     pairs = zip(COLUMNS[1:], cells(burn)[1:])
-    lines = ''.join(
+    entries = ''.join(
         f'<dt>{html.escape(name)}</dt><dd>{html.escape(value)}</dd>'
         for name, value in pairs
     )
     return (
-        f'<article class="{pace(burn)}"><h2>{html.escape(burn.service)}</h2>'
-        f'<dl>{lines}</dl>{plot(burn)}</article>'
+        f'<article class="{urgency_class(burn)}">'
+        f'<h2>{html.escape(burn.service)}</h2>'
+        f'<dl>{entries}</dl>{plot(burn)}</article>'
     )
 
 
 def to_html(burns: Sequence[ServiceBurn], missing: Sequence[str]) -> str:
-    """Return a page that stands alone and fits a phone's screen.
+    """Return a self-contained HTML page that also fits a phone's screen.
 
-    ``missing`` are daemons that gave no figures; the page says so.
+    ``missing`` lists the daemons without a snapshot; the page names them.
     """
     event = burns[0].event if burns else 'no event'
     title = f'Service-level burn: {html.escape(event)}'
--- a/cyclamenlift/reports/state.py
+++ b/cyclamenlift/reports/state.py
@@ -1,9 +1,9 @@
-"""Good and bad calls of each service, by minute, as one daemon counts them.
+"""Counts good and bad calls of each service by minute, in one daemon.
 
 A call is good when it was answered within the service's objective. Calls
-whose request was wrong count for nothing: the caller has to mend them. The
-minutes are those of the daemon's own monotonic clock, and a snapshot names
-them by how long ago they were, so no two clocks are compared.
+with an invalid request are not counted: the error is the caller's. Minutes
+are those of the daemon's monotonic clock, and a snapshot identifies them by
+their age, so clocks of different machines are never compared.
 """
 
 import dataclasses
@@ -15,19 +15,19 @@
 
 BUCKET_SECONDS = 60.0
 BUCKETS = 60
-LONGEST_SECONDS = 3600.0
-FIRST_CALLERS_FAULT = 4000
-LAST_CALLERS_FAULT = 4999
+MAX_LATENCY_SECONDS = 3600.0
+FIRST_CALLER_ERROR = 4000
+LAST_CALLER_ERROR = 4999
 ANSWERED = (ResultCode.ANSWERED, ResultCode.ANSWERED_FROM_RECORD)
 
 
 def counts_for_objective(code: int) -> bool:
-    """Tell whether an outcome is held against the service at all.
+    """Tell whether an outcome counts towards the service's objective.
 
     >>> counts_for_objective(ResultCode.KEY_REQUIRED)
     False
     """
-    return not FIRST_CALLERS_FAULT <= code <= LAST_CALLERS_FAULT
+    return not FIRST_CALLER_ERROR <= code <= LAST_CALLER_ERROR
 
 
 def is_good(code: int, seconds: float, rule: ServiceRule) -> bool:
@@ -37,7 +37,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Minute:
-    """The calls that ended within one minute."""
+    """Calls that ended within one minute."""
 
     number: int
     total: int = 0
@@ -45,13 +45,13 @@
 
 
 class ServiceSeries:
-    """The totals of one service and its last sixty minutes."""
+    """Totals of one service, and its counts for the last 60 minutes."""
 
     def __init__(self) -> None:
         self.total = 0
         self.good = 0
         self.minutes: list[Minute] = []
-        self.latency = LatencyHistogram(LONGEST_SECONDS)
+        self.latency = LatencyHistogram(MAX_LATENCY_SECONDS)
 
     def record(self, good: bool, seconds: float, number: int) -> None:
         """Count one call that ended in minute ``number``."""
@@ -87,7 +87,7 @@
 
 
 class BurnWindows:
-    """What one daemon keeps for the burn report."""
+    """Call counts of every service that one daemon keeps for the report."""
 
     def __init__(self, instance: str, data_centre: str) -> None:
         self.instance = instance
@@ -106,7 +106,7 @@
     def to_snapshot(
         self, now: float, rules: EventRules | None
     ) -> dict[str, object]:
-        """Return the figures for ``/burn``; see ``reports.models``."""
+        """Return the JSON value for ``/burn``; see ``reports.models``."""
         number = int(now // BUCKET_SECONDS)
         objectives = {}
         if rules is not None:
--- a/tests/reports/test_losses.py
+++ b/tests/reports/test_losses.py
@@ -2,10 +2,10 @@
 
 import json
 
-from cyclamenlift.reports.losses import count
-from cyclamenlift.reports.losses import meanings
+from cyclamenlift.reports.losses import count_by_window
+from cyclamenlift.reports.losses import format_table
+from cyclamenlift.reports.losses import known_codes
 from cyclamenlift.reports.losses import read_lines
-from cyclamenlift.reports.losses import table
 
 
 def line(second: float, event: str, **fields) -> str:
@@ -20,7 +20,7 @@
 
 
 def counted(*lines: str):
-    return count(read_lines(lines), 2.0)
+    return count_by_window(read_lines(lines), 2.0)
 
 
 def test_ends_of_calls_are_told_apart_by_what_became_of_them():
@@ -39,7 +39,7 @@
     assert window.refused == {2003: 1, 2010: 1}
     assert window.unknown == {3002: 1}
     assert window.nested_failed == 1
-    assert meanings(windows) == [2003, 2010, 3002]
+    assert known_codes(windows) == [2003, 2010, 3002]
 
 
 def test_lines_that_were_left_out_are_counted_with_the_next_one():
@@ -60,7 +60,7 @@
 def test_windows_begin_with_the_first_line_whatever_the_order():
     windows = counted(end(7.5, 1000), end(3.0, 1000))
     assert sorted(windows) == [0.0, 4.0]
-    assert len(table(windows)) == 3
+    assert len(format_table(windows)) == 3
 
 
 def test_what_is_no_log_line_is_left_out():
