--- a/cyclamenlift/cli/__init__.py
+++ b/cyclamenlift/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command line: one module a command, gathered in a registry."""
+"""Command-line interface: one module per command, kept in a registry."""
 
 from cyclamenlift.cli.program import main
 
--- a/cyclamenlift/cli/admin.py
+++ b/cyclamenlift/cli/admin.py
@@ -1,4 +1,4 @@
-"""Requests to the admin address of an instance, by ``http.client``."""
+"""HTTP requests to the admin address of an instance."""
 
 import dataclasses
 import http.client
@@ -11,8 +11,8 @@
 
 from cyclamenlift.cli.flags import parse_addresses
 from cyclamenlift.cli.flags import parse_number
-from cyclamenlift.cli.output import complain
-from cyclamenlift.cli.output import complain_all
+from cyclamenlift.cli.output import print_problem
+from cyclamenlift.cli.output import print_problems
 from cyclamenlift.cli.registry import ExitStatus
 from cyclamenlift.core.codes import ResultCode
 from cyclamenlift.core.problems import Problem
@@ -24,8 +24,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class AdminAnswer:
-    """A whole answer; ``value`` is the JSON object of its body."""
+class AdminResponse:
+    """A complete response; ``value`` is the JSON object of its body."""
 
     address: Address
     status: int
@@ -33,17 +33,17 @@
 
     @property
     def code(self) -> int:
-        """The numbered result, 0 when the answer names none."""
+        """The result code, 0 if the response has none."""
         code = self.value.get('code', 0)
         return code if isinstance(code, int) else 0
 
     def text(self, name: str) -> str:
-        """Return one field as text, empty when it is missing."""
+        """Return one field as a string, empty if it is missing."""
         value = self.value.get(name)
         return '' if value is None else str(value)
 
     def problem(self) -> Problem:
-        """Return the refusal that this answer is."""
+        """Return the problem that this error response describes."""
         try:
             code = ResultCode(self.code)
         except ValueError:
@@ -54,10 +54,10 @@
 
 def request(
     address: Address, method: str, path: str, body: dict | None = None
-) -> Result[AdminAnswer, Problem]:
-    """Send one request; a Failure says that no whole answer came.
+) -> Result[AdminResponse, Problem]:
+    """Send one request; return a Failure without a complete response.
 
-    A request that failed may have been carried out nevertheless.
+    The instance may have processed a request that failed.
     """
     connection = http.client.HTTPConnection(
         address.host, address.port, timeout=REQUEST_SECONDS
@@ -81,16 +81,16 @@
         connection.close()
     if not isinstance(value, dict):
         value = {}
-    return Success(AdminAnswer(address, response.status, value))
+    return Success(AdminResponse(address, response.status, value))
 
 
-def first_answer(
+def first_response(
     addresses: list[Address], method: str, path: str
-) -> Result[AdminAnswer, list[Problem]]:
-    """Ask one address after the other until one answers.
+) -> Result[AdminResponse, list[Problem]]:
+    """Send a request to each address in turn until one responds.
 
-    An answer that a majority confirmed is preferred; without one the last
-    unconfirmed answer is returned.
+    A response that a majority confirmed is preferred; without one, the last
+    unconfirmed response is returned.
     """
     problems = []
     fallback = None
@@ -105,30 +105,30 @@
     return Success(fallback) if fallback else Failure(problems)
 
 
-def ask_with_number(
+def request_by_number(
     console: str, number: str, name: str, path: str
-) -> Result[AdminAnswer, ExitStatus]:
-    """Ask for ``path`` followed by a number that was typed.
+) -> Result[AdminResponse, ExitStatus]:
+    """Request ``path`` followed by a number from the command line.
 
-    ``name`` is the flag that the number came from. A Failure has been
-    written already and holds the command's exit status.
+    ``name`` is the flag of the number. On a Failure the error has already
+    been printed; the Failure holds the exit status of the command.
     """
-    consoles = parse_addresses(console, 'console')
+    addresses = parse_addresses(console, 'console')
     parsed = parse_number(number, name)
-    for result in (consoles, parsed):
+    for result in (addresses, parsed):
         if isinstance(result, Failure):
-            complain(result.failure())
-            return Failure(ExitStatus.WRONG_USE)
-    whole = f'{path}{parsed.unwrap()}'
-    answer = first_answer(consoles.unwrap(), 'GET', whole)
-    if isinstance(answer, Failure):
-        complain_all(answer.failure())
+            print_problem(result.failure())
+            return Failure(ExitStatus.USAGE_ERROR)
+    full_path = f'{path}{parsed.unwrap()}'
+    response = first_response(addresses.unwrap(), 'GET', full_path)
+    if isinstance(response, Failure):
+        print_problems(response.failure())
         return Failure(ExitStatus.FAILED)
-    return answer
+    return response
 
 
-class SystemSleep:
-    """Waiting and the clock of the command line; tests pass their own."""
+class SystemClock:
+    """Clock and sleep of the operating system; tests replace them."""
 
     def now(self) -> float:
         return time.monotonic()
--- a/cyclamenlift/cli/check.py
+++ b/cyclamenlift/cli/check.py
@@ -1,4 +1,4 @@
-"""``cyclamenlift check``: find every wrong setting before a start."""
+"""``cyclamenlift check``: report every invalid setting before a start."""
 
 import os
 
@@ -7,13 +7,13 @@
 
 from cyclamenlift.cli.flags import CONSOLE_VARIABLE
 from cyclamenlift.cli.flags import is_true
-from cyclamenlift.cli.flags import KINDS
+from cyclamenlift.cli.flags import SETTINGS_BY_KIND
 from cyclamenlift.cli.flags import settings_help
 from cyclamenlift.cli.flags import wants_help
-from cyclamenlift.cli.output import complain
-from cyclamenlift.cli.output import complain_all
-from cyclamenlift.cli.output import say
-from cyclamenlift.cli.output import say_json
+from cyclamenlift.cli.output import print_json
+from cyclamenlift.cli.output import print_line
+from cyclamenlift.cli.output import print_problem
+from cyclamenlift.cli.output import print_problems
 from cyclamenlift.cli.registry import command
 from cyclamenlift.cli.registry import ExitStatus
 from cyclamenlift.conf.settings import CommonSettings
@@ -30,52 +30,55 @@
 from cyclamenlift.wire.codec import accelerator_present
 
 PEERS_VARIABLE = PREFIX + 'PEERS'
-LISTENERS = ('entry_listen', 'peer_listen', 'admin_listen')
+LISTEN_SETTINGS = ('entry_listen', 'peer_listen', 'admin_listen')
 
 
 @command('check')
 def check(
     kind: str = 'daemon', json: str = 'False', **flags: str
 ) -> ExitStatus:
-    """List every wrong setting of a daemon or control instance at once.
+    """List every invalid setting of a daemon or control instance.
 
     ``check daemon`` and ``check control`` take the flags of these commands
-    and read the same variables. Exit status 2 when anything is wrong.
+    and read the same environment variables. Exit status 2 if a setting is
+    invalid.
     """
-    if kind not in KINDS:
-        known = ' or '.join(KINDS)
-        complain(
-            Problem(ResultCode.SETTING_INVALID, f'{kind!r}: {known}', 'kind')
+    if kind not in SETTINGS_BY_KIND:
+        known = ' or '.join(SETTINGS_BY_KIND)
+        print_problem(
+            Problem(
+                ResultCode.SETTING_INVALID, f'{kind!r} is not {known}', 'kind'
+            )
         )
-        return ExitStatus.WRONG_USE
+        return ExitStatus.USAGE_ERROR
     if wants_help(flags):
-        say(settings_help(KINDS[kind]))
-        return ExitStatus.FINE
-    problems = find_problems(KINDS[kind], flags)
+        print_line(settings_help(SETTINGS_BY_KIND[kind]))
+        return ExitStatus.SUCCESS
+    problems = find_problems(SETTINGS_BY_KIND[kind], flags)
     if is_true(json):
-        say_json([describe(problem) for problem in problems])
+        print_json([problem_to_json(problem) for problem in problems])
     else:
-        complain_all(problems)
+        print_problems(problems)
         if not problems:
-            say('settings are fine')
-    return ExitStatus.WRONG_USE if problems else ExitStatus.FINE
+            print_line('settings are fine')
+    return ExitStatus.USAGE_ERROR if problems else ExitStatus.SUCCESS
 
 
 def find_problems(
     kind: type[CommonSettings], flags: dict[str, str]
 ) -> list[Problem]:
-    """Return everything that would keep the process from starting well."""
+    """Return every problem that would keep the process from starting."""
     problems = []
     settings = load_settings(kind, flags)
     if isinstance(settings, Failure):
         problems.extend(settings.failure())
-        problems.extend(read_list(raw_peers(kind, flags))[1])
+        problems.extend(read_list(unvalidated_peers(kind, flags))[1])
     else:
-        problems.extend(check_loaded(settings.unwrap()))
+        problems.extend(find_conflicts(settings.unwrap()))
     for name in unknown_environment():
         if name != CONSOLE_VARIABLE:
             problems.append(
-                Problem(ResultCode.SETTING_INVALID, 'no such setting', name)
+                Problem(ResultCode.SETTING_INVALID, 'unknown setting', name)
             )
     if not accelerator_present():
         problems.append(
@@ -83,36 +86,36 @@
                 ResultCode.SETTING_INVALID,
                 'the C module of thrift is missing',
                 'thrift',
-                'Install thrift where a C compiler is at hand.',
+                'Install thrift on a machine with a C compiler.',
             )
         )
     return problems
 
 
-def raw_peers(
+def unvalidated_peers(
     kind: type[CommonSettings], flags: dict[str, str]
 ) -> tuple[str, ...]:
-    """Return the list of peers as it was given, when nothing was loaded."""
+    """Return the unvalidated list of peers when settings did not load."""
     if kind is not ControlSettings:
         return ()
-    given = flags.get('peers') or os.environ.get(PEERS_VARIABLE) or ''
-    return split_list(given)
+    text = flags.get('peers') or os.environ.get(PEERS_VARIABLE) or ''
+    return split_list(text)
 
 
-def check_loaded(settings: CommonSettings) -> list[Problem]:
-    """Return problems between settings that are each well formed."""
+def find_conflicts(settings: CommonSettings) -> list[Problem]:
+    """Return conflicts between settings that are valid by themselves."""
     problems = []
-    taken: dict[Address, str] = {}
-    for name in LISTENERS:
+    used: dict[Address, str] = {}
+    for name in LISTEN_SETTINGS:
         text = getattr(settings, name, None)
         if text is None or Address.parse(text).port == 0:
             continue
-        other = taken.setdefault(Address.parse(text), name)
-        if other != name:
+        first_name = used.setdefault(Address.parse(text), name)
+        if first_name != name:
             problems.append(
                 Problem(
                     ResultCode.SETTING_INVALID,
-                    f'the same address as {other}',
+                    f'the same address as {first_name}',
                     name,
                 )
             )
@@ -123,8 +126,8 @@
     return problems
 
 
-def describe(problem: Problem) -> dict[str, object]:
-    """Return one problem for ``--json``."""
+def problem_to_json(problem: Problem) -> dict[str, object]:
+    """Return one problem as a JSON object."""
     return {
         'code': int(problem.code),
         'setting': problem.where,
--- a/cyclamenlift/cli/control.py
+++ b/cyclamenlift/cli/control.py
@@ -1,11 +1,11 @@
-"""``cyclamenlift control``: run the process."""
+"""``cyclamenlift control``: run the process in the foreground."""
 
 from returns.result import Failure
 
 from cyclamenlift.cli.flags import settings_help
 from cyclamenlift.cli.flags import wants_help
-from cyclamenlift.cli.output import complain_all
-from cyclamenlift.cli.output import say
+from cyclamenlift.cli.output import print_line
+from cyclamenlift.cli.output import print_problems
 from cyclamenlift.cli.registry import command
 from cyclamenlift.cli.registry import ExitStatus
 from cyclamenlift.conf.settings import ControlSettings
@@ -16,16 +16,17 @@
 def control(**flags: str) -> ExitStatus:
     """Run a control instance.
 
-    Every setting is a flag, or a variable CYCLAMENLIFT_<NAME>; a flag wins.
-    SIGTERM stops it gracefully. ``control --help`` lists the settings.
+    Each setting is a flag or an environment variable CYCLAMENLIFT_<NAME>;
+    the flag takes precedence. SIGTERM stops the process gracefully.
+    ``control --help`` lists the settings.
     """
     if wants_help(flags):
-        say(settings_help(ControlSettings))
-        return ExitStatus.FINE
+        print_line(settings_help(ControlSettings))
+        return ExitStatus.SUCCESS
     settings = load_settings(ControlSettings, flags)
     if isinstance(settings, Failure):
-        complain_all(settings.failure())
-        return ExitStatus.WRONG_USE
+        print_problems(settings.failure())
+        return ExitStatus.USAGE_ERROR
     from cyclamenlift.runtime.control import run
 
     return ExitStatus(run(settings.unwrap()))
--- a/cyclamenlift/cli/documents.py
+++ b/cyclamenlift/cli/documents.py
@@ -1,4 +1,4 @@
-"""Event documents in files."""
+"""Reads event documents from files."""
 
 import pathlib
 
@@ -12,7 +12,7 @@
 
 
 def read_document(file: str) -> Result[str, list[Problem]]:
-    """Return the text of a valid document, or all that is wrong with it."""
+    """Return the text of a valid document, or every problem in it."""
     try:
         text = pathlib.Path(file).read_text(encoding='utf-8')
     except (OSError, ValueError) as error:
--- a/cyclamenlift/cli/drain.py
+++ b/cyclamenlift/cli/drain.py
@@ -1,11 +1,11 @@
-"""``cyclamenlift drain``: a target leaves without losing a call."""
+"""``cyclamenlift drain``: take targets out of service gracefully."""
 
 from returns.result import Failure
 
 from cyclamenlift.cli.admin import request
 from cyclamenlift.cli.flags import parse_addresses
-from cyclamenlift.cli.output import complain
-from cyclamenlift.cli.output import say
+from cyclamenlift.cli.output import print_line
+from cyclamenlift.cli.output import print_problem
 from cyclamenlift.cli.registry import command
 from cyclamenlift.cli.registry import ExitStatus
 
@@ -14,25 +14,26 @@
 
 @command('drain')
 def drain(addresses: str) -> ExitStatus:
-    """Tell daemons to let their targets finish and take no new work.
+    """Drain targets: running calls finish, new calls go elsewhere.
 
-    Give the admin addresses of the daemons, host:port, with commas.
+    ADDRESSES are the admin addresses of the daemons, host:port, separated
+    by commas.
     """
-    places = parse_addresses(addresses, 'addresses')
-    if isinstance(places, Failure):
-        complain(places.failure())
-        return ExitStatus.WRONG_USE
-    status = ExitStatus.FINE
-    for place in places.unwrap():
-        result = request(place, 'POST', '/drain', {})
+    parsed = parse_addresses(addresses, 'addresses')
+    if isinstance(parsed, Failure):
+        print_problem(parsed.failure())
+        return ExitStatus.USAGE_ERROR
+    status = ExitStatus.SUCCESS
+    for address in parsed.unwrap():
+        result = request(address, 'POST', '/drain', {})
         if isinstance(result, Failure):
-            complain(result.failure())
+            print_problem(result.failure())
             status = ExitStatus.FAILED
             continue
-        answer = result.unwrap()
-        if answer.status >= HTTP_ERROR:
-            complain(answer.problem())
+        response = result.unwrap()
+        if response.status >= HTTP_ERROR:
+            print_problem(response.problem())
             status = ExitStatus.FAILED
             continue
-        say(f'{place} {answer.text("instance")} is draining')
+        print_line(f'{address} {response.text("instance")} is draining')
     return status
--- a/cyclamenlift/cli/event_history.py
+++ b/cyclamenlift/cli/event_history.py
@@ -1,15 +1,15 @@
-"""``cyclamenlift event history``."""
+"""``cyclamenlift event history``: list the versions of the document."""
 
 import datetime
 
 from returns.result import Failure
 from rich.table import Table
 
-from cyclamenlift.cli.admin import ask_with_number
+from cyclamenlift.cli.admin import request_by_number
 from cyclamenlift.cli.flags import is_true
-from cyclamenlift.cli.output import say
-from cyclamenlift.cli.output import say_json
-from cyclamenlift.cli.output import say_table
+from cyclamenlift.cli.output import print_json
+from cyclamenlift.cli.output import print_line
+from cyclamenlift.cli.output import print_table
 from cyclamenlift.cli.registry import command
 from cyclamenlift.cli.registry import ExitStatus
 from cyclamenlift.core.clock import MILLISECONDS
@@ -19,23 +19,23 @@
 def history(
     limit: str = '20', console: str = '', json: str = 'False'
 ) -> ExitStatus:
-    """List the newest versions: who made them, when, from which base."""
+    """List the newest versions with their base, time and operator."""
     path = '/api/history?limit='
-    answer = ask_with_number(console, limit, 'limit', path)
-    if isinstance(answer, Failure):
-        return answer.failure()
-    value = answer.unwrap().value
+    response = request_by_number(console, limit, 'limit', path)
+    if isinstance(response, Failure):
+        return response.failure()
+    value = response.unwrap().value
     if is_true(json):
-        say_json(value)
-        return ExitStatus.FINE
+        print_json(value)
+        return ExitStatus.SUCCESS
     if not value.get('confirmed'):
-        say('not confirmed by a majority')
-    say_table(table_of(value.get('versions') or []))
-    return ExitStatus.FINE
+        print_line('not confirmed by a majority')
+    print_table(build_table(value.get('versions') or []))
+    return ExitStatus.SUCCESS
 
 
-def table_of(versions: list[dict]) -> Table:
-    """Return the versions as a table."""
+def build_table(versions: list[dict]) -> Table:
+    """Return a table of the versions."""
     table = Table('version', 'base', 'time (UTC)', 'operator', 'change id')
     for item in versions:
         seconds = item['stamp_unix_ms'] / MILLISECONDS
--- a/cyclamenlift/cli/event_publish.py
+++ b/cyclamenlift/cli/event_publish.py
@@ -1,19 +1,19 @@
-"""``cyclamenlift event publish``."""
+"""``cyclamenlift event publish``: publish a new version."""
 
 import getpass
 import uuid
 
 from returns.result import Failure
 
-from cyclamenlift.cli.admin import AdminAnswer
+from cyclamenlift.cli.admin import AdminResponse
 from cyclamenlift.cli.admin import request
-from cyclamenlift.cli.admin import SystemSleep
+from cyclamenlift.cli.admin import SystemClock
 from cyclamenlift.cli.documents import read_document
 from cyclamenlift.cli.flags import parse_addresses
 from cyclamenlift.cli.flags import parse_number
-from cyclamenlift.cli.output import complain
-from cyclamenlift.cli.output import complain_all
-from cyclamenlift.cli.output import say
+from cyclamenlift.cli.output import print_line
+from cyclamenlift.cli.output import print_problem
+from cyclamenlift.cli.output import print_problems
 from cyclamenlift.cli.publishing import LeaderCall
 from cyclamenlift.cli.registry import command
 from cyclamenlift.cli.registry import ExitStatus
@@ -35,20 +35,20 @@
 ) -> ExitStatus:
     """Publish an event document in place of version BASE.
 
-    Of two changes with one base the first wins; the other learns the
-    current version. When no answer came, run the command again with the
-    change id that it printed: a change takes effect once.
+    Of two changes with the same base the first one is accepted; the other
+    fails and reports the current version. If no response arrived, run the
+    command again with the printed change id: a change id is applied once.
     """
     consoles = parse_addresses(console, 'console')
     version = parse_number(base, 'base')
     seconds = parse_number(wait_seconds, 'wait_seconds')
     for result in (consoles, version, seconds):
         if isinstance(result, Failure):
-            complain(result.failure())
-            return ExitStatus.WRONG_USE
+            print_problem(result.failure())
+            return ExitStatus.USAGE_ERROR
     document = read_document(file)
     if isinstance(document, Failure):
-        complain_all(document.failure())
+        print_problems(document.failure())
         return ExitStatus.FAILED
     change = {
         'document': document.unwrap(),
@@ -56,38 +56,38 @@
         'change_id': change_id or str(uuid.uuid4()),
         'operator_name': operator or operator_name(),
     }
-    say(f'change id {change["change_id"]}')
-    clock = SystemSleep()
+    print_line(f'change id {change["change_id"]}')
+    clock = SystemClock()
     hint = f'Send it again with --change-id {change["change_id"]}.'
-    call = LeaderCall(consoles.unwrap(), request, clock, hint)
-    answer = call.post(PATH, change, clock.now() + seconds.unwrap())
-    if isinstance(answer, Failure):
-        complain(answer.failure())
+    leader_call = LeaderCall(consoles.unwrap(), request, clock, hint)
+    response = leader_call.post(PATH, change, clock.now() + seconds.unwrap())
+    if isinstance(response, Failure):
+        print_problem(response.failure())
         return ExitStatus.FAILED
-    return conclude(answer.unwrap())
+    return print_outcome(response.unwrap())
 
 
-def conclude(answer: AdminAnswer) -> ExitStatus:
-    """Write what became of the change."""
-    if answer.code == ResultCode.CHANGE_ACCEPTED:
-        say(f'version {answer.value.get("version")} accepted')
-        return ExitStatus.FINE
-    complain(answer.problem())
-    for item in answer.value.get('problems') or ():
-        complain(
+def print_outcome(response: AdminResponse) -> ExitStatus:
+    """Print the outcome of the change."""
+    if response.code == ResultCode.CHANGE_ACCEPTED:
+        print_line(f'version {response.value.get("version")} accepted')
+        return ExitStatus.SUCCESS
+    print_problem(response.problem())
+    for item in response.value.get('problems') or ():
+        print_problem(
             Problem(
                 ResultCode.DOCUMENT_INVALID,
                 str(item.get('detail')),
                 str(item.get('path')),
             )
         )
-    if 'current_version' in answer.value:
-        say(f'current version {answer.value["current_version"]}')
+    if 'current_version' in response.value:
+        print_line(f'current version {response.value["current_version"]}')
     return ExitStatus.FAILED
 
 
 def operator_name() -> str:
-    """Return who runs the command, empty where nobody is known."""
+    """Return the name of the current user, empty if it is unknown."""
     try:
         return getpass.getuser()
     except (OSError, KeyError):
--- a/cyclamenlift/cli/flags.py
+++ b/cyclamenlift/cli/flags.py
@@ -1,4 +1,4 @@
-"""Flags of the commands, from strings to values."""
+"""Parses the flags of the commands."""
 
 from collections.abc import Mapping
 import os
@@ -16,7 +16,7 @@
 from cyclamenlift.core.problems import Problem
 from cyclamenlift.core.streams import Address
 
-KINDS: dict[str, type[CommonSettings]] = {
+SETTINGS_BY_KIND: dict[str, type[CommonSettings]] = {
     'daemon': DaemonSettings,
     'control': ControlSettings,
 }
@@ -27,12 +27,15 @@
 
 
 def wants_help(flags: Mapping[str, object]) -> bool:
-    """Tell whether ``--help`` was among free flags, where fire hides it."""
+    """Tell whether ``--help`` is among ``**flags``.
+
+    fire passes it on instead of handling it for such commands.
+    """
     return any(name in flags for name in HELP_FLAGS)
 
 
 def is_true(text: object) -> bool:
-    """Read a switch; fire gives ``True`` for a flag without a value.
+    """Parse a boolean flag; fire passes ``True`` if it has no value.
 
     >>> is_true('True'), is_true('no'), is_true(False)
     (True, False, False)
@@ -41,35 +44,38 @@
 
 
 def parse_number(text: str, flag: str) -> Result[int, Problem]:
-    """Read a number that is not negative.
+    """Parse a non-negative whole number.
 
     >>> parse_number('7', 'base')
     <Success: 7>
     """
     if str(text).isascii() and str(text).isdigit():
         return Success(int(text))
-    return Failure(wrong(f'{text!r} is no whole number', flag))
+    return Failure(flag_problem(f'{text!r} is not a whole number', flag))
 
 
 def parse_addresses(text: str, flag: str) -> Result[list[Address], Problem]:
-    """Read ``host:port,host:port``; empty means the variable or default."""
-    given = text or os.environ.get(CONSOLE_VARIABLE) or CONSOLE_DEFAULT
+    """Parse ``host:port,host:port``.
+
+    Empty text means the environment variable, or else the default.
+    """
+    value = text or os.environ.get(CONSOLE_VARIABLE) or CONSOLE_DEFAULT
     try:
-        found = [Address.parse(part) for part in split_list(given)]
+        found = [Address.parse(part) for part in split_list(value)]
     except ValueError as error:
-        return Failure(wrong(str(error), flag))
+        return Failure(flag_problem(str(error), flag))
     if not found:
-        return Failure(wrong('no address is given', flag))
+        return Failure(flag_problem('no address given', flag))
     return Success(found)
 
 
-def wrong(detail: str, flag: str) -> Problem:
-    """Return the problem of one flag."""
+def flag_problem(detail: str, flag: str) -> Problem:
+    """Return the problem of an invalid flag."""
     return Problem(ResultCode.SETTING_INVALID, detail, flag)
 
 
 def settings_help(kind: type[CommonSettings]) -> str:
-    """Return one line for each setting: flag, default, meaning."""
+    """Return a line for each setting: flag, description and default."""
     lines = []
     for name, field in kind.model_fields.items():
         flag = '--' + name.replace('_', '-')
--- a/cyclamenlift/cli/losses.py
+++ b/cyclamenlift/cli/losses.py
@@ -1,9 +1,9 @@
-"""``cyclamenlift losses``: where calls were lost, by time, from logs."""
+"""``cyclamenlift losses``: lost calls by time, counted from log files."""
 
 import pathlib
 
-from cyclamenlift.cli.output import complain
-from cyclamenlift.cli.output import say
+from cyclamenlift.cli.output import print_line
+from cyclamenlift.cli.output import print_problem
 from cyclamenlift.cli.registry import command
 from cyclamenlift.cli.registry import ExitStatus
 from cyclamenlift.core.codes import describe
@@ -19,38 +19,38 @@
 def losses(*files: str, seconds: str = '2') -> ExitStatus:
     """Print how many calls were answered, refused and lost, by time.
 
-    FILES hold the JSON lines of all processes; whatever stands before the
-    first brace of a line is left out. SECONDS is the length of a window.
-    Exit status 1 when there is no line to count.
+    FILES contain the JSON log lines of all processes; text before the first
+    brace of a line is ignored. SECONDS is the length of a window. Exit
+    status 1 if there is no line to count.
     """
-    length = read_seconds(seconds)
+    length = parse_seconds(seconds)
     if length is None:
-        detail = f'a window of {seconds!r} seconds'
-        complain(Problem(ResultCode.BAD_REQUEST, detail, 'seconds'))
-        return ExitStatus.WRONG_USE
+        detail = f'invalid window length: {seconds!r} seconds'
+        print_problem(Problem(ResultCode.BAD_REQUEST, detail, 'seconds'))
+        return ExitStatus.USAGE_ERROR
     records = []
     for name in files:
         try:
             text = pathlib.Path(name).read_text(errors='replace')
         except OSError as error:
-            complain(Problem(ResultCode.BAD_REQUEST, str(error), name))
-            return ExitStatus.WRONG_USE
+            print_problem(Problem(ResultCode.BAD_REQUEST, str(error), name))
+            return ExitStatus.USAGE_ERROR
         records.extend(read_lines(text.splitlines()))
     if not records:
-        complain(Problem(ResultCode.NOT_FOUND, 'no line to count'))
+        print_problem(Problem(ResultCode.NOT_FOUND, 'no log line to count'))
         return ExitStatus.FAILED
     windows = count_by_window(records, length)
     for line in format_table(windows):
-        say(line)
+        print_line(line)
     for code in known_codes(windows):
-        say(f'{code}: {describe(ResultCode(code)).title}')
-    return ExitStatus.FINE
+        print_line(f'{code}: {describe(ResultCode(code)).title}')
+    return ExitStatus.SUCCESS
 
 
-def read_seconds(text: object) -> float | None:
-    """Return the length of a window, None where it is none.
+def parse_seconds(text: object) -> float | None:
+    """Parse the length of a window; return None if it is invalid.
 
-    >>> read_seconds('2.5'), read_seconds('0'), read_seconds('nan')
+    >>> parse_seconds('2.5'), parse_seconds('0'), parse_seconds('nan')
     (2.5, None, None)
     """
     try:
--- a/cyclamenlift/cli/output.py
+++ b/cyclamenlift/cli/output.py
@@ -1,4 +1,4 @@
-"""What the commands write: people read standard error or tables."""
+"""Output of the commands: results to stdout, problems to stderr."""
 
 import json
 import sys
@@ -9,31 +9,31 @@
 
 from cyclamenlift.core.problems import Problem
 
-PLAIN_WIDTH = 160
+DEFAULT_WIDTH = 160
 
 
-def say(line: str) -> None:
-    """Write one line of a result."""
+def print_line(line: str) -> None:
+    """Print one line to standard output."""
     sys.stdout.write(line + '\n')
 
 
-def say_table(table: Table) -> None:
-    """Write a table, in its full width where no terminal limits it."""
-    width = None if sys.stdout.isatty() else PLAIN_WIDTH
+def print_table(table: Table) -> None:
+    """Print a table, 160 columns wide if the output is no terminal."""
+    width = None if sys.stdout.isatty() else DEFAULT_WIDTH
     Console(file=sys.stdout, width=width).print(table)
 
 
-def complain(problem: Problem) -> None:
-    """Write one problem to standard error."""
+def print_problem(problem: Problem) -> None:
+    """Print one problem to standard error."""
     sys.stderr.write(problem.line() + '\n')
 
 
-def complain_all(problems: list[Problem]) -> None:
+def print_problems(problems: list[Problem]) -> None:
     for problem in problems:
-        complain(problem)
+        print_problem(problem)
 
 
-def say_json(value) -> None:
-    """Write a value as JSON that people can read, too."""
+def print_json(value) -> None:
+    """Print a value as indented JSON."""
     plain = pydantic_core.to_jsonable_python(value)
-    say(json.dumps(plain, indent=2, sort_keys=True))
+    print_line(json.dumps(plain, indent=2, sort_keys=True))
--- a/cyclamenlift/cli/program.py
+++ b/cyclamenlift/cli/program.py
@@ -1,4 +1,4 @@
-"""The entry point of the command line."""
+"""Entry point of the command line."""
 
 import importlib
 import sys
@@ -6,7 +6,7 @@
 import fire
 from fire.core import FireExit
 
-from cyclamenlift.cli.registry import Recorder
+from cyclamenlift.cli.registry import CommandRunner
 
 NAME = 'cyclamenlift'
 MODULES = (
@@ -29,9 +29,9 @@
 
 
 def main(arguments: list[str] | None = None) -> None:
-    """Run one command and leave with its exit status.
+    """Run one command and exit with its status.
 
-    0: done; 1: refused or failed; 2: wrong use or wrong settings.
+    0: success; 1: refused or failed; 2: wrong usage or invalid settings.
     """
     sys.exit(run(sys.argv[1:] if arguments is None else arguments))
 
@@ -40,20 +40,20 @@
     """Run one command and return its exit status."""
     for module in MODULES:
         importlib.import_module(f'cyclamenlift.cli.{module}')
-    recorder = Recorder()
-    fire.core.Display = show
-    # fire would turn 007 into a number and a,b into a tuple. Its decorator
-    # for this shows up as a command in every help text.
+    runner = CommandRunner()
+    fire.core.Display = print_help
+    # By default, fire parses 007 as a number and a,b as a tuple. Its
+    # decorator against this would appear as a command in every help text.
     fire.parser.DefaultParseValue = str
     try:
-        fire.Fire(recorder.tree(), command=arguments, name=NAME)
+        fire.Fire(runner.command_tree(), command=arguments, name=NAME)
     except FireExit as exit_:
         return exit_.code
     except KeyboardInterrupt:
         return 1
-    return int(recorder.status)
+    return int(runner.status)
 
 
-def show(lines: list[str], out) -> None:
-    """Write help at once: a pager would be another process."""
+def print_help(lines: list[str], out) -> None:
+    """Print help directly: a pager would be a separate process."""
     out.write('\n'.join(lines) + '\n')
--- a/cyclamenlift/cli/quarantine.py
+++ b/cyclamenlift/cli/quarantine.py
@@ -1,15 +1,15 @@
-"""``cyclamenlift quarantine``: requests that are kept from targets."""
+"""``cyclamenlift quarantine``: requests that are blocked from targets."""
 
 from returns.result import Failure
 from rich.table import Table
 
-from cyclamenlift.cli.admin import AdminAnswer
+from cyclamenlift.cli.admin import AdminResponse
 from cyclamenlift.cli.admin import request
 from cyclamenlift.cli.flags import is_true
 from cyclamenlift.cli.flags import parse_addresses
-from cyclamenlift.cli.output import complain
-from cyclamenlift.cli.output import say_json
-from cyclamenlift.cli.output import say_table
+from cyclamenlift.cli.output import print_json
+from cyclamenlift.cli.output import print_problem
+from cyclamenlift.cli.output import print_table
 from cyclamenlift.cli.registry import command
 from cyclamenlift.cli.registry import ExitStatus
 
@@ -22,39 +22,39 @@
 def quarantine(
     addresses: str, lift: str = '', json: str = 'False'
 ) -> ExitStatus:
-    """Show the requests under which targets ended, or lift entries.
+    """List the requests under which targets ended, or lift entries.
 
-    Give the admin addresses of daemons, host:port, with commas; the first
-    that answers is enough, since all know the same. --lift takes the
-    fingerprints of requests that may reach targets again, with commas; that
-    holds everywhere within seconds.
+    ADDRESSES are admin addresses of daemons, host:port, separated by
+    commas; the first one that responds is used, since all have the same
+    list. --lift takes the fingerprints, separated by commas, of requests
+    that may reach targets again; every daemon applies it within seconds.
     """
-    places = parse_addresses(addresses, 'addresses')
-    if isinstance(places, Failure):
-        complain(places.failure())
-        return ExitStatus.WRONG_USE
+    parsed = parse_addresses(addresses, 'addresses')
+    if isinstance(parsed, Failure):
+        print_problem(parsed.failure())
+        return ExitStatus.USAGE_ERROR
     method, body = 'GET', None
     if lift:
         method, body = 'POST', {'fingerprints': lift.split(',')}
-    for place in places.unwrap():
-        result = request(place, method, PATH, body)
+    for address in parsed.unwrap():
+        result = request(address, method, PATH, body)
         if isinstance(result, Failure):
-            complain(result.failure())
+            print_problem(result.failure())
             continue
-        return show(result.unwrap(), is_true(json))
+        return print_response(result.unwrap(), is_true(json))
     return ExitStatus.FAILED
 
 
-def show(answer: AdminAnswer, as_json: bool) -> ExitStatus:
-    """Print the list, or why there is none."""
-    if answer.status >= HTTP_ERROR:
-        complain(answer.problem())
+def print_response(response: AdminResponse, as_json: bool) -> ExitStatus:
+    """Print the list, or the problem of an error response."""
+    if response.status >= HTTP_ERROR:
+        print_problem(response.problem())
         return ExitStatus.FAILED
     if as_json:
-        say_json(answer.value)
-        return ExitStatus.FINE
+        print_json(response.value)
+        return ExitStatus.SUCCESS
     table = Table(*COLUMNS)
-    for row in answer.value.get('requests') or ():
+    for row in response.value.get('requests') or ():
         table.add_row(
             row['fingerprint'],
             row['service'],
@@ -62,5 +62,5 @@
             str(row['seconds_left']),
             '\n'.join(row['reports']),
         )
-    say_table(table)
-    return ExitStatus.FINE
+    print_table(table)
+    return ExitStatus.SUCCESS
--- a/cyclamenlift/cli/registry.py
+++ b/cyclamenlift/cli/registry.py
@@ -1,4 +1,4 @@
-"""The commands by name; each is a function that returns an exit status."""
+"""Registry of commands: functions that return an exit status."""
 
 from collections.abc import Callable
 import enum
@@ -8,11 +8,11 @@
 
 
 class ExitStatus(enum.IntEnum):
-    """What the shell sees."""
+    """Exit status of the process."""
 
-    FINE = 0
+    SUCCESS = 0
     FAILED = 1
-    WRONG_USE = 2
+    USAGE_ERROR = 2
 
 
 Command = Callable[..., ExitStatus]
@@ -20,23 +20,23 @@
 
 
 def command(name: str) -> Callable[[Command], Command]:
-    """Return a decorator that makes a function the command ``name``.
+    """Return a decorator that registers a function as the command ``name``.
 
     ``event publish`` is the command ``publish`` in the group ``event``.
-    Arguments reach the function as the strings that were typed.
+    The function receives its arguments as unparsed strings.
     """
     return COMMANDS.register(name)
 
 
-class Recorder:
-    """Runs commands for fire and keeps the exit status of the last.
+class CommandRunner:
+    """Wraps commands for fire and keeps the exit status of the last one.
 
-    fire prints what a function returns and looks for further commands in
-    it, so it gets nothing back.
+    fire prints the return value of a function and looks up further commands
+    in it, so the wrappers return nothing.
     """
 
     def __init__(self) -> None:
-        self.status = ExitStatus.FINE
+        self.status = ExitStatus.SUCCESS
 
     def wrap(self, function: Command) -> Callable[..., None]:
         @functools.wraps(function)
@@ -45,13 +45,13 @@
 
         return run
 
-    def tree(self) -> dict:
-        """Return the commands as fire wants them: groups are dicts."""
+    def command_tree(self) -> dict:
+        """Return the commands as nested dicts, the form that fire expects."""
         root: dict = {}
         for name in COMMANDS:
-            *groups, last = name.split()
-            place = root
+            *groups, command_name = name.split()
+            node = root
             for group in groups:
-                place = place.setdefault(group, {})
-            place[last] = self.wrap(COMMANDS.get(name))
+                node = node.setdefault(group, {})
+            node[command_name] = self.wrap(COMMANDS.get(name))
         return root
--- a/cyclamenlift/cli/report_burn.py
+++ b/cyclamenlift/cli/report_burn.py
@@ -1,4 +1,4 @@
-"""``cyclamenlift report burn``: service-level burn."""
+"""``cyclamenlift report burn``: error-budget burn of the services."""
 
 from cyclamenlift.cli.registry import command
 from cyclamenlift.cli.registry import ExitStatus
--- a/cyclamenlift/cli/status.py
+++ b/cyclamenlift/cli/status.py
@@ -1,16 +1,16 @@
-"""``cyclamenlift status``: what instances say of themselves."""
+"""``cyclamenlift status``: the state of daemons and control instances."""
 
 from returns.result import Failure
 from returns.result import Result
 from rich.table import Table
 
-from cyclamenlift.cli.admin import AdminAnswer
+from cyclamenlift.cli.admin import AdminResponse
 from cyclamenlift.cli.admin import request
 from cyclamenlift.cli.flags import is_true
 from cyclamenlift.cli.flags import parse_addresses
-from cyclamenlift.cli.output import complain
-from cyclamenlift.cli.output import say_json
-from cyclamenlift.cli.output import say_table
+from cyclamenlift.cli.output import print_json
+from cyclamenlift.cli.output import print_problem
+from cyclamenlift.cli.output import print_table
 from cyclamenlift.cli.registry import command
 from cyclamenlift.cli.registry import ExitStatus
 from cyclamenlift.core.problems import Problem
@@ -24,73 +24,75 @@
 def status(addresses: str = '', json: str = 'False') -> ExitStatus:
     """Show the state of control instances and daemons.
 
-    Give their admin addresses, host:port, with commas. Exit status 1 when
-    one of them did not answer.
+    ADDRESSES are their admin addresses, host:port, separated by commas.
+    Exit status 1 if one of them did not respond.
     """
-    places = parse_addresses(addresses, 'addresses')
-    if isinstance(places, Failure):
-        complain(places.failure())
-        return ExitStatus.WRONG_USE
-    results = [(p, request(p, 'GET', PATH)) for p in places.unwrap()]
+    parsed = parse_addresses(addresses, 'addresses')
+    if isinstance(parsed, Failure):
+        print_problem(parsed.failure())
+        return ExitStatus.USAGE_ERROR
+    results = [(p, request(p, 'GET', PATH)) for p in parsed.unwrap()]
     if is_true(json):
-        say_json([as_json(place, result) for place, result in results])
+        print_json(
+            [status_to_json(address, result) for address, result in results]
+        )
     else:
-        show_table(results)
-    silent = any(isinstance(result, Failure) for _, result in results)
-    return ExitStatus.FAILED if silent else ExitStatus.FINE
+        print_status_table(results)
+    unanswered = any(isinstance(result, Failure) for _, result in results)
+    return ExitStatus.FAILED if unanswered else ExitStatus.SUCCESS
 
 
-def as_json(
-    place: Address, result: Result[AdminAnswer, Problem]
+def status_to_json(
+    address: Address, result: Result[AdminResponse, Problem]
 ) -> dict[str, object]:
-    """Return one instance for ``--json``, with its address."""
+    """Return the status of one instance as JSON, with its address."""
     if isinstance(result, Failure):
         problem = result.failure()
         value = {'code': int(problem.code), 'detail': problem.detail}
     else:
         value = dict(result.unwrap().value)
-    value['address'] = str(place)
+    value['address'] = str(address)
     return value
 
 
-def show_table(results) -> None:
+def print_status_table(results) -> None:
     table = Table(*COLUMNS)
-    for place, result in results:
+    for address, result in results:
         if isinstance(result, Failure):
-            table.add_row(str(place), '', '', '', '', 'no answer')
-            complain(result.failure())
+            table.add_row(str(address), '', '', '', '', 'no answer')
+            print_problem(result.failure())
             continue
-        answer = result.unwrap()
+        response = result.unwrap()
         table.add_row(
-            str(place),
-            answer.text('kind'),
-            answer.text('instance'),
-            answer.text('data_centre'),
-            answer.text('version'),
-            state_of(answer.value),
+            str(address),
+            response.text('kind'),
+            response.text('instance'),
+            response.text('data_centre'),
+            response.text('version'),
+            describe_state(response.value),
         )
-    say_table(table)
+    print_table(table)
 
 
-def state_of(value: dict) -> str:
-    """Return the state in words, with the repairs under way."""
+def describe_state(value: dict) -> str:
+    """Describe the state of an instance, with repairs in progress."""
     replica = value.get('replica')
     if not isinstance(replica, dict):
         return str(value.get('state') or '')
-    words = [f'{replica.get("role")}, term {replica.get("term")}']
+    parts = [f'{replica.get("role")}, term {replica.get("term")}']
     if not replica.get('established'):
-        words.append('not established')
+        parts.append('not established')
     if replica.get('role') == 'leader':
-        words.extend(
-            f'{item.get("instance")}: {repair_of(item)}'
+        parts.extend(
+            f'{item.get("instance")}: {pending_repair(item)}'
             for item in replica.get('instances') or ()
-            if repair_of(item)
+            if pending_repair(item)
         )
-    return '; '.join(words)
+    return '; '.join(parts)
 
 
-def repair_of(item: dict) -> str:
-    """Return what is missing until another disk may be lost."""
+def pending_repair(item: dict) -> str:
+    """Return what is missing before another disk may be lost, or ''."""
     if not item.get('counts'):
         return 'storage does not count'
     if not item.get('reachable'):
--- a/cyclamenlift/cli/version.py
+++ b/cyclamenlift/cli/version.py
@@ -1,7 +1,7 @@
-"""``cyclamenlift version``."""
+"""``cyclamenlift version``: print the version."""
 
 import cyclamenlift
-from cyclamenlift.cli.output import say
+from cyclamenlift.cli.output import print_line
 from cyclamenlift.cli.registry import command
 from cyclamenlift.cli.registry import ExitStatus
 
@@ -9,5 +9,5 @@
 @command('version')
 def version() -> ExitStatus:
     """Print the version of the software."""
-    say(cyclamenlift.__version__)
-    return ExitStatus.FINE
+    print_line(cyclamenlift.__version__)
+    return ExitStatus.SUCCESS
--- a/cyclamenlift/reports/burn.py
+++ b/cyclamenlift/reports/burn.py
@@ -7,14 +7,14 @@
 from returns.result import Result
 
 from cyclamenlift.cli.admin import request
+from cyclamenlift.cli.flags import flag_problem
 from cyclamenlift.cli.flags import is_true
 from cyclamenlift.cli.flags import parse_addresses
 from cyclamenlift.cli.flags import wants_help
-from cyclamenlift.cli.flags import wrong
-from cyclamenlift.cli.output import complain
-from cyclamenlift.cli.output import say
-from cyclamenlift.cli.output import say_json
-from cyclamenlift.cli.output import say_table
+from cyclamenlift.cli.output import print_json
+from cyclamenlift.cli.output import print_line
+from cyclamenlift.cli.output import print_problem
+from cyclamenlift.cli.output import print_table
 from cyclamenlift.cli.registry import ExitStatus
 from cyclamenlift.core.codes import ResultCode
 from cyclamenlift.core.problems import Problem
@@ -58,18 +58,18 @@
     for address in addresses:
         result = fetch(address)
         if isinstance(result, Failure):
-            complain(result.failure())
+            print_problem(result.failure())
             missing.append(str(address))
         else:
             snapshots.append(result.unwrap())
     burns = burn(snapshots)
     page_written = not html_path or write_page(html_path, burns, missing)
     if as_json:
-        say_json({'services': to_jsonable(burns), 'missing': missing})
+        print_json({'services': to_jsonable(burns), 'missing': missing})
     else:
-        say_table(to_table(burns))
+        print_table(to_table(burns))
     complete = page_written and not missing
-    return ExitStatus.FINE if complete else ExitStatus.FAILED
+    return ExitStatus.SUCCESS if complete else ExitStatus.FAILED
 
 
 def write_page(
@@ -81,7 +81,7 @@
             to_html(burns, missing), encoding='utf-8'
         )
     except OSError as error:
-        complain(Problem(ResultCode.SETTING_INVALID, str(error), 'html'))
+        print_problem(Problem(ResultCode.SETTING_INVALID, str(error), 'html'))
         return False
     return True
 
@@ -89,15 +89,15 @@
 def run_command(flags: Mapping[str, str]) -> ExitStatus:
     """Validate the command-line flags and run the command."""
     if wants_help(flags):
-        say(HELP)
-        return ExitStatus.FINE
+        print_line(HELP)
+        return ExitStatus.SUCCESS
     unknown = sorted(set(flags) - set(FLAGS))
     if unknown:
-        complain(wrong('unknown flag', unknown[0]))
-        return ExitStatus.WRONG_USE
+        print_problem(flag_problem('unknown flag', unknown[0]))
+        return ExitStatus.USAGE_ERROR
     parsed = parse_addresses(flags.get('addresses', ''), 'addresses')
     if isinstance(parsed, Failure):
-        complain(parsed.failure())
-        return ExitStatus.WRONG_USE
+        print_problem(parsed.failure())
+        return ExitStatus.USAGE_ERROR
     as_json = is_true(flags.get('json', 'False'))
     return run(parsed.unwrap(), as_json, flags.get('html', ''))
--- a/tests/cli/test_publishing.py
+++ b/tests/cli/test_publishing.py
@@ -4,7 +4,7 @@
 from returns.result import Failure
 from returns.result import Success
 
-from cyclamenlift.cli.admin import AdminAnswer
+from cyclamenlift.cli.admin import AdminResponse
 from cyclamenlift.cli.publishing import LeaderCall
 from cyclamenlift.core.codes import ResultCode
 from cyclamenlift.core.problems import Problem
@@ -50,7 +50,7 @@
             return Failure(Problem(code, step, str(address)))
         code, hint = step
         value = {'code': code, 'instance': name, 'leader': hint}
-        return Success(AdminAnswer(address, 200, value))
+        return Success(AdminResponse(address, 200, value))
 
 
 CASES = {
--- a/tests/reports/test_burn.py
+++ b/tests/reports/test_burn.py
@@ -165,21 +165,21 @@
 ):
     page = tmp_path / 'burn.html'
     flags = {'addresses': str(daemon), 'json': 'True', 'html': str(page)}
-    assert run_command(flags) == ExitStatus.FINE
+    assert run_command(flags) == ExitStatus.SUCCESS
     found = json.loads(capsys.readouterr().out)
     assert found['services'][0]['short_burn'] == pytest.approx(10)
     assert '<svg' in page.read_text()
-    assert run([daemon], as_json=False) == ExitStatus.FINE
+    assert run([daemon], as_json=False) == ExitStatus.SUCCESS
     assert 'prices' in capsys.readouterr().out
 
 
 @pytest.mark.parametrize(
     'flags, status',
     [
-        ({'addresses': 'nowhere'}, ExitStatus.WRONG_USE),
-        ({'bogus': '1'}, ExitStatus.WRONG_USE),
+        ({'addresses': 'nowhere'}, ExitStatus.USAGE_ERROR),
+        ({'bogus': '1'}, ExitStatus.USAGE_ERROR),
         ({'addresses': '127.0.0.1:1'}, ExitStatus.FAILED),
-        ({'help': 'True'}, ExitStatus.FINE),
+        ({'help': 'True'}, ExitStatus.SUCCESS),
     ],
 )
 def test_wrong_use_and_silent_daemons_have_their_exit_status(flags, status):
