--- a/cyclamenlift/standins/__init__.py
+++ b/cyclamenlift/standins/__init__.py
@@ -1,5 +1,6 @@
-"""Stand-ins for what surrounds the system: a target and callers.
+"""Stand-ins for the environment: a target and a load generator.
 
-They share no code with the product's own HTTP, so that what they count is
-independent of what the product believes. Demo, tests and benches use them.
+They share no code with the HTTP implementation of the product, so that their
+counts are an independent check of it. The demo, tests and benchmarks use
+them.
 """
--- a/cyclamenlift/standins/answers.py
+++ b/cyclamenlift/standins/answers.py
@@ -1,8 +1,8 @@
-"""The body of a stand-in target's answer, made so that it can be checked.
+"""Verifiable response bodies of a stand-in target.
 
 The first line is JSON with the id of the request and the length and CRC of
-the payload; the payload follows. A sender can tell a whole answer of its
-own from a cut one and from another caller's.
+the payload; the payload follows. A client can tell its own complete response
+from a truncated one and from the response to another request.
 """
 
 import dataclasses
@@ -14,16 +14,16 @@
 
 
 class AnswerFault(enum.Enum):
-    """What is wrong with the body of an answer."""
+    """Possible defects of a response body."""
 
     NONE = 'none'
-    CUT = 'cut'
-    FOREIGN = 'foreign'
+    TRUNCATED = 'cut'
+    MISMATCHED = 'foreign'
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AnswerFacts:
-    """What a target says of the request that it answers."""
+    """Facts about a request that the target reports in its response."""
 
     request_id: str
     target: str
@@ -32,15 +32,15 @@
 
 
 def build_answer(facts: AnswerFacts, size: int) -> bytes:
-    """Return a body whose payload has ``size`` bytes.
+    """Build a body with a payload of ``size`` bytes.
 
     >>> facts = AnswerFacts('r1', 't1', 0, '')
     >>> check_answer(build_answer(facts, 10), 'r1')
     <AnswerFault.NONE: 'none'>
     >>> check_answer(build_answer(facts, 10)[:-1], 'r1')
-    <AnswerFault.CUT: 'cut'>
+    <AnswerFault.TRUNCATED: 'cut'>
     >>> check_answer(build_answer(facts, 10), 'r2')
-    <AnswerFault.FOREIGN: 'foreign'>
+    <AnswerFault.MISMATCHED: 'foreign'>
     """
     seed = (facts.request_id or '-').encode()
     payload = (seed * (size // len(seed) + 1))[:size]
@@ -56,22 +56,22 @@
 
 
 def check_answer(body: bytes, request_id: str) -> AnswerFault:
-    """Tell whether ``body`` is the whole answer to ``request_id``."""
+    """Check that ``body`` is the complete response to ``request_id``."""
     line = read_first_line(body)
     if line is None:
-        return AnswerFault.CUT
+        return AnswerFault.TRUNCATED
     if line.get('id') != request_id:
-        return AnswerFault.FOREIGN
+        return AnswerFault.MISMATCHED
     payload = body.partition(SEPARATOR)[2]
     if len(payload) != line.get('length'):
-        return AnswerFault.CUT
+        return AnswerFault.TRUNCATED
     if zlib.crc32(payload) != line.get('crc32'):
-        return AnswerFault.FOREIGN
+        return AnswerFault.MISMATCHED
     return AnswerFault.NONE
 
 
 def read_first_line(body: bytes) -> dict | None:
-    """Return the JSON of the first line, None when it is not whole."""
+    """Parse the first line as JSON; return None if it is incomplete."""
     head, found, _ = body.partition(SEPARATOR)
     if not found:
         return None
--- a/cyclamenlift/standins/client.py
+++ b/cyclamenlift/standins/client.py
@@ -1,4 +1,4 @@
-"""Kept-alive HTTP connections of the load sender."""
+"""Persistent HTTP connections of the load generator."""
 
 import asyncio
 import collections
@@ -8,16 +8,16 @@
 
 
 class AnswerLost(Exception):
-    """The connection ended before the whole answer was in."""
+    """The connection closed before the response was complete."""
 
     def __init__(self, some_received: bool):
-        super().__init__('connection ended before the answer')
+        super().__init__('connection closed before the response was complete')
         self.some_received = some_received
 
 
 @dataclasses.dataclass(slots=True)
 class HttpAnswer:
-    """A whole answer."""
+    """A complete HTTP response."""
 
     status: int = 0
     headers: dict[str, str] = dataclasses.field(default_factory=dict)
@@ -25,7 +25,7 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """One connection, one call at a time."""
+    """One connection, which carries one call at a time."""
 
     def __init__(self):
         self.transport: asyncio.Transport | None = None
@@ -33,29 +33,29 @@
         self.answer = HttpAnswer()
         self.waiter: asyncio.Future | None = None
         self.closed = False
-        self.stray = False
+        self.unsolicited = False
         self.received = False
-        self.finished_alive = True
+        self.keep_alive = True
 
     def connection_made(self, transport) -> None:
         self.transport = transport
 
     def connection_lost(self, exc) -> None:
         self.closed = True
-        self.fail()
+        self.fail_waiter()
 
     def data_received(self, data: bytes) -> None:
         if self.waiter is None:
-            self.stray = True
+            self.unsolicited = True
             self.close()
             return
         self.received = True
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
-            self.stray = True
+            self.unsolicited = True
             self.close()
-            self.fail()
+            self.fail_waiter()
 
     def on_header(self, name: bytes, value: bytes) -> None:
         key = name.decode('latin-1').lower()
@@ -70,20 +70,20 @@
             self.answer = HttpAnswer()
             return
         self.answer.status = status
-        self.finished_alive = self.parser.should_keep_alive()
+        self.keep_alive = self.parser.should_keep_alive()
         waiter = self.waiter
         self.waiter = None
         if waiter is not None and not waiter.done():
             waiter.set_result(self.answer)
 
-    def fail(self) -> None:
+    def fail_waiter(self) -> None:
         waiter = self.waiter
         self.waiter = None
         if waiter is not None and not waiter.done():
             waiter.set_exception(AnswerLost(self.received))
 
     async def call(self, data: bytes, seconds: float) -> HttpAnswer:
-        """Send a request; return its answer or raise AnswerLost."""
+        """Send a request; return its response or raise AnswerLost."""
         self.answer = HttpAnswer()
         self.received = False
         loop = asyncio.get_running_loop()
@@ -101,26 +101,26 @@
             self.transport.abort()
 
     def is_reusable(self) -> bool:
-        return not self.closed and self.finished_alive and not self.stray
+        return not self.closed and self.keep_alive and not self.unsolicited
 
 
 class Pool:
-    """Idle connections to one entry address, the latest used first."""
+    """Pool of connections to one address; the last used is reused first."""
 
     def __init__(self, address: str):
         self.host, _, port = address.rpartition(':')
         self.port = int(port)
         self.idle: collections.deque[ClientConnection] = collections.deque()
         self.opened = 0
-        self.stray = 0
+        self.unsolicited = 0
 
-    async def take(self) -> ClientConnection:
-        """Return an idle connection or a new one; raise OSError."""
+    async def acquire(self) -> ClientConnection:
+        """Return an idle connection or open one; may raise OSError."""
         while self.idle:
-            found = self.idle.pop()
-            if found.is_reusable():
-                return found
-            self.stray += found.stray
+            candidate = self.idle.pop()
+            if candidate.is_reusable():
+                return candidate
+            self.unsolicited += candidate.unsolicited
         self.opened += 1
         loop = asyncio.get_running_loop()
         _, connection = await loop.create_connection(
@@ -128,11 +128,11 @@
         )
         return connection
 
-    def give_back(self, connection: ClientConnection) -> None:
+    def release(self, connection: ClientConnection) -> None:
         if connection.is_reusable():
             self.idle.append(connection)
             return
-        self.stray += connection.stray
+        self.unsolicited += connection.unsolicited
         connection.close()
 
     def close(self) -> None:
--- a/cyclamenlift/standins/connection.py
+++ b/cyclamenlift/standins/connection.py
@@ -1,4 +1,4 @@
-"""One connection to a stand-in target, parsed by httptools."""
+"""Server side of a connection to a stand-in target."""
 
 import asyncio
 import hashlib
@@ -10,16 +10,16 @@
 from cyclamenlift.standins.service import Request
 from cyclamenlift.standins.service import Service
 
-MAX_KEPT_BODY = 64 * 1024
+MAX_BODY_PREFIX = 64 * 1024
 REASONS = {200: 'OK', 400: 'Bad Request', 404: 'Not Found'}
 REASONS.update({500: 'Internal Server Error', 503: 'Service Unavailable'})
 
 
 class TargetConnection(asyncio.Protocol):
-    """Answers the requests of one connection, one after the other.
+    """Answers the requests of one connection in order.
 
-    A body is hashed as it arrives and only its first part is kept, so
-    that a large upload takes no memory.
+    A body is hashed as it arrives and only its first part is stored, so
+    that a large upload does not use much memory.
     """
 
     def __init__(self, service: Service):
@@ -28,7 +28,7 @@
         self.parser = httptools.HttpRequestParser(self)
         self.worker: asyncio.Task | None = None
         self.queue: asyncio.Queue = asyncio.Queue()
-        self.counted = False
+        self.is_counted = False
         self.reset()
 
     def reset(self) -> None:
@@ -36,7 +36,7 @@
         self.headers: dict[str, str] = {}
         self.digest = hashlib.sha256()
         self.size = 0
-        self.kept = bytearray()
+        self.body_prefix = bytearray()
 
     def connection_made(self, transport) -> None:
         self.transport = transport
@@ -47,11 +47,13 @@
             return
         counters.connections += 1
         counters.open_connections += 1
-        self.counted = True
-        self.worker = asyncio.get_running_loop().create_task(self.work())
+        self.is_counted = True
+        self.worker = asyncio.get_running_loop().create_task(
+            self.serve_queue()
+        )
 
     def connection_lost(self, exc) -> None:
-        if self.counted:
+        if self.is_counted:
             self.service.counters.open_connections -= 1
         if self.worker is not None:
             self.worker.cancel()
@@ -79,8 +81,8 @@
     def on_body(self, data: bytes) -> None:
         self.digest.update(data)
         self.size += len(data)
-        if len(self.kept) < MAX_KEPT_BODY:
-            self.kept += data
+        if len(self.body_prefix) < MAX_BODY_PREFIX:
+            self.body_prefix += data
 
     def on_message_complete(self) -> None:
         request = Request(
@@ -89,13 +91,13 @@
             self.headers,
             self.size,
             self.digest.hexdigest() if self.size else '',
-            bytes(self.kept),
+            bytes(self.body_prefix),
         )
         self.queue.put_nowait((request, self.parser.should_keep_alive()))
         self.reset()
 
-    async def work(self) -> None:
-        """Answer what the parser has queued, until the connection ends."""
+    async def serve_queue(self) -> None:
+        """Answer queued requests until the connection closes."""
         if self.service.plan.open_ms:
             await asyncio.sleep(self.service.plan.open_ms / 1000.0)
         while True:
@@ -103,8 +105,8 @@
             answer = await self.service.answer(request)
             self.send(answer, keep_alive, request.method == 'HEAD')
 
-    def send(self, answer: Answer, keep_alive: bool, bare: bool) -> None:
-        """Write an answer with the faults that are asked of it."""
+    def send(self, answer: Answer, keep_alive: bool, head_only: bool) -> None:
+        """Write a response with the faults that it is to show."""
         self.service.counters.answers[answer.status] += 1
         reason = REASONS.get(answer.status, 'Other')
         head = (
@@ -113,10 +115,10 @@
             f'Content-Length: {len(answer.body)}\r\n'
             f'Connection: {"keep-alive" if keep_alive else "close"}\r\n\r\n'
         ).encode()
-        data = head if bare else head + answer.body
+        data = head if head_only else head + answer.body
         faults = answer.faults
         if faults is not None and faults.cut is not Cut.NONE:
-            self.transport.write(data[: cut_at(faults, len(head))])
+            self.transport.write(data[: truncated_length(faults, len(head))])
             self.transport.close()
             return
         if faults is not None and faults.stray_bytes:
@@ -126,8 +128,8 @@
             self.transport.close()
 
 
-def cut_at(faults, head_bytes: int) -> int:
-    """Return how many bytes of an answer are sent before the break."""
+def truncated_length(faults, head_bytes: int) -> int:
+    """Return the number of response bytes to send before closing."""
     if faults.cut is Cut.BEFORE_HEAD:
         return 0
     if faults.cut is Cut.AFTER_HEAD:
--- a/cyclamenlift/standins/counters.py
+++ b/cyclamenlift/standins/counters.py
@@ -1,4 +1,4 @@
-"""What a stand-in target counts by itself."""
+"""Counters of a stand-in target."""
 
 import collections
 import dataclasses
@@ -6,7 +6,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Upload:
-    """One body that arrived whole."""
+    """One request body that arrived completely."""
 
     path: str
     key: str
@@ -15,7 +15,7 @@
 
 
 class Counters:
-    """Calls, runs and uploads as the target alone saw them."""
+    """Calls, runs and uploads, counted by the target itself."""
 
     def __init__(self, name: str):
         self.name = name
@@ -34,25 +34,25 @@
         self.open_connections = 0
         self.refused_connections = 0
 
-    def note_run(self, method: str, path: str, key: str) -> None:
-        """Count a call at the moment that it takes a slot."""
-        bare = path.partition('?')[0]
-        self.calls[f'{method} {bare}'] += 1
+    def count_run(self, method: str, path: str, key: str) -> None:
+        """Count a call when it acquires a slot."""
+        path_only = path.partition('?')[0]
+        self.calls[f'{method} {path_only}'] += 1
         if key:
             self.runs_by_key[key] += 1
         self.running += 1
         self.max_running = max(self.max_running, self.running)
 
-    def note_upload(self, upload: Upload) -> None:
+    def add_upload(self, upload: Upload) -> None:
         self.uploads.append(upload)
         self.upload_bytes += upload.size
 
     def doubled(self) -> int:
-        """Return how many keys ran more than once on this target."""
+        """Return the number of keys that ran more than once on this target."""
         return sum(1 for runs in self.runs_by_key.values() if runs > 1)
 
     def as_json(self, slots: int, with_keys: bool) -> dict:
-        """Return the counts for ``GET /_standin/counters``."""
+        """Return the JSON value for ``GET /_standin/counters``."""
         value = {
             'target': self.name,
             'slots': slots,
--- a/cyclamenlift/standins/faults.py
+++ b/cyclamenlift/standins/faults.py
@@ -1,4 +1,4 @@
-"""Faults of a stand-in target, switched while it runs."""
+"""Faults that can be injected into a running stand-in target."""
 
 import enum
 import random
@@ -13,7 +13,7 @@
 
 
 class LoadReport(enum.StrEnum):
-    """What ``GET /load`` says."""
+    """Accuracy of the load report at ``GET /load``."""
 
     HONEST = 'honest'
     LAGGING = 'lagging'
@@ -21,7 +21,7 @@
 
 
 class Cut(enum.StrEnum):
-    """Where the connection is broken."""
+    """Point in a response at which the connection is closed."""
 
     NONE = 'none'
     BEFORE_HEAD = 'before_head'
@@ -30,11 +30,11 @@
 
 
 class Faults(pydantic.BaseModel):
-    """All faults in force; what a request leaves out is off.
+    """All active faults; those missing in a request are off.
 
-    ``calls`` limits cut, stray bytes and fail-fast to the next so many
-    calls (-1: all of them). ``path`` limits every fault to paths that
-    start with it.
+    ``calls`` limits ``cut``, ``stray_bytes`` and ``fail_fast`` to that many
+    further calls (-1: no limit). ``path`` limits the faults to paths with
+    this prefix.
     """
 
     model_config = pydantic.ConfigDict(extra='forbid')
@@ -58,57 +58,59 @@
 
 
 class FaultState:
-    """Faults in force and the phase of those that vary with time."""
+    """Active faults and the state of those that vary with time."""
 
     def __init__(self, rng: random.Random):
         self.rng = rng
         self.faults = Faults()
         self.calls_left = -1
-        self.since = 0.0
-        self.noisy = False
+        self.applied_at = 0.0
+        self.in_noise = False
         self.noise_ends = 0.0
 
     def apply(self, faults: Faults, now: float) -> None:
-        """Put ``faults`` in the place of all earlier ones."""
+        """Replace all active faults with ``faults``."""
         self.faults = faults
         self.calls_left = faults.calls
-        self.since = now
-        self.noisy = False
+        self.applied_at = now
+        self.in_noise = False
         self.noise_ends = now
 
     def slowdown(self, path: str, now: float) -> float:
-        """Return the factor on the service time of a call that starts."""
+        """Return the service time factor of a call that starts now."""
         faults = self.faults
         if not path.startswith(faults.path):
             return 1.0
         factor = faults.straggler_factor
-        factor *= self.noise_now(now)
-        return factor * self.cold_now(now)
+        factor *= self.noise_factor_at(now)
+        return factor * self.cold_factor_at(now)
 
-    def noise_now(self, now: float) -> float:
+    def noise_factor_at(self, now: float) -> float:
         faults = self.faults
         if faults.noise_on_ms <= 0:
             return 1.0
         while self.noise_ends <= now:
-            self.noisy = not self.noisy
-            mean = faults.noise_on_ms if self.noisy else faults.noise_off_ms
+            self.in_noise = not self.in_noise
+            mean = faults.noise_on_ms if self.in_noise else faults.noise_off_ms
             period = self.rng.expovariate(1.0) * mean / MILLISECONDS
             self.noise_ends += max(period, 1e-4)
-        return faults.noise_factor if self.noisy else 1.0
+        return faults.noise_factor if self.in_noise else 1.0
 
-    def cold_now(self, now: float) -> float:
-        """Return the factor of a cold start, which fades linearly to 1."""
-        length = self.faults.cold_ms / MILLISECONDS
-        age = now - self.since
-        if length <= 0 or age >= length:
+    def cold_factor_at(self, now: float) -> float:
+        """Return the cold start factor, which falls linearly to 1."""
+        duration = self.faults.cold_ms / MILLISECONDS
+        elapsed = now - self.applied_at
+        if duration <= 0 or elapsed >= duration:
             return 1.0
-        return 1.0 + (self.faults.cold_factor - 1.0) * (1.0 - age / length)
+        return 1.0 + (self.faults.cold_factor - 1.0) * (
+            1.0 - elapsed / duration
+        )
 
-    def take_call(self, path: str) -> Faults | None:
-        """Count one call; return the faults of its answer, if any."""
+    def count_call(self, path: str) -> Faults | None:
+        """Count one call; return the faults of its response, if any."""
         faults = self.faults
-        breaks = faults.fail_fast or faults.stray_bytes
-        if not breaks and faults.cut is Cut.NONE:
+        affects_response = faults.fail_fast or faults.stray_bytes
+        if not affects_response and faults.cut is Cut.NONE:
             return None
         if not path.startswith(faults.path) or self.calls_left == 0:
             return None
--- a/cyclamenlift/standins/fleet.py
+++ b/cyclamenlift/standins/fleet.py
@@ -1,8 +1,8 @@
-"""Starts real processes on loopback for the demo, tests and benches.
+"""Starts real processes on loopback for the demo, tests and benchmarks.
 
-Every process is started, watched and ended by its own handle. Addresses lie
-on a loopback number made from this process's id, so that fleets of several
-runs, and other programs, never meet.
+Every process is started, monitored and stopped through its own handle. The
+loopback IP address is derived from the id of this process, so that fleets of
+concurrent runs and other programs do not interfere.
 """
 
 from collections.abc import Iterator
@@ -27,29 +27,29 @@
 START_SECONDS = 20.0
 STOP_SECONDS = 10.0
 POLL_SECONDS = 0.05
-# Below the range from which the system takes ports by itself (32768 on), and
-# above those of well-known services. Each is given once in a process.
-FIXED_PORTS = iter(range(10_000, 32_000))
+# Below the ephemeral port range of the system (from 32768) and above the
+# ports of well-known services. Each port is used once per process.
+FREE_PORTS = iter(range(10_000, 32_000))
 
 
 class FleetError(Exception):
-    """A process did not start, or a condition did not come true."""
+    """A process did not start, or a condition did not become true."""
 
 
 def own_host() -> str:
-    """Return a loopback number that belongs to this process alone."""
+    """Return the loopback IP address that is unique to this process."""
     pid = os.getpid()
     return f'127.{100 + (pid >> 16) % 100}.{(pid >> 8) & 255}.{pid & 255}'
 
 
 def free_port(kind: int = socket.SOCK_STREAM) -> str:
-    """Return ``host:port`` that is free, each once.
+    """Return a free ``host:port``; each port is returned once.
 
-    Its process may bind it seconds later. So it lies below the ports that
-    the system hands out by itself: relays, probes and outgoing connections
-    on our host number have those and must not take it meanwhile.
+    A started process may bind the port seconds later. Therefore the port is
+    below the ephemeral range: relays, probes and outgoing connections on the
+    same IP address use ephemeral ports and cannot take it in the meantime.
     """
-    for port in FIXED_PORTS:
+    for port in FREE_PORTS:
         address = Address(own_host(), port)
         with socket.socket(socket.AF_INET, kind) as probe:
             try:
@@ -57,24 +57,24 @@
             except OSError:
                 continue
         return str(address)
-    raise FleetError('no port is left')
+    raise FleetError('no free port left')
 
 
-def wait_until(condition, seconds: float, what: str):
-    """Return the first true value of ``condition``; raise FleetError."""
+def wait_until(condition, seconds: float, description: str):
+    """Return the first true value of ``condition`` or raise FleetError."""
     deadline = time.monotonic() + seconds
     while time.monotonic() < deadline:
         value = condition()
         if value:
             return value
         time.sleep(POLL_SECONDS)
-    raise FleetError(f'not within {seconds:g} s: {what}')
+    raise FleetError(f'not within {seconds:g} s: {description}')
 
 
 def ask(
     address: str, method: str, path: str, body: bytes = b'', headers=None
 ) -> tuple[int, dict[str, str], bytes]:
-    """Send one HTTP request; return status, headers and body."""
+    """Send one HTTP request; return its status, headers and body."""
     host, _, port = address.rpartition(':')
     connection = http.client.HTTPConnection(host, int(port), timeout=10)
     try:
@@ -87,7 +87,7 @@
 
 
 def ask_json(address: str, path: str, method: str = 'GET', value=None):
-    """Send one request and return its JSON, None if nobody answers."""
+    """Send one request; return its JSON, None if there is no response."""
     body = b'' if value is None else json.dumps(value).encode()
     headers = {'Content-Type': 'application/json'}
     try:
@@ -98,8 +98,8 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Running:
-    """One process that a fleet started."""
+class ProcessHandle:
+    """Handle of one process that a fleet started."""
 
     name: str
     process: subprocess.Popen
@@ -109,7 +109,7 @@
         return self.process.poll() is None
 
     def send_signal(self, number: int) -> None:
-        """Send a signal to exactly this process."""
+        """Send a signal to this process, if it still runs."""
         if self.alive():
             self.process.send_signal(number)
 
@@ -118,29 +118,31 @@
         self.process.wait(STOP_SECONDS)
 
     def stop(self, seconds: float = STOP_SECONDS) -> int:
-        """Ask it to end; return its exit status."""
+        """Send SIGTERM and return the exit status."""
         self.send_signal(signal.SIGTERM)
         return self.process.wait(seconds)
 
 
 @dataclasses.dataclass(slots=True)
 class TargetHandle:
-    """A stand-in target."""
+    """A stand-in target with its address."""
 
-    running: Running
+    running: ProcessHandle
     address: str
     service: str
     slots: int
 
     def counters(self) -> dict:
-        """Return what the target counted by itself."""
+        """Return the counters of the target."""
         value = ask_json(self.address, '/_standin/counters?keys=1')
         if value is None:
-            raise FleetError(f'{self.running.name} does not count')
+            raise FleetError(
+                f'{self.running.name} does not return its counters'
+            )
         return value
 
     def fault(self, **faults) -> None:
-        """Switch faults on; those not named are off."""
+        """Set the active faults; those not named are off."""
         ask_json(self.address, '/_standin/fault', 'POST', faults)
 
 
@@ -148,7 +150,7 @@
 class DaemonHandle:
     """A daemon with its addresses."""
 
-    running: Running
+    running: ProcessHandle
     entry: str
     peer: str
     admin: str
@@ -163,7 +165,7 @@
 class ControlHandle:
     """A control instance with its addresses."""
 
-    running: Running
+    running: ProcessHandle
     name: str
     peer: str
     admin: str
@@ -175,7 +177,7 @@
 
 
 class Fleet:
-    """Processes of one run; ``close`` ends every one of them."""
+    """All processes of one run; ``close`` ends every one of them."""
 
     def __init__(
         self,
@@ -186,7 +188,7 @@
         self.folder = folder
         self.log_level = log_level
         self.paths = paths or DirectPaths()
-        self.processes: list[Running] = []
+        self.processes: list[ProcessHandle] = []
         self.targets: list[TargetHandle] = []
         self.daemons: list[DaemonHandle] = []
         self.controls: list[ControlHandle] = []
@@ -194,8 +196,8 @@
 
     # -- starting -----------------------------------------------------------
 
-    def start(self, name: str, arguments: list[str]) -> Running:
-        """Start ``python -m ...``; its output goes to a file."""
+    def start(self, name: str, arguments: list[str]) -> ProcessHandle:
+        """Start ``python -m ...`` with its output in a log file."""
         log = self.folder / f'{name}.log'
         environment = {
             k: v
@@ -210,7 +212,7 @@
                 stderr=out,
                 env=environment,
             )
-        running = Running(name, process, log)
+        running = ProcessHandle(name, process, log)
         self.processes.append(running)
         return running
 
@@ -227,14 +229,16 @@
         arguments += [f'--{k}={v}' for k, v in options.items()]
         running = self.start(f'target-{name}', arguments)
         line = wait_until(
-            lambda: self.first_json(running), START_SECONDS, f'target {name}'
+            lambda: self.read_address_line(running),
+            START_SECONDS,
+            f'target {name}',
         )
         target = TargetHandle(running, line['address'], service, slots)
         self.targets.append(target)
         return target
 
-    def first_json(self, running: Running) -> dict | None:
-        """Return the first JSON line with an address that it printed."""
+    def read_address_line(self, running: ProcessHandle) -> dict | None:
+        """Return the first printed JSON line that has an address."""
         if not running.alive():
             raise FleetError(f'{running.name}: {running.log.read_text()}')
         for line in running.log.read_text().splitlines():
@@ -270,14 +274,14 @@
         return self.controls
 
     def peers_of(self, name: str, peers: dict[str, str]) -> str:
-        """Return the list for one control instance: its paths to others."""
-        told = [
+        """Return the ``--peers`` value of one control instance."""
+        reachable = [
             f'{other}={address}'
             if other == name
             else f'{other}={self.paths.tcp(name, other, address)}'
             for other, address in peers.items()
         ]
-        return ','.join(told)
+        return ','.join(reachable)
 
     def start_daemon(
         self,
@@ -286,7 +290,7 @@
         target: TargetHandle | None = None,
         **options,
     ) -> DaemonHandle:
-        """Start a daemon beside ``target``, or an entry without one."""
+        """Start a daemon for ``target``, or an entry without a target."""
         entry, peer, admin = free_port(), free_port(), free_port()
         gossip = free_port(socket.SOCK_DGRAM)
         arguments = [
@@ -311,27 +315,27 @@
             arguments.append(f'--service={target.service}')
             arguments.append(f'--target={target.address}')
             arguments.append(f'--slots={target.slots}')
-        told_peer = self.paths.tcp(ANYBODY, name, peer)
-        told_gossip = self.paths.udp(name, gossip)
-        if told_peer != peer:
-            arguments.append(f'--advertise_peer={told_peer}')
-        if told_gossip != gossip:
-            arguments.append(f'--advertise_gossip={told_gossip}')
+        peer_address = self.paths.tcp(ANYBODY, name, peer)
+        gossip_address = self.paths.udp(name, gossip)
+        if peer_address != peer:
+            arguments.append(f'--advertise_peer={peer_address}')
+        if gossip_address != gossip:
+            arguments.append(f'--advertise_gossip={gossip_address}')
         arguments += [f'--{k}={v}' for k, v in options.items()]
         running = self.start(name, arguments)
-        self.seeds.append(told_gossip)
+        self.seeds.append(gossip_address)
         daemon = DaemonHandle(running, entry, peer, admin, gossip, arguments)
         self.daemons.append(daemon)
         return daemon
 
     def restart(self, handle: ControlHandle | DaemonHandle) -> None:
-        """Start a process that has ended again, with its old settings."""
+        """Start an ended process again with the same arguments."""
         handle.running = self.start(handle.running.name, handle.arguments)
 
-    # -- waiting and ending -------------------------------------------------
+    # -- commands, waiting and stopping ------------------------------------
 
     def command(self, *arguments: str) -> subprocess.CompletedProcess:
-        """Run one command of the command line to its end."""
+        """Run one ``cyclamenlift`` command to its end."""
         return subprocess.run(
             [sys.executable, '-m', 'cyclamenlift', *arguments],
             capture_output=True,
@@ -347,7 +351,7 @@
     def wait_in_force(
         self, version: int, members: int, seconds: float = 30.0
     ) -> None:
-        """Wait until every living daemon has the version and the members."""
+        """Wait until every running daemon has the version and the members."""
 
         def ready() -> bool:
             return all(
@@ -359,7 +363,7 @@
         wait_until(ready, seconds, f'version {version} in force everywhere')
 
     def close(self) -> None:
-        """End every process that was started, by its own handle."""
+        """Kill every process that was started, by its own handle."""
         for running in self.processes:
             running.send_signal(signal.SIGCONT)
             running.send_signal(signal.SIGKILL)
@@ -376,7 +380,7 @@
 
 @contextlib.contextmanager
 def temporary_fleet(log_level: str = 'info') -> Iterator[Fleet]:
-    """Give a fleet in a folder of its own and end it afterwards."""
+    """Yield a fleet in a temporary folder and close it afterwards."""
     with tempfile.TemporaryDirectory(prefix='cyclamenlift-') as name:
         fleet = Fleet(pathlib.Path(name), log_level)
         try:
--- a/cyclamenlift/standins/load.py
+++ b/cyclamenlift/standins/load.py
@@ -1,9 +1,9 @@
-"""Send an open-loop load: ``python -m cyclamenlift.standins.load``.
+"""Open-loop load generator: ``python -m cyclamenlift.standins.load``.
 
-Calls start at the instants of a Poisson process whatever the answers do,
-and each is timed from its intended start, so that a slow answer cannot
-hide the wait of the calls behind it. Every answer is checked to be whole
-and the caller's own.
+Calls start at the times of a Poisson process, independent of responses. Each
+call is timed from its intended start, so that a slow response does not hide
+the delay of the calls behind it (coordinated omission). Every response is
+checked to be complete and to belong to its request.
 """
 
 import asyncio
@@ -36,10 +36,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadPlan:
-    """What to send; shares are of all calls, the rest are reads.
+    """Parameters of a load; shares are of all calls, the rest are reads.
 
-    ``duplicate_share`` of the bookings are sent a second time at once with
-    the same key, through another address if there is one.
+    ``duplicate_share`` of the bookings are sent twice at the same time with
+    the same key, the second time to another address if there is one.
     """
 
     addresses: tuple[str, ...]
@@ -59,7 +59,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlannedCall:
-    """One call, ready to send."""
+    """One call that is ready to be sent."""
 
     kind: Kind
     request_id: str
@@ -70,7 +70,7 @@
 
 
 class Sender:
-    """Runs one plan and keeps its summary."""
+    """Sends the load of one plan and collects its summary."""
 
     def __init__(self, plan: LoadPlan):
         self.plan = plan
@@ -78,29 +78,29 @@
         self.filler = self.rng.randbytes(plan.upload_bytes)
         self.summary = Summary()
         self.pools = {a: Pool(a) for a in plan.addresses}
-        self.number = 0
+        self.call_count = 0
         self.tasks: set[asyncio.Task] = set()
 
     async def run(self) -> Summary:
-        """Send for the time of the plan, then wait for the last answers."""
+        """Send calls for the planned time, then wait for all responses."""
         loop = asyncio.get_running_loop()
         started = loop.time()
-        due = started
+        intended = started
         while True:
-            due += self.rng.expovariate(self.plan.rate)
-            if due - started > self.plan.seconds:
+            intended += self.rng.expovariate(self.plan.rate)
+            if intended - started > self.plan.seconds:
                 break
-            pause = due - loop.time()
+            pause = intended - loop.time()
             if pause > 0:
                 await asyncio.sleep(pause)
-            for call in self.plan_calls(due):
+            for call in self.plan_calls(intended):
                 self.start(call)
         if self.tasks:
             await asyncio.wait(self.tasks)
         self.summary.seconds = loop.time() - started
         for pool in self.pools.values():
             self.summary.connections_opened += pool.opened
-            self.summary.stray_connections += pool.stray
+            self.summary.stray_connections += pool.unsolicited
             pool.close()
         return self.summary
 
@@ -110,9 +110,9 @@
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    def plan_calls(self, due: float) -> list[PlannedCall]:
-        """Draw the next call, with its duplicate if it has one."""
-        self.number += 1
+    def plan_calls(self, intended: float) -> list[PlannedCall]:
+        """Draw the next call, together with its duplicate if it has one."""
+        self.call_count += 1
         plan = self.plan
         drawn = self.rng.random()
         kind = Kind.READ
@@ -120,7 +120,7 @@
             kind = Kind.BOOKING
         elif drawn < plan.booking_share + plan.upload_share:
             kind = Kind.UPLOAD
-        name = f'{plan.prefix}-{plan.seed}-{self.number}'
+        name = f'{plan.prefix}-{plan.seed}-{self.call_count}'
         key = '' if kind is Kind.READ else f'key-{name}'
         body = b''
         if kind is Kind.BOOKING:
@@ -128,25 +128,25 @@
         elif kind is Kind.UPLOAD:
             body = name.encode() + self.filler[len(name) :]
         address = self.rng.choice(plan.addresses)
-        calls = [PlannedCall(kind, name, key, body, address, due)]
-        twice = kind is Kind.BOOKING
-        if twice and self.rng.random() < plan.duplicate_share:
+        calls = [PlannedCall(kind, name, key, body, address, intended)]
+        may_repeat = kind is Kind.BOOKING
+        if may_repeat and self.rng.random() < plan.duplicate_share:
             others = [a for a in plan.addresses if a != address]
             other = self.rng.choice(others or plan.addresses)
-            calls.append(PlannedCall(kind, name, key, body, other, due))
+            calls.append(PlannedCall(kind, name, key, body, other, intended))
         return calls
 
     async def send(self, call: PlannedCall) -> None:
-        """Send one call and note how it ended."""
+        """Send one call and record its outcome."""
         loop = asyncio.get_running_loop()
-        late = to_microseconds(loop.time() - call.intended)
-        self.summary.lateness.record_value(late)
+        lateness_us = to_microseconds(loop.time() - call.intended)
+        self.summary.lateness.record_value(lateness_us)
         pool = self.pools[call.address]
         seconds = self.timeout_ms(call.kind) / 1000.0 + GRACE_SECONDS
         answer = None
-        lost = CallClass.NO_ANSWER
+        class_without_answer = CallClass.NO_ANSWER
         try:
-            connection = await pool.take()
+            connection = await pool.acquire()
         except OSError:
             connection = None
         if connection is not None:
@@ -154,10 +154,12 @@
                 answer = await connection.call(self.encode(call), seconds)
             except AnswerLost as error:
                 if error.some_received:
-                    lost = CallClass.BROKEN
-            pool.give_back(connection)
-        taken = loop.time() - call.intended
-        self.summary.note(record_of(call, answer, lost, taken))
+                    class_without_answer = CallClass.BROKEN
+            pool.release(connection)
+        elapsed = loop.time() - call.intended
+        self.summary.add(
+            build_record(call, answer, class_without_answer, elapsed)
+        )
 
     def timeout_ms(self, kind: Kind) -> int:
         if kind is Kind.UPLOAD:
@@ -165,7 +167,7 @@
         return self.plan.timeout_ms
 
     def encode(self, call: PlannedCall) -> bytes:
-        """Return the bytes of the request."""
+        """Encode the HTTP request of a call."""
         method = 'GET' if call.kind is Kind.READ else 'POST'
         path = PATHS[call.kind]
         lines = [
@@ -182,20 +184,25 @@
         return head.encode() + call.body
 
 
-def record_of(
+def build_record(
     call: PlannedCall,
     answer: HttpAnswer | None,
-    lost: CallClass,
+    class_without_answer: CallClass,
     seconds: float,
 ) -> CallRecord:
-    """Classify a call; ``lost`` is its class when no answer came."""
+    """Return the record of a call.
+
+    ``class_without_answer`` is its class if there was no response.
+    """
     if answer is None:
-        return CallRecord(call.kind, lost, 0, 0, seconds, call.key)
+        return CallRecord(
+            call.kind, class_without_answer, 0, 0, seconds, call.key
+        )
     text = answer.headers.get(RESULT_HEADER, '')
     code = int(text) if text.isdigit() else 0
     record = CallRecord(
         call.kind,
-        class_of(call, answer, code),
+        classify_answer(call, answer, code),
         code,
         answer.status,
         seconds,
@@ -208,17 +215,19 @@
     return record
 
 
-def class_of(call: PlannedCall, answer: HttpAnswer, code: int) -> CallClass:
-    """Return the class of an answer by its code, then by its body.
+def classify_answer(
+    call: PlannedCall, answer: HttpAnswer, code: int
+) -> CallClass:
+    """Classify a response by its result code, then by its body.
 
-    An answer without a code came straight from a target.
+    A response without a result code came directly from a target.
     """
-    thousands = code // 1000
-    if thousands == 2:
+    code_group = code // 1000
+    if code_group == 2:
         return CallClass.NOT_RUN
-    if thousands == 3:
+    if code_group == 3:
         return CallClass.UNKNOWN
-    if thousands > 3 or 400 <= answer.status < 500:
+    if code_group > 3 or 400 <= answer.status < 500:
         return CallClass.WRONG
     if answer.status >= 500:
         return CallClass.TARGET_ERROR
@@ -236,12 +245,12 @@
 
 
 async def run_load(plan: LoadPlan) -> Summary:
-    """Send the load of ``plan``; return what came of it."""
+    """Send the load of ``plan`` and return its summary."""
     return await Sender(plan).run()
 
 
 def parse_addresses(value) -> tuple[str, ...]:
-    """Accept ``a:1,b:2`` or a sequence of them.
+    """Parse ``a:1,b:2`` or a sequence of addresses.
 
     >>> parse_addresses('127.0.0.1:1,127.0.0.1:2')
     ('127.0.0.1:1', '127.0.0.1:2')
@@ -263,20 +272,20 @@
     seed: int = 1,
     json_output: bool = False,
 ) -> None:
-    """Send calls to entry addresses and print what came of them.
+    """Send calls to entry addresses and print a summary.
 
     Args:
-        addresses: Entries (or targets), host:port, with commas between.
+        addresses: Entries (or targets), host:port, separated by commas.
         service: Value of the Host header.
-        rate: Calls a second, Poisson.
-        seconds: How long calls are started.
-        timeout_ms: Time that a caller allows, sent along.
-        booking_share: Share of keyed bookings.
+        rate: Mean calls per second of the Poisson process.
+        seconds: Time during which calls are started.
+        timeout_ms: Timeout of the caller, sent in a header.
+        booking_share: Share of bookings, each with an idempotency key.
         upload_share: Share of uploads.
-        duplicate_share: Share of bookings sent twice with one key.
+        duplicate_share: Share of bookings sent twice with the same key.
         upload_bytes: Size of an upload.
-        seed: Seed of arrivals and mix.
-        json_output: Print JSON instead of a few lines.
+        seed: Seed of the arrival times and the mix of calls.
+        json_output: Print the JSON on one line instead of indented.
     """
     plan = LoadPlan(
         addresses=parse_addresses(addresses),
--- a/cyclamenlift/standins/loops.py
+++ b/cyclamenlift/standins/loops.py
@@ -1,8 +1,8 @@
-"""An asyncio loop whose timers are finer than a millisecond.
+"""An asyncio event loop with timers of sub-millisecond resolution.
 
 The default loop rounds every timeout up to a whole millisecond, which is as
-much as the path under test may add. ``select`` takes microseconds; its
-limit of 1,024 sockets is enough for a stand-in.
+much latency as the path under test may add. ``select`` takes microseconds;
+its limit of 1,024 sockets is sufficient for a stand-in.
 """
 
 import asyncio
@@ -11,11 +11,11 @@
 
 
 def precise_loop() -> asyncio.AbstractEventLoop:
-    """Return a new loop over ``select``."""
+    """Create an event loop that uses ``select``."""
     return asyncio.SelectorEventLoop(selectors.SelectSelector())
 
 
 def run_precisely(main: Coroutine):
-    """Run a coroutine to its end on a precise loop; return its result."""
+    """Run a coroutine on a precise loop and return its result."""
     with asyncio.Runner(loop_factory=precise_loop) as runner:
         return runner.run(main)
--- a/cyclamenlift/standins/relay.py
+++ b/cyclamenlift/standins/relay.py
@@ -1,10 +1,10 @@
-"""A network path between two processes that can be cut silently.
+"""Relays that simulate network partitions between two processes.
 
-A path listens in place of the process behind it. While a direction is cut,
-nothing passes and no connection is closed or reset: bytes wait, as they do
-in the sender's kernel on a real network, and datagrams are lost. What
-waited is delivered after healing. One difference to a real cut is left: a
-new connection is accepted by the path even while it is cut.
+A relay listens in place of its upstream process. While a direction is cut,
+nothing is forwarded and no connection is closed or reset: bytes are queued,
+as in the sender's kernel on a real network, and datagrams are dropped.
+Queued bytes are delivered after healing. Unlike in a real partition, the
+relay accepts new connections even while it is cut.
 """
 
 import asyncio
@@ -15,20 +15,20 @@
 
 from cyclamenlift.core.streams import Address
 
-WAIT_SECONDS = 10.0
-MAX_WAITING_BYTES = 256 * 1024
+RESULT_SECONDS = 10.0
+MAX_QUEUED_BYTES = 256 * 1024
 
 
 class Direction(enum.Enum):
-    """Which way bytes travel, seen from who opened the connection."""
+    """Direction of data, relative to the side that opened the connection."""
 
     THERE = 'there'
     BACK = 'back'
 
 
 @dataclasses.dataclass(slots=True)
-class Lane:
-    """One direction of a path; ``received_bytes`` grows also while cut."""
+class DirectionState:
+    """State of one direction; ``received_bytes`` also grows while cut."""
 
     is_cut: bool = False
     delay: float = 0.0
@@ -36,47 +36,47 @@
 
 
 class Pipe(asyncio.Protocol):
-    """One end of a relayed connection; what it receives goes to ``other``.
+    """One end of a relayed connection; forwards its data to ``peer``.
 
-    The queue holds when each piece is due, in the loop's time, and its
+    The queue holds the due time of each chunk, in the loop's time, and its
     bytes; None stands for the end of the connection.
     """
 
-    def __init__(self, path: 'TcpPath', lane: Lane):
+    def __init__(self, path: 'TcpRelay', state: DirectionState):
         self.path = path
-        self.lane = lane
-        self.other: Pipe | None = None
+        self.state = state
+        self.peer: Pipe | None = None
         self.transport: asyncio.Transport | None = None
         self.queue: collections.deque[tuple[float, bytes | None]] = (
             collections.deque()
         )
         self.last_due = 0.0
-        self.waiting_bytes = 0
+        self.queued_bytes = 0
         self.closed = False
 
     def connection_made(self, transport) -> None:
         self.transport = transport
         self.path.pipes.add(self)
-        if self.other is None:
-            self.path.on_opened(self)
+        if self.peer is None:
+            self.path.on_accepted(self)
         else:
-            self.other.flush()
+            self.peer.flush()
 
     def data_received(self, data: bytes) -> None:
-        self.lane.received_bytes += len(data)
-        self.put(data)
+        self.state.received_bytes += len(data)
+        self.enqueue(data)
 
     def connection_lost(self, exc) -> None:
         self.closed = True
-        self.put(None)
+        self.enqueue(None)
 
-    def put(self, data: bytes | None) -> None:
-        """Pass data on, now or after the delay of the lane, in order."""
-        self.waiting_bytes += len(data or b'')
-        if self.waiting_bytes > MAX_WAITING_BYTES and not self.closed:
+    def enqueue(self, data: bytes | None) -> None:
+        """Queue data for delivery in order, after the configured delay."""
+        self.queued_bytes += len(data or b'')
+        if self.queued_bytes > MAX_QUEUED_BYTES and not self.closed:
             self.transport.pause_reading()
         loop = asyncio.get_running_loop()
-        self.last_due = max(self.last_due, loop.time() + self.lane.delay)
+        self.last_due = max(self.last_due, loop.time() + self.state.delay)
         self.queue.append((self.last_due, data))
         if self.last_due > loop.time():
             loop.call_at(self.last_due, self.flush)
@@ -84,35 +84,35 @@
             self.flush()
 
     def flush(self) -> None:
-        """Write what is due, unless the lane is cut or nobody listens yet."""
-        if self.lane.is_cut or self.other is None:
+        """Deliver due data, unless cut off or the peer is not connected."""
+        if self.state.is_cut or self.peer is None:
             return
-        if self.other.transport is None:
+        if self.peer.transport is None:
             return
         now = asyncio.get_running_loop().time()
         while self.queue and self.queue[0][0] <= now:
-            self.pass_on(self.queue.popleft()[1])
+            self.deliver(self.queue.popleft()[1])
         if not self.queue and not self.closed:
             self.transport.resume_reading()
 
-    def pass_on(self, data: bytes | None) -> None:
+    def deliver(self, data: bytes | None) -> None:
         if data is None:
-            self.other.transport.close()
+            self.peer.transport.close()
             self.path.pipes.discard(self)
             return
-        self.waiting_bytes -= len(data)
-        if not self.other.closed:
-            self.other.transport.write(data)
+        self.queued_bytes -= len(data)
+        if not self.peer.closed:
+            self.peer.transport.write(data)
 
 
-class TcpPath:
-    """Relays every connection to ``upstream``; each direction by itself."""
+class TcpRelay:
+    """Relays connections to ``upstream``; each direction can be cut."""
 
     def __init__(self, upstream: Address):
         self.upstream = upstream
-        self.lanes = {direction: Lane() for direction in Direction}
+        self.lanes = {direction: DirectionState() for direction in Direction}
         self.pipes: set[Pipe] = set()
-        self.waiting: list[Pipe] = []
+        self.unconnected: list[Pipe] = []
         self.tasks: set[asyncio.Task] = set()
         self.server: asyncio.Server | None = None
 
@@ -123,10 +123,10 @@
         )
         return Address(*self.server.sockets[0].getsockname()[:2])
 
-    def on_opened(self, pipe: Pipe) -> None:
-        """Connect to the process behind, once the path lets it through."""
+    def on_accepted(self, pipe: Pipe) -> None:
+        """Connect to the upstream process, once the path is not cut."""
         if self.lanes[Direction.THERE].is_cut:
-            self.waiting.append(pipe)
+            self.unconnected.append(pipe)
             return
         task = asyncio.get_running_loop().create_task(self.connect(pipe))
         self.tasks.add(task)
@@ -134,23 +134,23 @@
 
     async def connect(self, pipe: Pipe) -> None:
         loop = asyncio.get_running_loop()
-        other = Pipe(self, self.lanes[Direction.BACK])
-        other.other = pipe
-        pipe.other = other
+        peer = Pipe(self, self.lanes[Direction.BACK])
+        peer.peer = pipe
+        pipe.peer = peer
         try:
-            await loop.create_connection(lambda: other, *self.upstream)
+            await loop.create_connection(lambda: peer, *self.upstream)
         except OSError:
             pipe.transport.abort()
 
-    def set_lane(self, direction: Direction, is_cut: bool) -> None:
-        """Cut or heal one direction; what waited passes on healing."""
+    def set_cut(self, direction: Direction, is_cut: bool) -> None:
+        """Cut or heal one direction; healing delivers queued data."""
         self.lanes[direction].is_cut = is_cut
         if is_cut:
             return
         if direction is Direction.THERE:
-            waiting, self.waiting = self.waiting, []
-            for pipe in waiting:
-                self.on_opened(pipe)
+            unconnected, self.unconnected = self.unconnected, []
+            for pipe in unconnected:
+                self.on_accepted(pipe)
         for pipe in list(self.pipes):
             pipe.flush()
 
@@ -160,8 +160,8 @@
             pipe.transport.abort()
 
 
-class UdpPath(asyncio.DatagramProtocol):
-    """Passes datagrams on to ``upstream``, except from blocked senders."""
+class UdpRelay(asyncio.DatagramProtocol):
+    """Forwards datagrams to ``upstream``, except from blocked senders."""
 
     def __init__(self, upstream: Address):
         self.upstream = upstream
@@ -187,29 +187,29 @@
         self.transport.close()
 
 
-class RelayLoop:
-    """Runs paths on a loop of its own, in a thread of this process."""
+class RelayThread:
+    """Runs relays on their own event loop, in a thread of this process."""
 
     def __init__(self) -> None:
         self.loop = asyncio.new_event_loop()
         self.thread = threading.Thread(target=self.loop.run_forever)
         self.thread.start()
 
-    def open(self, path: TcpPath | UdpPath, host: str) -> Address:
-        """Open a path; return the address at which it listens."""
+    def open(self, path: TcpRelay | UdpRelay, host: str) -> Address:
+        """Open a relay and return the address at which it listens."""
         future = asyncio.run_coroutine_threadsafe(path.open(host), self.loop)
-        return future.result(WAIT_SECONDS)
+        return future.result(RESULT_SECONDS)
 
     def run(self, function, *arguments) -> None:
-        """Run ``function`` in the loop's thread and wait for it."""
+        """Run ``function`` in the thread of the loop and wait for it."""
 
         async def work() -> None:
             function(*arguments)
 
         future = asyncio.run_coroutine_threadsafe(work(), self.loop)
-        future.result(WAIT_SECONDS)
+        future.result(RESULT_SECONDS)
 
     def stop(self) -> None:
         self.loop.call_soon_threadsafe(self.loop.stop)
-        self.thread.join(WAIT_SECONDS)
+        self.thread.join(RESULT_SECONDS)
         self.loop.close()
--- a/cyclamenlift/standins/service.py
+++ b/cyclamenlift/standins/service.py
@@ -1,4 +1,4 @@
-"""The work of a stand-in target: slots, service times, reports."""
+"""Behaviour of a stand-in target: slots, service times and reports."""
 
 import asyncio
 import collections
@@ -27,10 +27,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TargetPlan:
-    """How a stand-in target behaves; times in milliseconds.
+    """Parameters of a stand-in target; times in milliseconds.
 
-    A call whose path begins with ``end_path`` ends the process ``end_ms``
-    after it began; an empty one ends none.
+    A call whose path starts with ``end_path`` ends the process ``end_ms``
+    after the call began to run; no call does if ``end_path`` is empty.
     """
 
     name: str = 'target'
@@ -49,7 +49,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Request:
-    """One request whose body has arrived whole."""
+    """One request whose body has arrived completely."""
 
     method: str
     path: str
@@ -66,7 +66,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Answer:
-    """An answer with the faults that its sending must show."""
+    """A response, with the faults to show while sending it."""
 
     status: int
     body: bytes
@@ -74,7 +74,7 @@
 
 
 def end_process(request: Request) -> None:
-    """End as a fault of the program would, after a line on what did it."""
+    """Exit like a crashing program, after printing the cause."""
     line = {'ended_by': request.path, 'at': time.monotonic()}
     sys.stdout.write(json.dumps(line) + '\n')
     sys.stdout.flush()
@@ -82,7 +82,7 @@
 
 
 class Service:
-    """Slots with a FIFO queue, and everything the target reports."""
+    """Slots with a FIFO queue, and the pages that the target serves."""
 
     def __init__(self, plan: TargetPlan):
         self.plan = plan
@@ -90,16 +90,16 @@
         self.counters = Counters(plan.name)
         self.faults = FaultState(random.Random(plan.seed + 1))
         self.slots = asyncio.Semaphore(plan.slots)
-        self.thawed = asyncio.Event()
-        self.thawed.set()
+        self.not_frozen = asyncio.Event()
+        self.not_frozen.set()
         self.load_history: collections.deque = collections.deque()
 
     async def answer(self, request: Request) -> Answer:
-        """Answer a request; cancelled when the connection is lost."""
+        """Answer a request; cancelled if the connection is lost."""
         path = request.path.partition('?')[0]
         if path.startswith('/_standin/'):
             return self.answer_control(request, path)
-        await self.thawed.wait()
+        await self.not_frozen.wait()
         if path == '/health':
             return self.answer_health()
         if path == '/load':
@@ -107,7 +107,7 @@
         return await self.answer_call(request, path)
 
     async def answer_call(self, request: Request, path: str) -> Answer:
-        faults = self.faults.take_call(path)
+        faults = self.faults.count_call(path)
         if faults is not None and faults.fail_fast:
             return Answer(faults.fail_fast, b'{"error": "fail fast"}')
         if self.counters.waiting >= self.plan.queue_limit:
@@ -118,7 +118,7 @@
         finally:
             self.counters.running -= 1
             self.slots.release()
-            self.note_load()
+            self.record_load()
         facts = AnswerFacts(
             request.headers.get('x-request-id') or request.query('id'),
             self.plan.name,
@@ -130,7 +130,7 @@
 
     async def wait_for_slot(self) -> None:
         self.counters.waiting += 1
-        self.note_load()
+        self.record_load()
         try:
             await self.slots.acquire()
         except asyncio.CancelledError:
@@ -140,21 +140,21 @@
             self.counters.waiting -= 1
 
     async def run(self, request: Request, path: str) -> None:
-        """Hold the slot for the service time; the run counts at once."""
+        """Hold the slot for the service time; the run is counted first."""
         key = request.headers.get('idempotency-key', '')
-        self.counters.note_run(request.method, path, key)
+        self.counters.count_run(request.method, path, key)
         if request.body_size:
-            self.counters.note_upload(
+            self.counters.add_upload(
                 Upload(path, key, request.body_size, request.body_sha256)
             )
         if self.plan.end_path and path.startswith(self.plan.end_path):
             await asyncio.sleep(self.plan.end_ms / MILLISECONDS)
             end_process(request)
         await asyncio.sleep(self.service_seconds(path))
-        await self.thawed.wait()
+        await self.not_frozen.wait()
 
     def service_seconds(self, path: str) -> float:
-        """Draw a lognormal service time whose mean is the plan's."""
+        """Draw a lognormal service time with the mean of the plan."""
         mean = self.plan.service_ms
         for prefix, value in self.plan.path_ms.items():
             if path.startswith(prefix):
@@ -162,8 +162,8 @@
         now = asyncio.get_running_loop().time()
         sigma = self.plan.sigma
         shape = self.rng.gauss(0.0, sigma) - sigma * sigma / 2.0
-        drawn = mean * math.exp(shape) / MILLISECONDS
-        return drawn * self.faults.slowdown(path, now)
+        service_time = mean * math.exp(shape) / MILLISECONDS
+        return service_time * self.faults.slowdown(path, now)
 
     def answer_health(self) -> Answer:
         self.counters.health_requests += 1
@@ -188,16 +188,16 @@
         if faults.load_report is LoadReport.HONEST:
             return self.counters.running, self.counters.waiting
         now = asyncio.get_running_loop().time()
-        then = now - faults.load_lag_ms / MILLISECONDS
-        found = (0, 0)
+        reported_time = now - faults.load_lag_ms / MILLISECONDS
+        load = (0, 0)
         for at, in_flight, queued in self.load_history:
-            if at > then:
+            if at > reported_time:
                 break
-            found = (in_flight, queued)
-        return found
+            load = (in_flight, queued)
+        return load
 
-    def note_load(self) -> None:
-        """Keep the load of the last while for lagging reports."""
+    def record_load(self) -> None:
+        """Record the load history for lagging reports."""
         if self.faults.faults.load_report is not LoadReport.LAGGING:
             return
         now = asyncio.get_running_loop().time()
@@ -207,7 +207,7 @@
             self.load_history.popleft()
 
     def answer_control(self, request: Request, path: str) -> Answer:
-        """Serve the control path, which no fault touches."""
+        """Serve the control pages, which are not subject to faults."""
         if path == '/_standin/counters':
             with_keys = request.query('keys') == '1'
             value = self.counters.as_json(self.plan.slots, with_keys)
@@ -223,7 +223,7 @@
             return Answer(400, error.json(include_url=False).encode())
         self.faults.apply(faults, asyncio.get_running_loop().time())
         if faults.freeze:
-            self.thawed.clear()
+            self.not_frozen.clear()
         else:
-            self.thawed.set()
+            self.not_frozen.set()
         return Answer(200, faults.model_dump_json().encode())
--- a/cyclamenlift/standins/summary.py
+++ b/cyclamenlift/standins/summary.py
@@ -1,4 +1,4 @@
-"""What a load sender found: classes of outcome and latency by kind."""
+"""Results of a load run: outcomes and latency by kind of call."""
 
 import collections
 import dataclasses
@@ -15,7 +15,7 @@
 
 
 class Kind(enum.StrEnum):
-    """Kinds of call in a mix."""
+    """Kind of a call."""
 
     READ = 'read'
     BOOKING = 'booking'
@@ -23,7 +23,7 @@
 
 
 class CallClass(enum.StrEnum):
-    """How a call ended for its caller."""
+    """Outcome of a call for its caller."""
 
     ANSWERED = 'answered'
     TARGET_ERROR = 'target_error'
@@ -36,7 +36,7 @@
 
 @dataclasses.dataclass(slots=True)
 class CallRecord:
-    """One call, timed from the instant that it should have started."""
+    """Outcome of one call, timed from its intended start."""
 
     kind: Kind
     call_class: CallClass
@@ -49,7 +49,7 @@
 
 
 class KindSummary:
-    """Counts and the latency histogram of one kind of call."""
+    """Counts and latency histogram of one kind of call."""
 
     def __init__(self):
         self.sent = 0
@@ -57,7 +57,7 @@
         self.codes: collections.Counter[int] = collections.Counter()
         self.latency = new_histogram()
 
-    def note(self, record: CallRecord) -> None:
+    def add(self, record: CallRecord) -> None:
         self.sent += 1
         self.classes[record.call_class] += 1
         self.codes[record.code or record.status] += 1
@@ -73,11 +73,11 @@
 
 
 class Summary:
-    """All calls of one run.
+    """Summary of all calls of one run.
 
-    ``latency`` holds every call, also failed ones, from its intended
-    start. ``lateness`` is how much of that the sender itself was late:
-    where it is large, the sender was the bottleneck.
+    ``latency`` includes failed calls and is measured from the intended
+    start. ``lateness`` is the part of it that the load generator caused by
+    starting calls late; if it is large, the generator was the bottleneck.
     """
 
     def __init__(self):
@@ -91,9 +91,9 @@
         self.stray_connections = 0
         self.seconds = 0.0
 
-    def note(self, record: CallRecord) -> None:
-        self.kinds[record.kind].note(record)
-        self.total.note(record)
+    def add(self, record: CallRecord) -> None:
+        self.kinds[record.kind].add(record)
+        self.total.add(record)
         if record.call_class is not CallClass.ANSWERED:
             return
         self.by_target[record.target] += 1
@@ -103,11 +103,11 @@
             self.uploads_answered.append((record.key, record.sha256))
 
     def failures(self) -> int:
-        """Return the calls that got no answer of a target."""
+        """Return the number of calls without a successful answer."""
         return self.total.sent - self.total.classes[CallClass.ANSWERED]
 
     def as_json(self) -> dict:
-        """Return the summary as a JSON value; latency in milliseconds."""
+        """Return the summary as a JSON value; latencies in milliseconds."""
         return {
             'seconds': round(self.seconds, 3),
             'total': self.total.as_json(),
@@ -128,13 +128,13 @@
 
 
 def to_microseconds(seconds: float) -> int:
-    """Return whole microseconds within the histogram's range."""
+    """Convert to microseconds, clamped to the range of the histogram."""
     found = int(seconds * MICROSECONDS)
     return min(HIGHEST_US, max(LOWEST_US, found))
 
 
 def quantiles_ms(histogram: HdrHistogram) -> dict[str, float]:
-    """Return the usual quantiles and the largest value."""
+    """Return quantiles and the maximum, in milliseconds."""
     if histogram.get_total_count() == 0:
         return {}
     found = {
--- a/cyclamenlift/standins/target.py
+++ b/cyclamenlift/standins/target.py
@@ -1,7 +1,7 @@
 """Run a stand-in target: ``python -m cyclamenlift.standins.target``.
 
 It prints one JSON line ``{"address": "host:port"}`` once it listens, and
-ends at SIGTERM, SIGINT or the end of its lifetime.
+exits on SIGTERM, SIGINT or at the end of its lifetime.
 """
 
 import asyncio
@@ -20,7 +20,7 @@
 async def start_target(
     plan: TargetPlan, host: str = '127.0.0.1', port: int = 0
 ) -> tuple[asyncio.Server, Service, str]:
-    """Listen; return the server, its service and ``host:port``."""
+    """Start listening; return the server, its service and ``host:port``."""
     service = Service(plan)
     loop = asyncio.get_running_loop()
     server = await loop.create_server(
@@ -35,21 +35,21 @@
 ) -> None:
     """Serve until a signal or the end of the lifetime."""
     server, _, address = await start_target(plan, host, port)
-    ended = asyncio.Event()
+    stop_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, ended.set)
+        loop.add_signal_handler(number, stop_requested.set)
     sys.stdout.write(json.dumps({'address': address}) + '\n')
     sys.stdout.flush()
     try:
-        await asyncio.wait_for(ended.wait(), lifetime)
+        await asyncio.wait_for(stop_requested.wait(), lifetime)
     except TimeoutError:
         pass
     server.close()
 
 
 def parse_path_ms(text: str) -> dict[str, float]:
-    """Read service times by path prefix.
+    """Parse service times by path prefix.
 
     >>> parse_path_ms('/upload=50,/slow=100')
     {'/upload': 50.0, '/slow': 100.0}
@@ -78,21 +78,21 @@
     """Run one stand-in target.
 
     Args:
-        port: TCP port, 0 to have one chosen.
+        port: TCP port, 0 for a free one.
         host: Address to listen on.
-        name: Name that answers and counters carry.
-        slots: Calls that run at once; further ones wait in order.
-        max_connections: Further connections are closed at once.
-        queue_limit: Calls that may wait; further ones get a 503.
+        name: Name of the target in responses and counters.
+        slots: Concurrent calls; further ones wait in FIFO order.
+        max_connections: Limit; further connections are closed at once.
+        queue_limit: Waiting calls; further ones get a 503.
         service_ms: Mean service time.
         sigma: Shape of the lognormal service time, 0 for constant.
         path_ms: Means by path prefix, such as /upload=50,/slow=100.
-        answer_bytes: Payload of an answer; ?size= of a call wins.
-        open_ms: Time before a new connection gets its first answer.
+        answer_bytes: Payload size; ?size= of a call overrides it.
+        open_ms: Delay before a new connection is served.
         seed: Seed of all random numbers.
-        end_path: Calls whose path begins so end the process.
-        end_ms: Time after which such a call does so.
-        lifetime: Seconds after which the process ends by itself.
+        end_path: Calls with this path prefix end the process.
+        end_ms: Time from the start of such a call to that end.
+        lifetime: Seconds after which the process exits by itself.
     """
     plan = TargetPlan(
         name=str(name),
--- a/tests/standins/test_load.py
+++ b/tests/standins/test_load.py
@@ -8,7 +8,7 @@
 from cyclamenlift.standins.answers import AnswerFacts
 from cyclamenlift.standins.answers import build_answer
 from cyclamenlift.standins.client import HttpAnswer
-from cyclamenlift.standins.load import class_of
+from cyclamenlift.standins.load import classify_answer
 from cyclamenlift.standins.load import run_load
 from cyclamenlift.standins.load import sha256_of
 from cyclamenlift.standins.summary import CallClass
@@ -42,7 +42,7 @@
 )
 def test_an_answer_is_classified(status, code, body, expected):
     answer = HttpAnswer(status, {}, bytearray(body))
-    assert class_of(build_call(), answer, code) is expected
+    assert classify_answer(build_call(), answer, code) is expected
 
 
 @pytest.mark.parametrize(
@@ -51,7 +51,9 @@
 )
 def test_an_upload_must_have_arrived_as_it_was_sent(sent, expected):
     answer = HttpAnswer(200, {}, bytearray(UPLOADED))
-    assert class_of(build_call(Kind.UPLOAD, sent), answer, 0) is expected
+    assert (
+        classify_answer(build_call(Kind.UPLOAD, sent), answer, 0) is expected
+    )
 
 
 async def load(faults: dict, **changes) -> Summary:
@@ -98,9 +100,9 @@
 
     async def run() -> Summary:
         async with running_target() as (service, address):
-            service.thawed.clear()
+            service.not_frozen.clear()
             loop = asyncio.get_running_loop()
-            loop.call_later(0.4, service.thawed.set)
+            loop.call_later(0.4, service.not_frozen.set)
             return await run_load(build_load(address))
 
     latency = asyncio.run(run()).total.latency
--- a/tests/standins/test_relay.py
+++ b/tests/standins/test_relay.py
@@ -131,8 +131,8 @@
     for names, others in cuts:
         paths.separate(*names, others=others)
     for pair in ('ab', 'ac', 'bc'):
-        assert paths.is_apart(*pair) == (pair in apart)
-        assert paths.is_apart(*reversed(pair)) == (pair in apart)
+        assert paths.is_partitioned(*pair) == (pair in apart)
+        assert paths.is_partitioned(*reversed(pair)) == (pair in apart)
 
 
 def test_a_port_that_was_given_is_never_one_that_the_system_hands_out():
