--- a/tests/cli/builders.py
+++ b/tests/cli/builders.py
@@ -1,4 +1,4 @@
-"""Documents on disk and a scripted admin server for the command line."""
+"""Document files and a scripted admin server for command-line tests."""
 
 import http.server
 import json
@@ -11,23 +11,23 @@
 
 
 def write_document(folder, **fields) -> str:
-    """Write a document as JSON, which is YAML, and return its path."""
+    """Write a document as JSON (a subset of YAML) and return its path."""
     path = folder / 'event.yaml'
     path.write_text(json.dumps(document_value(**fields)))
     return str(path)
 
 
 class AdminServer:
-    """Answers requests with scripted values; None breaks the connection."""
+    """Answers requests with scripted values; None closes the connection."""
 
     def __init__(self, *answers):
         self.answers = list(answers)
         self.requests = []
-        bed = self
+        admin_server = self
 
         class Handler(http.server.BaseHTTPRequestHandler):
             def handle_any(self):
-                bed.serve(self)
+                admin_server.serve(self)
 
             do_GET = handle_any
             do_POST = handle_any
@@ -46,8 +46,8 @@
         body = handler.rfile.read(length)
         value = json.loads(body) if body else None
         self.requests.append((handler.command, handler.path, value))
-        number = min(len(self.requests), len(self.answers))
-        answer = self.answers[number - 1]
+        position = min(len(self.requests), len(self.answers))
+        answer = self.answers[position - 1]
         if answer is None:
             handler.connection.close()
             return
--- a/tests/cli/conftest.py
+++ b/tests/cli/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the command line's tests."""
+"""Fixtures of the command-line tests."""
 
 from tests.cli.builders import admin
 from tests.cli.builders import command
--- a/tests/cli/test_explain.py
+++ b/tests/cli/test_explain.py
@@ -1,4 +1,4 @@
-"""The story of a request from the logs of several processes."""
+"""``explain``: the timeline of a request from several log files."""
 
 import json
 
@@ -9,7 +9,7 @@
     return json.dumps({'level': 'info', 'instance': 'i', **fields}) + '\n'
 
 
-def test_the_story_is_told_in_order_of_time(tmp_path, capsys):
+def test_records_are_printed_in_order_of_time(tmp_path, capsys):
     entry = tmp_path / 'entry.log'
     gate = tmp_path / 'gate.log'
     entry.write_text(
@@ -29,25 +29,25 @@
         + 'no JSON about a\n'
     )
     assert run(['explain', 'a', str(entry), str(gate)]) == 0
-    told = capsys.readouterr().out.splitlines()
-    events = [words.split('|')[0].split()[2] for words in told]
+    output = capsys.readouterr().out.splitlines()
+    events = [words.split('|')[0].split()[2] for words in output]
     assert events == ['call_answered', 'gate_refused', 'call_not_answered']
-    assert 'the call would wait past its deadline' in told[1]
+    assert 'the call would wait past its deadline' in output[1]
 
 
-def test_an_unknown_request_is_a_numbered_error(tmp_path, capsys):
+def test_unknown_request_is_reported_with_its_result_code(tmp_path, capsys):
     log = tmp_path / 'log'
     log.write_text('')
     assert run(['explain', 'a', str(log)]) == 1
     assert '4009' in capsys.readouterr().err
 
 
-def test_a_file_that_is_not_there_is_a_numbered_error(tmp_path, capsys):
+def test_missing_log_file_is_reported_with_its_result_code(tmp_path, capsys):
     assert run(['explain', 'a', str(tmp_path / 'none')]) == 2
     assert '4000' in capsys.readouterr().err
 
 
-def test_the_ends_that_keep_a_request_away_are_told_with_it(tmp_path, capsys):
+def test_target_ends_under_the_same_request_are_included(tmp_path, capsys):
     log = tmp_path / 'log'
     log.write_text(
         line(event='target_ended', fingerprints=['f1', 'f2'], timestamp='1')
@@ -62,6 +62,6 @@
         )
     )
     assert run(['explain', 'a', str(log)]) == 0
-    told = capsys.readouterr().out.splitlines()
-    events = [words.split('|')[0].split()[2] for words in told]
+    output = capsys.readouterr().out.splitlines()
+    events = [words.split('|')[0].split()[2] for words in output]
     assert events == ['target_ended', 'target_ended', 'call_not_answered']
--- a/tests/cli/test_losses.py
+++ b/tests/cli/test_losses.py
@@ -1,9 +1,11 @@
-"""Where calls were lost, as the command line tells it."""
+"""``losses``: output and exit status of the command."""
 
 from cyclamenlift.cli.program import run
 
 
-def test_losses_are_told_by_time_and_wrong_use_is_refused(tmp_path, capsys):
+def test_losses_are_printed_by_time_and_wrong_usage_is_refused(
+    tmp_path, capsys
+):
     log = tmp_path / 'a.log'
     log.write_text(
         '{"event": "call_not_answered", "code": 2003, "status": 503, '
--- a/tests/cli/test_program.py
+++ b/tests/cli/test_program.py
@@ -1,4 +1,4 @@
-"""The command line: exit statuses, wrong use, settings, documents."""
+"""Command line: exit statuses, invalid usage, settings, documents."""
 
 import json
 
@@ -32,13 +32,13 @@
     },
 }
 DAEMON = {'kind': 'daemon', 'instance': 'd', 'state': 'ready', 'version': 4}
-SHOWN = {
+DOCUMENT_REPORT = {
     'code': 1000,
     'version': 2,
     'confirmed': False,
     'document': '{"event":"morning"}',
 }
-RECORD = {
+VERSION_RECORD = {
     'version': 2,
     'base_version': 1,
     'stamp_unix_ms': 0,
@@ -83,7 +83,7 @@
         ['control', '--instance', 'a'],
     ],
 )
-def test_wrong_use_is_status_2_and_says_why(command, arguments):
+def test_wrong_usage_exits_with_2_and_prints_the_reason(command, arguments):
     status, _, err = command(*arguments)
     assert status == 2
     assert err
@@ -96,7 +96,7 @@
     assert '--peer-listen' in out
 
 
-def test_check_lists_every_wrong_setting_at_once(
+def test_check_lists_every_invalid_setting_at_once(
     command,
     monkeypatch,
 ):
@@ -152,7 +152,7 @@
 
 
 @pytest.mark.parametrize('name', ['validate', 'publish'])
-def test_a_wrong_document_names_each_field(
+def test_invalid_document_names_each_field(
     command,
     admin,
     tmp_path,
@@ -172,15 +172,15 @@
     assert server.requests == []
 
 
-def test_a_file_that_is_not_there(command):
+def test_missing_document_file_is_reported(command):
     status, _, err = command('event', 'validate', '/nowhere/x.yaml')
     assert status == 1
     assert err.startswith('6002 /nowhere/x.yaml')
 
 
-def test_status_shows_repairs_and_silence(command, admin):
-    places = [admin(STATUS).address, admin(DAEMON).address, '127.0.0.1:1']
-    flags = ['--addresses', ','.join(places)]
+def test_status_shows_repairs_and_unreachable_instances(command, admin):
+    addresses = [admin(STATUS).address, admin(DAEMON).address, '127.0.0.1:1']
+    flags = ['--addresses', ','.join(addresses)]
     status, out, err = command('status', *flags)
     assert status == 1
     assert 'leader, term 3; b: storage does not count' in out
@@ -194,31 +194,33 @@
         'daemon',
         None,
     ]
-    assert command('status', '--addresses', places[0])[0] == 0
+    assert command('status', '--addresses', addresses[0])[0] == 0
 
 
-def test_show_prefers_a_confirmed_answer(command, admin):
-    newer = {**SHOWN, 'version': 3, 'confirmed': True}
-    consoles = f'{admin(SHOWN).address},{admin(newer).address}'
+def test_show_prefers_a_confirmed_response(command, admin):
+    newer = {**DOCUMENT_REPORT, 'version': 3, 'confirmed': True}
+    consoles = f'{admin(DOCUMENT_REPORT).address},{admin(newer).address}'
     status, out, _ = command('event', 'show', '--console', consoles)
     assert status == 0
     assert out == '# version 3\nevent: morning\n'
 
 
-def test_show_marks_what_no_majority_confirmed(command, admin):
-    address = admin(SHOWN).address
+def test_show_marks_an_unconfirmed_document(command, admin):
+    address = admin(DOCUMENT_REPORT).address
     _, out, _ = command('event', 'show', '--console', address)
     assert out.startswith('# version 2, not confirmed')
 
 
-def test_show_of_a_version_that_is_gone(command, admin):
+def test_show_of_a_missing_version_fails(command, admin):
     address = admin({'code': 4009}).address
     flags = ['--version', '7', '--console', address]
     assert command('event', 'show', *flags)[0] == 1
 
 
 def test_history_is_a_table(command, admin):
-    server = admin({'code': 1000, 'confirmed': True, 'versions': [RECORD]})
+    server = admin(
+        {'code': 1000, 'confirmed': True, 'versions': [VERSION_RECORD]}
+    )
     status, out, _ = command('event', 'history', '--console', server.address)
     assert status == 0
     for word in ('1970-01-01 00:00:00', 'eden', 'x1'):
@@ -235,7 +237,7 @@
     assert server.requests[0][:2] == ('POST', '/drain')
 
 
-def test_arguments_keep_their_form(command, admin, tmp_path):
+def test_arguments_are_passed_as_strings(command, admin, tmp_path):
     server = admin({'code': 5000, 'version': 1})
     flags = ['--base', '0', '--change-id', '0070', '--operator', '1,2']
     status, _, _ = command(
--- a/tests/cli/test_publishing.py
+++ b/tests/cli/test_publishing.py
@@ -1,4 +1,4 @@
-"""Publishing through lost answers and changing leaders."""
+"""Publishing despite lost responses and leader changes."""
 
 import pytest
 from returns.result import Failure
@@ -23,27 +23,30 @@
 
 class Clock:
     def __init__(self):
-        self.instant = 0.0
+        self.seconds_now = 0.0
 
     def now(self) -> float:
-        return self.instant
+        return self.seconds_now
 
     def sleep(self, seconds) -> None:
-        self.instant += seconds
+        self.seconds_now += seconds
 
 
 class Instances:
-    """Scripted consoles: a code and a hint, or the text of a failure."""
+    """Scripted consoles.
+
+    Each step is a result code and a leader hint, or the text of a failure.
+    """
 
     def __init__(self, script):
         self.script = script
-        self.asked = []
+        self.called = []
         self.bodies = []
 
     def send(self, address, _method, _path, body):
-        step = self.script[min(len(self.asked), len(self.script) - 1)]
+        step = self.script[min(len(self.called), len(self.script) - 1)]
         name = NAMES[CONSOLES.index(address)]
-        self.asked.append(name)
+        self.called.append(name)
         self.bodies.append(body)
         if isinstance(step, str):
             code = ResultCode.INSTANCE_UNREACHABLE
@@ -84,12 +87,12 @@
 }
 
 
-@pytest.mark.parametrize('script, asked, code', CASES.values(), ids=CASES)
-def test_publish_follows_the_leader(script, asked, code):
+@pytest.mark.parametrize('script, called, code', CASES.values(), ids=CASES)
+def test_publish_follows_the_leader(script, called, code):
     instances = Instances(script)
     call = LeaderCall(CONSOLES, instances.send, Clock(), '')
     result = call.post('/p', {'change_id': 'x'}, 10.0)
-    assert ''.join(instances.asked) == asked
+    assert ''.join(instances.called) == called
     assert result.unwrap().code == code
     assert {body['change_id'] for body in instances.bodies} == {'x'}
 
@@ -104,7 +107,9 @@
         ([REFUSED], ResultCode.INSTANCE_UNREACHABLE),
     ],
 )
-def test_at_the_deadline_only_proof_counts_as_not_taken(script, code):
+def test_outcome_at_the_deadline_is_unknown_if_any_attempt_may_have_run(
+    script, code
+):
     clock = Clock()
     call = LeaderCall(CONSOLES, Instances(script).send, clock, 'again')
     problem = call.post('/p', {'change_id': 'x'}, 2.0).failure()
@@ -131,7 +136,9 @@
     assert first[2]['change_id'] in out
 
 
-def test_a_lost_command_says_how_to_send_it_again(command, admin, tmp_path):
+def test_lost_response_prints_how_to_retry_with_the_change_id(
+    command, admin, tmp_path
+):
     server = admin(None)
     path = write_document(tmp_path)
     flags = ['--base', '3', '--change-id', 'x7', '--wait-seconds', '0']
@@ -144,7 +151,7 @@
 
 
 @pytest.mark.parametrize(
-    'role, waiting, code, expected',
+    'role, reported, code, expected',
     [
         ('leader', 'new', 5006, 0),
         ('leader', 'new', 5007, 1),
@@ -152,15 +159,15 @@
         ('follower', 'new', 5006, 1),
     ],
 )
-def test_replacing_a_storage(command, admin, role, waiting, code, expected):
-    item = {'instance': 'b', 'storage_id': waiting, 'voter_storage_id': 'old'}
+def test_replacing_a_storage(command, admin, role, reported, code, expected):
+    item = {'instance': 'b', 'storage_id': reported, 'voter_storage_id': 'old'}
     replica = {'role': role, 'instances': [item]}
     server = admin({'replica': replica}, {'code': code, 'detail': 'why'})
     flags = ['--console', server.address]
     status, _, err = command('replace-storage', 'b', *flags)
     assert status == expected
     assert bool(err) == bool(expected)
-    if role == 'leader' and waiting == 'new':
+    if role == 'leader' and reported == 'new':
         order = {'instance': 'b', 'storage_id': 'new'}
         assert server.requests[1][1:] == ('/api/replace-storage', order)
 
--- a/tests/cli/test_quarantine.py
+++ b/tests/cli/test_quarantine.py
@@ -1,4 +1,4 @@
-"""The list of requests that are kept away, and lifting one."""
+"""``quarantine``: listing quarantined requests and lifting one."""
 
 from tests.cli.builders import AdminServer
 
@@ -11,7 +11,7 @@
 }
 
 
-def test_the_list_names_the_ends(command):
+def test_list_shows_the_reported_target_ends(command):
     server = AdminServer({'requests': [ROW]})
     status, out, _ = command('quarantine', f'--addresses={server.address}')
     server.close()
@@ -20,7 +20,7 @@
     assert server.requests == [('GET', '/api/quarantine', None)]
 
 
-def test_a_lift_is_sent_to_the_first_that_answers(command):
+def test_lift_is_sent_to_the_first_daemon_that_responds(command):
     server = AdminServer({'requests': []})
     status, _, err = command(
         'quarantine',
@@ -34,7 +34,7 @@
     assert server.requests == [('POST', '/api/quarantine', order)]
 
 
-def test_nobody_that_answers_is_a_failure(command):
+def test_no_response_from_any_daemon_is_a_failure(command):
     status, _, err = command('quarantine', '--addresses=127.0.0.1:1')
     assert status == 1
     assert '6003' in err
--- a/tests/console/builders.py
+++ b/tests/console/builders.py
@@ -1,4 +1,4 @@
-"""A console over a port that answers from memory."""
+"""A console on an in-memory fake of the control instance."""
 
 import html
 import json
@@ -57,7 +57,7 @@
 
 
 class FakePort:
-    """Keeps versions in memory; ``code`` overrides what publish says."""
+    """Keeps versions in memory; ``code`` overrides the publish result."""
 
     def __init__(self, *documents: dict):
         self.versions = [canonical(value) for value in documents]
@@ -65,7 +65,7 @@
         self.replaced = []
         self.code = ResultCode.CHANGE_ACCEPTED
         self.leader = 'c1'
-        self.held = []
+        self.pending = []
 
     def publish(self, change, done) -> None:
         self.published.append(change)
@@ -84,13 +84,13 @@
         elif self.code == ResultCode.CHANGE_ACCEPTED:
             self.versions.append(document_to_bytes(parsed.unwrap()))
             report = PublishReport(self.code, 'c1', current + 1, current + 1)
-        # The outcome is known later, as with a real log.
-        self.held.append(lambda: done(report))
+        # The outcome is reported later, as with the replicated log.
+        self.pending.append(lambda: done(report))
 
     def release(self) -> None:
-        for answer in self.held:
+        for answer in self.pending:
             answer()
-        self.held.clear()
+        self.pending.clear()
 
     def show(self, version, done) -> None:
         current = len(self.versions)
@@ -98,8 +98,8 @@
         known = 0 < wanted <= current
         data = self.versions[wanted - 1].decode() if known else ''
         code = ResultCode.ANSWERED if known else ResultCode.NOT_FOUND
-        led = self.leader == 'c1'
-        done(DocumentReport(code, 'c1', wanted, current, led, data))
+        is_leader = self.leader == 'c1'
+        done(DocumentReport(code, 'c1', wanted, current, is_leader, data))
 
     def history(self, limit, done) -> None:
         records = tuple(
@@ -148,7 +148,7 @@
 
 
 class Console:
-    """A loop with the console in it, and a browser of sorts."""
+    """An event loop that serves the console, and a simple HTTP client."""
 
     def __init__(self, *documents: dict):
         self.loop = Loop()
@@ -175,7 +175,7 @@
 
 
 def fields_of(page: Answer) -> dict[str, str]:
-    """Return the fields of a page's form, as a browser would send them."""
+    """Return the form fields of a page as a browser would submit them."""
     text = page.body.decode()
     fields = {}
     for match in INPUT.finditer(text):
--- a/tests/console/test_pages.py
+++ b/tests/console/test_pages.py
@@ -1,4 +1,4 @@
-"""The console ends in one validated document, and keeps the form."""
+"""Console pages: validation, publishing, history and storage repair."""
 
 import json
 
@@ -59,7 +59,7 @@
     ],
 )
 @pytest.mark.parametrize('action', ['publish', 'check'])
-def test_wrong_field_comes_back_marked_and_the_form_kept(
+def test_invalid_field_is_marked_and_the_form_is_kept(
     path, text, detail, action
 ):
     console = Console(DOCUMENT)
@@ -67,14 +67,14 @@
     fields.update({path: text, 'operator_name': 'Ada', 'action': action})
     answer = console.post('/edit', fields)
     assert answer.status == 422
-    again = fields_of(answer)
+    resubmitted = fields_of(answer)
     kept = {k: v for k, v in fields.items() if k not in ('action', path)}
-    assert {name: again[name] for name in kept} == kept
+    assert {name: resubmitted[name] for name in kept} == kept
     page = answer.body.decode()
     _, _, after = page.partition(f' name="{path}"')
     marked = after.partition('class="error"')[2].partition('</div>')[0]
     assert detail in marked
-    assert again[path] == text
+    assert resubmitted[path] == text
     assert len(console.port.versions) == 1
 
 
@@ -101,10 +101,12 @@
 ):
     console = Console(DOCUMENT)
     fields = fields_of(console.get('/edit'))
-    again = fields_of(console.post('/edit', {**fields, 'action': action}))
-    found = [v for k, v in again.items() if k.endswith('].name')]
+    resubmitted = fields_of(
+        console.post('/edit', {**fields, 'action': action})
+    )
+    found = [v for k, v in resubmitted.items() if k.endswith('].name')]
     assert found == names
-    rows = [k for k in again if k.startswith('services[0].operations')]
+    rows = [k for k in resubmitted if k.startswith('services[0].operations')]
     assert len(rows) == 3 * operations
     assert not console.port.published
 
@@ -118,19 +120,19 @@
         (ResultCode.CHANGE_ID_REUSED, False),
     ],
 )
-def test_change_that_was_not_taken_keeps_the_form(code, same_id):
+def test_rejected_change_keeps_the_form(code, same_id):
     console = Console(DOCUMENT)
     fields = fields_of(console.get('/edit'))
     fields['event'] = 'evening'
     console.port.code = code
     answer = console.post('/edit', {**fields, 'action': 'publish'})
-    again = fields_of(answer)
+    resubmitted = fields_of(answer)
     assert f'({int(code)})'.encode() in answer.body
-    assert again['event'] == 'evening'
-    assert (again['change_id'] == fields['change_id']) is same_id
+    assert resubmitted['event'] == 'evening'
+    assert (resubmitted['change_id'] == fields['change_id']) is same_id
 
 
-def test_conflict_can_be_put_on_the_newer_version_after_a_look():
+def test_conflicting_change_can_be_rebased_on_the_newer_version():
     console = Console(DOCUMENT, changed(event='other'))
     fields = fields_of(console.get('/edit?version=1'))
     assert fields['base_version'] == '2' and fields['event'] == 'morning'
@@ -141,12 +143,14 @@
     assert not console.port.published
 
 
-def test_document_as_text_fills_the_form():
+def test_imported_document_text_fills_the_form():
     console = Console(DOCUMENT)
     fields = fields_of(console.get('/edit'))
     fields['document_text'] = json.dumps(changed(event='pasted'))
-    again = fields_of(console.post('/edit', {**fields, 'action': 'take-text'}))
-    assert again['event'] == 'pasted' and not console.port.published
+    resubmitted = fields_of(
+        console.post('/edit', {**fields, 'action': 'take-text'})
+    )
+    assert resubmitted['event'] == 'pasted' and not console.port.published
     fields['document_text'] = 'a: ['
     answer = console.post('/edit', {**fields, 'action': 'take-text'})
     assert answer.status == 422 and fields_of(answer)['event'] == 'morning'
@@ -179,7 +183,7 @@
     'origin, status',
     [('http://evil', 400), ('null', 400), ('http://a', 200)],
 )
-def test_form_of_another_place_is_refused(origin, status):
+def test_form_of_another_origin_is_refused(origin, status):
     console = Console(DOCUMENT)
     fields = {**fields_of(console.get('/edit')), 'action': 'publish'}
     answer = console.post('/edit', fields, f'Origin: {origin}')
@@ -187,7 +191,7 @@
     assert len(console.port.published) == (status == 200)
 
 
-def test_pages_show_versions_history_and_what_is_not_confirmed():
+def test_pages_show_versions_history_and_unconfirmed_state():
     console = Console(DOCUMENT, changed(event='second'))
     assert b'<h1>second</h1>' in console.get('/').body
     older = console.get('/version?version=1')
@@ -200,7 +204,7 @@
     assert b'Not confirmed' in console.get('/').body
 
 
-def test_new_storage_can_be_counted_and_repair_is_shown():
+def test_new_storage_can_be_made_a_voter_and_repair_is_shown():
     console = Console(DOCUMENT)
     page = console.get('/instances')
     for text in (b'whole', b'does not count yet', b'4 of 9'):
@@ -213,7 +217,7 @@
     assert console.post('/instances', {'x': 'y'}).status == 400
 
 
-def test_pages_load_nothing_from_elsewhere():
+def test_pages_load_no_external_resources():
     console = Console(DOCUMENT)
     for path in ('/', '/edit', '/history', '/instances'):
         page = console.get(path)
--- a/tests/reports/builders.py
+++ b/tests/reports/builders.py
@@ -1,4 +1,4 @@
-"""Figures as daemons give them, recorded from a run and made by hand."""
+"""Burn snapshots as daemons serve them."""
 
 from cyclamenlift.models.document import EventDocument
 from cyclamenlift.models.rules import EventRules
@@ -7,13 +7,13 @@
 
 
 def rules(version: int = 3) -> EventRules:
-    """Return rules with services ``prices`` (99.9 % in 100 ms)."""
+    """Return rules with the service ``prices`` (99.9 % in 100 ms)."""
     document = EventDocument.model_validate(document_value())
     return rules_from_document(document, version)
 
 
 def figures(minutes, **fields) -> dict:
-    """Return the figures of one service from its minutes, newest first."""
+    """Return the counts of one service from its minutes, newest first."""
     return {
         'total': sum(total for total, _ in minutes),
         'good': sum(good for _, good in minutes),
@@ -25,7 +25,7 @@
 
 
 def snapshot(data_centre: str = 'bole', minutes=(), **fields) -> dict:
-    """Return the figures of one daemon with calls of ``prices``."""
+    """Return the snapshot of one daemon with calls of ``prices``."""
     return {
         'instance': f'daemon-{data_centre}',
         'data_centre': data_centre,
--- a/tests/reports/test_burn.py
+++ b/tests/reports/test_burn.py
@@ -1,4 +1,4 @@
-"""Burn of services from recorded figures, and its three forms."""
+"""Burn of services from daemon snapshots, and its three formats."""
 
 import http.server
 import json
@@ -22,10 +22,10 @@
 from tests.reports.builders import rules
 from tests.reports.builders import snapshot
 
-QUIET = [(100, 100)] * BUCKETS
-# Nine good minutes in ten, the bad one now.
+ALL_GOOD = [(100, 100)] * BUCKETS
+# Half of the calls of the current minute are bad.
 BAD_NOW = [(100, 50)] + [(100, 100)] * (BUCKETS - 1)
-BAD_LONG_AGO = [(100, 100)] * (BUCKETS - 1) + [(100, 50)]
+BAD_HOUR_AGO = [(100, 100)] * (BUCKETS - 1) + [(100, 50)]
 
 
 def burn_of(*given):
@@ -37,11 +37,11 @@
     'given, short, long, left, worst',
     [
         ([snapshot()], 0, 0, 1, ''),
-        ([snapshot(minutes=QUIET)], 0, 0, 1, ''),
+        ([snapshot(minutes=ALL_GOOD)], 0, 0, 1, ''),
         ([snapshot(minutes=BAD_NOW)], 10, 0.8333, 0.1667, 'bole'),
-        ([snapshot(minutes=BAD_LONG_AGO)], 0, 0.8333, 0.1667, 'bole'),
+        ([snapshot(minutes=BAD_HOUR_AGO)], 0, 0.8333, 0.1667, 'bole'),
         (
-            [snapshot('bole', QUIET), snapshot('yeka', BAD_NOW)],
+            [snapshot('bole', ALL_GOOD), snapshot('yeka', BAD_NOW)],
             5,
             0.4167,
             0.5833,
@@ -50,7 +50,7 @@
         ([snapshot(minutes=[(10, 0)])], 100, 100, -99, 'bole'),
     ],
 )
-def test_burn_and_budget_follow_from_the_minutes(
+def test_burn_and_budget_are_computed_from_the_minutes(
     given, short, long, left, worst
 ):
     found = burn_of(*given)
@@ -60,8 +60,8 @@
     assert found.worst_data_centre == worst
 
 
-def test_the_newest_objective_counts_and_fast_burn_comes_first():
-    old = snapshot('bole', QUIET, version=2)
+def test_newest_objective_applies_and_fast_burn_comes_first():
+    old = snapshot('bole', ALL_GOOD, version=2)
     new = snapshot(
         'yeka',
         BAD_NOW,
@@ -93,7 +93,7 @@
     assert is_good(code, seconds, rule) is good
 
 
-def test_what_a_daemon_recorded_comes_back_by_age():
+def test_recorded_calls_are_reported_by_age():
     windows = BurnWindows('one', 'bole')
     for now, good in ((0, True), (30, False), (61, True), (7_300, True)):
         windows.record('prices', good, 0.05, float(now))
@@ -120,12 +120,12 @@
         snapshot(minutes=[(-1, 0)]),
     ],
 )
-def test_figures_that_make_no_sense_are_a_numbered_problem(value):
+def test_invalid_snapshot_is_reported_as_unreadable(value):
     problem = read_snapshot(value).failure()
     assert problem.code == ResultCode.DOCUMENT_UNREADABLE
 
 
-def test_the_page_is_whole_escaped_and_fits_a_phone():
+def test_page_is_escaped_and_fits_a_phone_screen():
     value = snapshot(
         minutes=BAD_NOW,
         objectives={'<prices>': {'seconds': 0.1, 'share': 0.99}},
@@ -140,7 +140,7 @@
 
 @pytest.fixture
 def daemon():
-    """A stand-in for a daemon's admin address."""
+    """Serve a snapshot as the admin address of a daemon does."""
     body = json.dumps(snapshot(minutes=BAD_NOW)).encode()
 
     class Page(http.server.BaseHTTPRequestHandler):
@@ -160,7 +160,7 @@
     server.server_close()
 
 
-def test_the_command_reads_daemons_and_writes_all_forms(
+def test_command_reads_daemons_and_writes_all_formats(
     daemon, capsys, tmp_path
 ):
     page = tmp_path / 'burn.html'
@@ -182,5 +182,7 @@
         ({'help': 'True'}, ExitStatus.SUCCESS),
     ],
 )
-def test_wrong_use_and_silent_daemons_have_their_exit_status(flags, status):
+def test_wrong_usage_and_unreachable_daemons_set_the_exit_status(
+    flags, status
+):
     assert run_command(flags) == status
--- a/tests/standins/builders.py
+++ b/tests/standins/builders.py
@@ -1,4 +1,4 @@
-"""Stand-in targets within the test's own loop."""
+"""Stand-in targets that run in the event loop of the test."""
 
 import asyncio
 import contextlib
@@ -17,7 +17,7 @@
 
 @contextlib.asynccontextmanager
 async def running_target(**changes):
-    """Give the service and the address of a target."""
+    """Yield the service and the address of a running target."""
     plan = dataclasses.replace(PLAN, **changes)
     server, service, address = await start_target(plan)
     try:
@@ -36,7 +36,7 @@
 
 
 def request(method: str, path: str, body: bytes = b'', **headers) -> bytes:
-    """Return the bytes of a request."""
+    """Encode an HTTP request."""
     lines = [f'{method} {path} HTTP/1.1', 'Host: prices']
     lines += [f'{k.replace("_", "-")}: {v}' for k, v in headers.items()]
     lines.append(f'Content-Length: {len(body)}')
@@ -44,7 +44,7 @@
 
 
 async def ask(address: str, *arguments, **headers) -> HttpAnswer:
-    """Send one request on a connection of its own."""
+    """Send one request on a new connection."""
     connection = await connect(address)
     try:
         return await connection.call(request(*arguments, **headers), 5.0)
@@ -53,7 +53,7 @@
 
 
 def build_load(address: str, **changes) -> LoadPlan:
-    """Return a short plan against one address."""
+    """Return a short load plan for one address."""
     plan = LoadPlan((address,), rate=200.0, seconds=0.3, upload_bytes=5000)
     return dataclasses.replace(plan, **changes)
 
--- a/tests/standins/test_load.py
+++ b/tests/standins/test_load.py
@@ -1,4 +1,4 @@
-"""How the load sender times and classifies calls."""
+"""The load generator: timing and classification of calls."""
 
 import asyncio
 import json
@@ -19,20 +19,20 @@
 from tests.standins.builders import build_load
 from tests.standins.builders import running_target
 
-OWN = build_answer(AnswerFacts('r1', 't1', 0, ''), 40)
-OTHER = build_answer(AnswerFacts('r2', 't1', 0, ''), 40)
+MATCHING = build_answer(AnswerFacts('r1', 't1', 0, ''), 40)
+MISMATCHED = build_answer(AnswerFacts('r2', 't1', 0, ''), 40)
 UPLOADED = build_answer(AnswerFacts('r1', 't1', 2, sha256_of(b'ab')), 0)
 
 
 @pytest.mark.parametrize(
     ('status', 'code', 'body', 'expected'),
     [
-        (200, 1000, OWN, CallClass.ANSWERED),
-        (200, 0, OWN, CallClass.ANSWERED),
-        (200, 1000, OTHER, CallClass.BROKEN),
-        (200, 1000, OWN[:-1], CallClass.BROKEN),
+        (200, 1000, MATCHING, CallClass.ANSWERED),
+        (200, 0, MATCHING, CallClass.ANSWERED),
+        (200, 1000, MISMATCHED, CallClass.BROKEN),
+        (200, 1000, MATCHING[:-1], CallClass.BROKEN),
         (200, 1000, b'', CallClass.BROKEN),
-        (200, 1000, OWN + b'x', CallClass.BROKEN),
+        (200, 1000, MATCHING + b'x', CallClass.BROKEN),
         (500, 1000, b'', CallClass.TARGET_ERROR),
         (503, 2001, b'', CallClass.NOT_RUN),
         (504, 3002, b'', CallClass.UNKNOWN),
@@ -49,7 +49,7 @@
     ('sent', 'expected'),
     [(b'ab', CallClass.ANSWERED), (b'ac', CallClass.BROKEN)],
 )
-def test_an_upload_must_have_arrived_as_it_was_sent(sent, expected):
+def test_uploaded_body_must_arrive_unchanged(sent, expected):
     answer = HttpAnswer(200, {}, bytearray(UPLOADED))
     assert (
         classify_answer(build_call(Kind.UPLOAD, sent), answer, 0) is expected
@@ -72,7 +72,7 @@
         ({'fail_fast': 500, 'calls': 3}, CallClass.TARGET_ERROR, 3),
     ],
 )
-def test_faults_of_a_target_are_seen(faults, expected, count):
+def test_injected_faults_are_classified(faults, expected, count):
     total = asyncio.run(load(faults)).total
     assert total.classes[expected] == count
     assert total.classes[CallClass.ANSWERED] == total.sent - count > 0
@@ -84,7 +84,7 @@
     assert summary.failures() == 0
 
 
-def test_a_mix_carries_keys_duplicates_and_uploads():
+def test_mix_contains_keys_duplicates_and_uploads():
     summary = asyncio.run(
         load({}, booking_share=0.5, upload_share=0.2, duplicate_share=1.0)
     )
@@ -96,7 +96,7 @@
 
 
 def test_latency_counts_from_the_intended_start():
-    """Behind a frozen target, later calls wait less than earlier ones."""
+    """While a target is frozen, later calls wait less than earlier ones."""
 
     async def run() -> Summary:
         async with running_target() as (service, address):
--- a/tests/standins/test_relay.py
+++ b/tests/standins/test_relay.py
@@ -1,4 +1,4 @@
-"""Paths that are cut silently: nothing passes and nothing is closed."""
+"""Silent cuts: nothing is forwarded and no connection is closed."""
 
 import pathlib
 import socket
@@ -26,20 +26,23 @@
 
 @pytest.fixture
 def ends(paths):
-    """Both ends of one relayed connection."""
+    """Yield both ends of one relayed connection for each direction."""
     with socket.create_server((HOST, 0)) as server:
-        told = paths.tcp('a', 'b', str(Address(*server.getsockname())))
-        near = socket.create_connection(tuple(Address.parse(told)))
-        far, _ = server.accept()
-    for end in (near, far):
+        relayed = paths.tcp('a', 'b', str(Address(*server.getsockname())))
+        client = socket.create_connection(tuple(Address.parse(relayed)))
+        accepted, _ = server.accept()
+    for end in (client, accepted):
         end.settimeout(WAIT_SECONDS)
-    yield {Direction.THERE: (near, far), Direction.BACK: (far, near)}
-    near.close()
-    far.close()
+    yield {
+        Direction.THERE: (client, accepted),
+        Direction.BACK: (accepted, client),
+    }
+    client.close()
+    accepted.close()
 
 
 def is_silent(end: socket.socket) -> bool:
-    """Tell whether neither bytes nor an end arrive for a while."""
+    """Tell whether neither data nor an end of file arrives in time."""
     end.settimeout(QUIET_SECONDS)
     try:
         end.recv(100)
@@ -51,7 +54,7 @@
 
 
 @pytest.mark.parametrize('cut', list(Direction))
-def test_one_direction_is_cut_and_what_waited_passes_on_healing(
+def test_one_direction_is_cut_and_queued_bytes_arrive_after_healing(
     paths, ends, cut
 ):
     paths.cut_stream('a', 'b', [cut])
@@ -69,49 +72,49 @@
 
 def test_new_connection_passes_nothing_until_the_path_is_healed(paths):
     with socket.create_server((HOST, 0)) as server:
-        told = paths.tcp('a', 'b', str(Address(*server.getsockname())))
+        relayed = paths.tcp('a', 'b', str(Address(*server.getsockname())))
         paths.separate('b')
-        with socket.create_connection(tuple(Address.parse(told))) as near:
-            near.sendall(b'x')
+        with socket.create_connection(tuple(Address.parse(relayed))) as client:
+            client.sendall(b'x')
             server.settimeout(QUIET_SECONDS)
             with pytest.raises(TimeoutError):
                 server.accept()
             paths.heal()
             server.settimeout(WAIT_SECONDS)
-            far, _ = server.accept()
-            with far:
-                assert far.recv(1) == b'x'
+            accepted, _ = server.accept()
+            with accepted:
+                assert accepted.recv(1) == b'x'
 
 
 def test_delay_keeps_the_order(paths, ends):
     lane = paths.streams['a', 'b'].lanes[Direction.THERE]
-    near, far = ends[Direction.THERE]
+    client, accepted = ends[Direction.THERE]
     lane.delay = QUIET_SECONDS
-    near.sendall(b'x')
+    client.sendall(b'x')
     wait_until(lambda: lane.received_bytes == 1, WAIT_SECONDS, 'x is in')
     lane.delay = 0.0
-    near.sendall(b'y')
-    assert far.recv(1) + far.recv(1) == b'xy'
+    client.sendall(b'y')
+    assert accepted.recv(1) + accepted.recv(1) == b'xy'
 
 
-def test_datagrams_are_lost_between_sides_only(paths):
+def test_datagrams_are_dropped_only_between_partitions(paths):
     socks = {
         name: socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         for name in 'abc'
     }
-    told = {}
+    relayed = {}
     for name, sock in socks.items():
         sock.bind((HOST, 0))
         sock.settimeout(WAIT_SECONDS)
         address = str(Address(*sock.getsockname()))
-        told[name] = tuple(Address.parse(paths.udp(name, address)))
+        relayed[name] = tuple(Address.parse(paths.udp(name, address)))
     paths.separate('a')
     for sender in 'abc':
-        socks[sender].sendto(sender.encode(), told['c'])
+        socks[sender].sendto(sender.encode(), relayed['c'])
     assert {socks['c'].recv(9) for _ in range(2)} == {b'b', b'c'}
     assert is_silent(socks['c'])
     paths.heal()
-    socks['a'].sendto(b'a', told['c'])
+    socks['a'].sendto(b'a', relayed['c'])
     assert socks['c'].recv(9) == b'a'
     for sock in socks.values():
         sock.close()
@@ -127,7 +130,7 @@
         ([(('a', 'b'), None), (('a',), {'b'})], {'ab', 'ac', 'bc'}),
     ],
 )
-def test_cuts_add_up(paths, cuts, apart):
+def test_partitions_are_combined(paths, cuts, apart):
     for names, others in cuts:
         paths.separate(*names, others=others)
     for pair in ('ab', 'ac', 'bc'):
@@ -135,10 +138,10 @@
         assert paths.is_partitioned(*reversed(pair)) == (pair in apart)
 
 
-def test_a_port_that_was_given_is_never_one_that_the_system_hands_out():
+def test_free_ports_lie_below_the_ephemeral_range():
     # Regression: a relay or an outgoing connection took the port of a
     # process that had not bound it yet, and the process did not start.
-    low = int(LOCAL_PORTS.read_text().split()[0])
-    given = [Address.parse(free_port()) for _ in range(50)]
-    assert len(set(given)) == 50
-    assert all(address.port < low for address in given)
+    lowest_ephemeral = int(LOCAL_PORTS.read_text().split()[0])
+    addresses = [Address.parse(free_port()) for _ in range(50)]
+    assert len(set(addresses)) == 50
+    assert all(address.port < lowest_ephemeral for address in addresses)
--- a/tests/standins/test_target.py
+++ b/tests/standins/test_target.py
@@ -1,4 +1,4 @@
-"""What a stand-in target counts and how it breaks."""
+"""Counters and injected faults of a stand-in target."""
 
 import asyncio
 import hashlib
@@ -20,7 +20,7 @@
 
 
 async def until(condition) -> None:
-    """Wait until a condition holds, for ten seconds at most."""
+    """Wait until a condition holds, for at most ten seconds."""
     async with asyncio.timeout(10):
         while not condition():
             await asyncio.sleep(0.005)
@@ -55,7 +55,7 @@
     assert (found['health_requests'], found['load_requests']) == (1, 1)
 
 
-def test_slots_bound_what_runs_and_a_caller_that_leaves_never_ran():
+def test_slots_limit_concurrency_and_abandoned_calls_do_not_run():
     async def run():
         async with running_target(slots=2, service_ms=50.0) as (
             service,
@@ -67,10 +67,10 @@
                 for n in range(5)
             ]
             await until(lambda: counters.running + counters.waiting == 5)
-            leaver = await connect(address)
-            leaver.transport.write(request('POST', '/leaves'))
+            abandoned = await connect(address)
+            abandoned.transport.write(request('POST', '/leaves'))
             await until(lambda: counters.waiting == 4)
-            leaver.close()
+            abandoned.close()
             await until(lambda: counters.left_waiting == 1)
             await asyncio.gather(*calls)
             return counters
@@ -101,7 +101,7 @@
         ({'cut': 'after_bytes', 'cut_bytes': 20}, True),
     ],
 )
-def test_cuts_break_the_next_calls_only(faults, some_received):
+def test_cut_faults_affect_only_the_next_calls(faults, some_received):
     async def run() -> HttpAnswer:
         async with running_target() as (_, address):
             body = json.dumps({**faults, 'calls': 1}).encode()
@@ -116,7 +116,7 @@
 
 
 @pytest.mark.parametrize(
-    ('faults', 'path', 'status', 'part'),
+    ('faults', 'path', 'status', 'fragment'),
     [
         ({'fail_fast': 500}, '/prices', 500, b'fail fast'),
         ({'fail_fast': 503, 'path': '/other'}, '/prices', 200, b't1'),
@@ -127,12 +127,12 @@
         ({'no_such_fault': 1}, '/health', 200, b'true'),
     ],
 )
-def test_faults_are_switched_while_it_runs(faults, path, status, part):
+def test_faults_can_be_changed_at_runtime(faults, path, status, fragment):
     async def run() -> HttpAnswer:
         async with running_target(service_ms=300.0) as (service, address):
             body = json.dumps(faults).encode()
-            switched = await ask(address, 'POST', '/_standin/fault', body)
-            assert switched.status == (
+            response = await ask(address, 'POST', '/_standin/fault', body)
+            assert response.status == (
                 400 if 'no_such_fault' in faults else 200
             )
             if path != '/load':
@@ -144,10 +144,10 @@
 
     answer = asyncio.run(run())
     assert answer.status == status
-    assert part in bytes(answer.body)
+    assert fragment in bytes(answer.body)
 
 
-def test_a_frozen_target_answers_after_it_thaws():
+def test_frozen_target_answers_after_it_resumes():
     async def run() -> list[bool]:
         async with running_target() as (_, address):
             fault = ('POST', '/_standin/fault')
@@ -162,7 +162,7 @@
     assert asyncio.run(run()) == [False, True]
 
 
-def test_the_command_prints_its_address_and_ends_at_a_signal():
+def test_command_prints_its_address_and_exits_on_a_signal():
     command = [sys.executable, '-m', 'cyclamenlift.standins.target']
     process = subprocess.Popen(
         [*command, '--lifetime=60'], stdout=subprocess.PIPE
