--- a/bench/control_fleet.py
+++ b/bench/control_fleet.py
@@ -4,10 +4,10 @@
 import os
 import pathlib
 
-from cyclamenlift.standins.fleet import ask_json
 from cyclamenlift.standins.fleet import ControlHandle
 from cyclamenlift.standins.fleet import Fleet
 from cyclamenlift.standins.fleet import FleetError
+from cyclamenlift.standins.fleet import request_json
 from cyclamenlift.standins.fleet import wait_until
 
 WAIT_SECONDS = 30.0
@@ -32,7 +32,7 @@
 def find_leader(fleet: Fleet) -> ControlHandle | None:
     """Return the instance whose leadership a majority confirms."""
     for control in fleet.controls:
-        shown = ask_json(control.admin, '/api/document')
+        shown = request_json(control.admin, '/api/document')
         if shown and shown.get('confirmed'):
             return control
     return None
@@ -51,7 +51,7 @@
         'base_version': base,
         'document': text,
     }
-    answer = ask_json(leader.admin, '/api/publish', 'POST', change) or {}
+    answer = request_json(leader.admin, '/api/publish', 'POST', change) or {}
     if answer.get('code') != ACCEPTED:
         raise FleetError(f'the change was not accepted: {answer}')
 
--- a/bench/path.py
+++ b/bench/path.py
@@ -81,7 +81,7 @@
     )
     if done.returncode:
         raise SystemExit(done.stdout + done.stderr)
-    fleet.wait_in_force(1, 2)
+    fleet.wait_for_version(1, 2)
     return entry, gate, target.address
 
 
--- a/bench/policies.py
+++ b/bench/policies.py
@@ -24,16 +24,16 @@
 import fire
 import psutil
 
-from cyclamenlift.standins.fleet import ask_json
 from cyclamenlift.standins.fleet import Fleet
 from cyclamenlift.standins.fleet import FleetError
+from cyclamenlift.standins.fleet import request_json
 from cyclamenlift.standins.fleet import temporary_fleet
 from cyclamenlift.standins.fleet import wait_until
 from cyclamenlift.standins.load import LoadPlan
 from cyclamenlift.standins.load import run_load
 from cyclamenlift.standins.loops import run_precisely
 from cyclamenlift.standins.summary import CallClass
-from cyclamenlift.standins.summary import Kind
+from cyclamenlift.standins.summary import CallKind
 from cyclamenlift.standins.summary import Summary
 from demo.document import demo_document
 
@@ -140,7 +140,7 @@
             )
         self.publish()
         try:
-            self.fleet.wait_in_force(1, len(self.fleet.daemons))
+            self.fleet.wait_for_version(1, len(self.fleet.daemons))
         except FleetError:
             self.report()
             raise
@@ -193,12 +193,12 @@
         scenario = self.job.scenario
         for number, faults in FAULTS[scenario].items():
             if number < self.site.targets:
-                self.fleet.targets[number].fault(**faults)
+                self.fleet.targets[number].set_faults(**faults)
         if scenario == 'cold_start':
-            self.fleet.targets[0].fault(**COLD)
+            self.fleet.targets[0].set_faults(**COLD)
             self.start_daemon(0)
         elif scenario == 'drain':
-            ask_json(self.first_daemon().admin, '/drain', 'POST', {})
+            request_json(self.first_daemon().admin, '/drain', 'POST', {})
         elif scenario == 'kill':
             self.first_daemon().running.kill()
             self.fleet.targets[0].running.kill()
@@ -249,7 +249,7 @@
 
     def result(self, summary: Summary, probes: int) -> dict:
         """Return one line of results; latency of the look-ups in ms."""
-        reads = summary.kinds[Kind.READ]
+        reads = summary.kinds[CallKind.READ]
         runs: collections.Counter = collections.Counter()
         load_requests = 0
         target_runs = 0
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -20,10 +20,10 @@
 
 from bench.fit import fit_line
 from cyclamenlift.core.registry import Registry
-from cyclamenlift.standins.fleet import ask
 from cyclamenlift.standins.fleet import ControlHandle
 from cyclamenlift.standins.fleet import DaemonHandle
 from cyclamenlift.standins.fleet import Fleet
+from cyclamenlift.standins.fleet import http_request
 from cyclamenlift.standins.fleet import TargetHandle
 from cyclamenlift.standins.fleet import temporary_fleet
 from cyclamenlift.standins.fleet import wait_until
@@ -113,7 +113,7 @@
 
 def gossip_bytes(daemon: DaemonHandle) -> float:
     """Return the payload of gossip in and out since the start."""
-    _status, _headers, body = ask(daemon.admin, 'GET', '/metrics')
+    _status, _headers, body = http_request(daemon.admin, 'GET', '/metrics')
     return sum(
         float(line.rsplit(' ', 1)[1])
         for line in body.decode().splitlines()
@@ -179,7 +179,7 @@
             target = fleet.start_target('prices-0', 'prices', SLOTS)
             publish(fleet, document_with(1), 0)
             start_daemons(fleet, size, target)
-            fleet.wait_in_force(1, size, READY_SECONDS)
+            fleet.wait_for_version(1, size, READY_SECONDS)
             measure_members(fleet, size, recorder)
 
 
@@ -225,7 +225,7 @@
 def measure_members(fleet: Fleet, size: int, recorder: Recorder) -> None:
     measure_idle('members', fleet, size, recorder)
     accepted = publish(fleet, document_with(2), 1)
-    fleet.wait_in_force(2, size, READY_SECONDS)
+    fleet.wait_for_version(2, size, READY_SECONDS)
     seconds = time.monotonic() - accepted
     recorder.note('members', 'document everywhere', 's', size, seconds)
     entry = fleet.daemons[0]
@@ -244,7 +244,7 @@
             target = fleet.start_target('prices-0', 'prices', SLOTS)
             publish(fleet, document_with(size), 0)
             start_daemons(fleet, 4, target)
-            fleet.wait_in_force(1, 4)
+            fleet.wait_for_version(1, 4)
             cost = statistics.fmean(idle_cpu(fleet.daemons))
             recorder.note('services', 'idle CPU', 'ms/s', size, cost)
             rss = statistics.fmean(memory(d) for d in fleet.daemons)
@@ -264,7 +264,7 @@
         publish(fleet, document_with(1), 0)
         gate = fleet.start_daemon('gate', 'dc-a', target)
         entry = fleet.start_daemon('entry', 'dc-a')
-        fleet.wait_in_force(1, 2)
+        fleet.wait_for_version(1, 2)
         send(entry, 50.0, 2.0)
         for rate in CALL_RATES:
             before = [cpu_seconds(d) for d in (entry, gate)]
--- a/cyclamenlift/standins/fleet.py
+++ b/cyclamenlift/standins/fleet.py
@@ -71,7 +71,7 @@
     raise FleetError(f'not within {seconds:g} s: {description}')
 
 
-def ask(
+def http_request(
     address: str, method: str, path: str, body: bytes = b'', headers=None
 ) -> tuple[int, dict[str, str], bytes]:
     """Send one HTTP request; return its status, headers and body."""
@@ -86,12 +86,14 @@
         connection.close()
 
 
-def ask_json(address: str, path: str, method: str = 'GET', value=None):
+def request_json(address: str, path: str, method: str = 'GET', value=None):
     """Send one request; return its JSON, None if there is no response."""
     body = b'' if value is None else json.dumps(value).encode()
     headers = {'Content-Type': 'application/json'}
     try:
-        _status, _headers, data = ask(address, method, path, body, headers)
+        _status, _headers, data = http_request(
+            address, method, path, body, headers
+        )
         return json.loads(data)
     except (OSError, ValueError, http.client.HTTPException):
         return None
@@ -134,16 +136,16 @@
 
     def counters(self) -> dict:
         """Return the counters of the target."""
-        value = ask_json(self.address, '/_standin/counters?keys=1')
+        value = request_json(self.address, '/_standin/counters?keys=1')
         if value is None:
             raise FleetError(
                 f'{self.running.name} does not return its counters'
             )
         return value
 
-    def fault(self, **faults) -> None:
+    def set_faults(self, **faults) -> None:
         """Set the active faults; those not named are off."""
-        ask_json(self.address, '/_standin/fault', 'POST', faults)
+        request_json(self.address, '/_standin/fault', 'POST', faults)
 
 
 @dataclasses.dataclass(slots=True)
@@ -158,7 +160,7 @@
     arguments: list[str]
 
     def status(self) -> dict | None:
-        return ask_json(self.admin, '/api/status')
+        return request_json(self.admin, '/api/status')
 
 
 @dataclasses.dataclass(slots=True)
@@ -173,7 +175,7 @@
     arguments: list[str]
 
     def status(self) -> dict | None:
-        return ask_json(self.admin, '/api/status')
+        return request_json(self.admin, '/api/status')
 
 
 class Fleet:
@@ -348,7 +350,7 @@
         """Return the admin addresses of the control instances."""
         return ','.join(c.admin for c in self.controls)
 
-    def wait_in_force(
+    def wait_for_version(
         self, version: int, members: int, seconds: float = 30.0
     ) -> None:
         """Wait until every running daemon has the version and the members."""
--- a/cyclamenlift/standins/load.py
+++ b/cyclamenlift/standins/load.py
@@ -23,15 +23,15 @@
 from cyclamenlift.standins.client import Pool
 from cyclamenlift.standins.loops import run_precisely
 from cyclamenlift.standins.summary import CallClass
+from cyclamenlift.standins.summary import CallKind
 from cyclamenlift.standins.summary import CallRecord
-from cyclamenlift.standins.summary import Kind
 from cyclamenlift.standins.summary import Summary
 from cyclamenlift.standins.summary import to_microseconds
 
 GRACE_SECONDS = 2.0
 RESULT_HEADER = 'cyclamenlift-result'
-PATHS = {Kind.READ: '/prices', Kind.BOOKING: '/bookings'}
-PATHS[Kind.UPLOAD] = '/uploads'
+PATHS = {CallKind.READ: '/prices', CallKind.BOOKING: '/bookings'}
+PATHS[CallKind.UPLOAD] = '/uploads'
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -61,7 +61,7 @@
 class PlannedCall:
     """One call that is ready to be sent."""
 
-    kind: Kind
+    kind: CallKind
     request_id: str
     key: str
     body: bytes
@@ -115,21 +115,21 @@
         self.call_count += 1
         plan = self.plan
         drawn = self.rng.random()
-        kind = Kind.READ
+        kind = CallKind.READ
         if drawn < plan.booking_share:
-            kind = Kind.BOOKING
+            kind = CallKind.BOOKING
         elif drawn < plan.booking_share + plan.upload_share:
-            kind = Kind.UPLOAD
+            kind = CallKind.UPLOAD
         name = f'{plan.prefix}-{plan.seed}-{self.call_count}'
-        key = '' if kind is Kind.READ else f'key-{name}'
+        key = '' if kind is CallKind.READ else f'key-{name}'
         body = b''
-        if kind is Kind.BOOKING:
+        if kind is CallKind.BOOKING:
             body = json.dumps({'booking': name}).encode()
-        elif kind is Kind.UPLOAD:
+        elif kind is CallKind.UPLOAD:
             body = name.encode() + self.filler[len(name) :]
         address = self.rng.choice(plan.addresses)
         calls = [PlannedCall(kind, name, key, body, address, intended)]
-        may_repeat = kind is Kind.BOOKING
+        may_repeat = kind is CallKind.BOOKING
         if may_repeat and self.rng.random() < plan.duplicate_share:
             others = [a for a in plan.addresses if a != address]
             other = self.rng.choice(others or plan.addresses)
@@ -161,14 +161,14 @@
             build_record(call, answer, class_without_answer, elapsed)
         )
 
-    def timeout_ms(self, kind: Kind) -> int:
-        if kind is Kind.UPLOAD:
+    def timeout_ms(self, kind: CallKind) -> int:
+        if kind is CallKind.UPLOAD:
             return self.plan.upload_timeout_ms
         return self.plan.timeout_ms
 
     def encode(self, call: PlannedCall) -> bytes:
         """Encode the HTTP request of a call."""
-        method = 'GET' if call.kind is Kind.READ else 'POST'
+        method = 'GET' if call.kind is CallKind.READ else 'POST'
         path = PATHS[call.kind]
         lines = [
             f'{method} {path}?size={self.plan.answer_bytes} HTTP/1.1',
@@ -233,7 +233,7 @@
         return CallClass.TARGET_ERROR
     if check_answer(answer.body, call.request_id) is not AnswerFault.NONE:
         return CallClass.BROKEN
-    if call.kind is Kind.UPLOAD:
+    if call.kind is CallKind.UPLOAD:
         line = read_first_line(answer.body) or {}
         if line.get('received_sha256') != sha256_of(call.body):
             return CallClass.BROKEN
--- a/cyclamenlift/standins/summary.py
+++ b/cyclamenlift/standins/summary.py
@@ -14,7 +14,7 @@
 PERCENTILES = {'p50': 50.0, 'p90': 90.0, 'p99': 99.0, 'p999': 99.9}
 
 
-class Kind(enum.StrEnum):
+class CallKind(enum.StrEnum):
     """Kind of a call."""
 
     READ = 'read'
@@ -38,7 +38,7 @@
 class CallRecord:
     """Outcome of one call, timed from its intended start."""
 
-    kind: Kind
+    kind: CallKind
     call_class: CallClass
     code: int
     status: int
@@ -81,7 +81,7 @@
     """
 
     def __init__(self):
-        self.kinds = {kind: KindSummary() for kind in Kind}
+        self.kinds = {kind: KindSummary() for kind in CallKind}
         self.total = KindSummary()
         self.lateness = new_histogram()
         self.keys_answered: list[str] = []
@@ -99,7 +99,7 @@
         self.by_target[record.target] += 1
         if record.key:
             self.keys_answered.append(record.key)
-        if record.kind is Kind.UPLOAD:
+        if record.kind is CallKind.UPLOAD:
             self.uploads_answered.append((record.key, record.sha256))
 
     def failures(self) -> int:
--- a/demo/__main__.py
+++ b/demo/__main__.py
@@ -20,7 +20,7 @@
 from cyclamenlift.standins.load import run_load
 from cyclamenlift.standins.load import Summary
 from cyclamenlift.standins.summary import CallClass
-from cyclamenlift.standins.summary import Kind
+from cyclamenlift.standins.summary import CallKind
 from demo.document import demo_document
 
 DATA_CENTRES = ('bole', 'kirkos')
@@ -227,8 +227,8 @@
     total = summary.total
     if not summary.keys_answered:
         return total.classes[CallClass.ANSWERED] / max(1, total.sent)
-    booked = summary.kinds[Kind.BOOKING].sent / 2
-    uploaded = summary.kinds[Kind.UPLOAD].sent
+    booked = summary.kinds[CallKind.BOOKING].sent / 2
+    uploaded = summary.kinds[CallKind.UPLOAD].sent
     return len(set(summary.keys_answered)) / max(1, booked + uploaded)
 
 
@@ -257,7 +257,7 @@
     with temporary_fleet() as fleet:
         start_fleet(fleet)
         publish(fleet)
-        fleet.wait_in_force(1, len(fleet.daemons))
+        fleet.wait_for_version(1, len(fleet.daemons))
         sys.stdout.write(
             f'{len(fleet.processes)} processes, document in force after '
             f'{time.monotonic() - began:.1f} s\n'
--- a/tests/runtime/control_builders.py
+++ b/tests/runtime/control_builders.py
@@ -9,8 +9,8 @@
 from cyclamenlift.cli.admin import request
 from cyclamenlift.cli.publishing import LeaderCall
 from cyclamenlift.core.streams import Address
-from cyclamenlift.standins.fleet import ask
 from cyclamenlift.standins.fleet import free_port
+from cyclamenlift.standins.fleet import http_request
 from tests.models.builders import document_value
 
 NAMES = ('a', 'b', 'c')
@@ -98,7 +98,7 @@
 
     def text(self, name: str) -> str:
         """Return the metrics page of one instance."""
-        _, _, body = ask(str(self.admins[name]), 'GET', '/metrics')
+        _, _, body = http_request(str(self.admins[name]), 'GET', '/metrics')
         return body.decode()
 
     def post(self, name: str, body: dict) -> int:
--- a/tests/standins/builders.py
+++ b/tests/standins/builders.py
@@ -9,7 +9,7 @@
 from cyclamenlift.standins.load import LoadPlan
 from cyclamenlift.standins.load import PlannedCall
 from cyclamenlift.standins.service import TargetPlan
-from cyclamenlift.standins.summary import Kind
+from cyclamenlift.standins.summary import CallKind
 from cyclamenlift.standins.target import start_target
 
 PLAN = TargetPlan(name='t1', slots=4, service_ms=1.0, sigma=0.0)
@@ -58,5 +58,7 @@
     return dataclasses.replace(plan, **changes)
 
 
-def build_call(kind: Kind = Kind.READ, body: bytes = b'') -> PlannedCall:
+def build_call(
+    kind: CallKind = CallKind.READ, body: bytes = b''
+) -> PlannedCall:
     return PlannedCall(kind, 'r1', '', body, '', 0.0)
--- a/tests/standins/test_load.py
+++ b/tests/standins/test_load.py
@@ -12,7 +12,7 @@
 from cyclamenlift.standins.load import run_load
 from cyclamenlift.standins.load import sha256_of
 from cyclamenlift.standins.summary import CallClass
-from cyclamenlift.standins.summary import Kind
+from cyclamenlift.standins.summary import CallKind
 from cyclamenlift.standins.summary import Summary
 from tests.standins.builders import ask
 from tests.standins.builders import build_call
@@ -52,7 +52,8 @@
 def test_uploaded_body_must_arrive_unchanged(sent, expected):
     answer = HttpAnswer(200, {}, bytearray(UPLOADED))
     assert (
-        classify_answer(build_call(Kind.UPLOAD, sent), answer, 0) is expected
+        classify_answer(build_call(CallKind.UPLOAD, sent), answer, 0)
+        is expected
     )
 
 
@@ -88,8 +89,8 @@
     summary = asyncio.run(
         load({}, booking_share=0.5, upload_share=0.2, duplicate_share=1.0)
     )
-    booked = summary.kinds[Kind.BOOKING].sent
-    uploads = summary.kinds[Kind.UPLOAD].sent
+    booked = summary.kinds[CallKind.BOOKING].sent
+    uploads = summary.kinds[CallKind.UPLOAD].sent
     assert booked > 0
     assert uploads == len(summary.uploads_answered) > 0
     assert len(set(summary.keys_answered)) == booked / 2 + uploads
--- a/tests/system/builders.py
+++ b/tests/system/builders.py
@@ -5,9 +5,9 @@
 import threading
 import time
 
-from cyclamenlift.standins.fleet import ask
 from cyclamenlift.standins.fleet import Fleet
 from cyclamenlift.standins.fleet import FleetError
+from cyclamenlift.standins.fleet import http_request
 from cyclamenlift.standins.fleet import wait_until
 
 WAIT_SECONDS = 30.0
@@ -46,7 +46,7 @@
     )
     assert done.returncode == 0, done.stdout + done.stderr
     alive = [d for d in fleet.daemons if d.running.alive()]
-    fleet.wait_in_force(base + 1, len(alive))
+    fleet.wait_for_version(base + 1, len(alive))
 
 
 def wait_for_controls(fleet: Fleet) -> None:
@@ -91,7 +91,7 @@
     headers = {'Host': SERVICE, 'X-Request-Id': 'r1'}
     if key:
         headers['Idempotency-Key'] = key
-    status, fields, data = ask(address, method, path, body, headers)
+    status, fields, data = http_request(address, method, path, body, headers)
     return status, int(fields.get('cyclamenlift-result', '0')), data
 
 
--- a/tests/system/partitions.py
+++ b/tests/system/partitions.py
@@ -10,9 +10,9 @@
 
 from cyclamenlift.core.codes import is_not_run
 from cyclamenlift.core.codes import ResultCode
-from cyclamenlift.standins.fleet import ask_json
 from cyclamenlift.standins.fleet import Fleet
 from cyclamenlift.standins.fleet import own_host
+from cyclamenlift.standins.fleet import request_json
 from cyclamenlift.standins.fleet import wait_until
 from cyclamenlift.standins.paths import RelayPaths
 from tests.system.builders import call
@@ -66,7 +66,7 @@
         'document': json.dumps(value),
         'operator_name': 'test',
     }
-    answer = ask_json(control.admin, '/api/publish', 'POST', body)
+    answer = request_json(control.admin, '/api/publish', 'POST', body)
     return answer['code'] if answer else 0
 
 
@@ -82,7 +82,7 @@
 
 
 def shown(control) -> dict | None:
-    return ask_json(control.admin, '/api/document')
+    return request_json(control.admin, '/api/document')
 
 
 class VersionWatch:
--- a/tests/system/test_admin.py
+++ b/tests/system/test_admin.py
@@ -1,6 +1,6 @@
 """What operators see of a running daemon."""
 
-from cyclamenlift.standins.fleet import ask
+from cyclamenlift.standins.fleet import http_request
 from cyclamenlift.standins.fleet import temporary_fleet
 from tests.system.builders import call
 from tests.system.builders import document
@@ -21,7 +21,7 @@
         publish(fleet, document(), 0, 'c1')
         entry = entry_of(fleet)
         assert {call(entry.entry)[0] for _ in range(12)} == {200}
-        text = ask(entry.admin, 'GET', '/metrics')[2].decode()
+        text = http_request(entry.admin, 'GET', '/metrics')[2].decode()
         answered = 'cyclamenlift_calls_total{result="answered"'
         assert sample(text, answered) == 12
         assert sample(text, 'cyclamenlift_gossip_sent_bytes_total') > 0
@@ -31,5 +31,5 @@
         )
         assert done.returncode == 0, done.stderr
         assert '"total": 12' in done.stdout
-        assert ask(entry.admin, 'GET', '/drain')[0] == 405
-        assert ask(entry.admin, 'GET', '/nothing')[0] == 404
+        assert http_request(entry.admin, 'GET', '/drain')[0] == 405
+        assert http_request(entry.admin, 'GET', '/nothing')[0] == 404
--- a/tests/system/test_configuration.py
+++ b/tests/system/test_configuration.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from cyclamenlift.standins.fleet import ask_json
+from cyclamenlift.standins.fleet import request_json
 from cyclamenlift.standins.fleet import temporary_fleet
 from cyclamenlift.standins.fleet import wait_until
 from tests.system.builders import call
@@ -34,9 +34,9 @@
         }
         wait_until(
             lambda order=order: any(
-                (ask_json(c.admin, '/api/publish', 'POST', order) or {}).get(
-                    'code'
-                )
+                (
+                    request_json(c.admin, '/api/publish', 'POST', order) or {}
+                ).get('code')
                 == ACCEPTED
                 for c in fleet.controls
             ),
@@ -63,7 +63,7 @@
         fleet.restart(victim)
     else:
         victim.running.send_signal(signal.SIGCONT)
-    fleet.wait_in_force(changes + 1, len(fleet.daemons))
+    fleet.wait_for_version(changes + 1, len(fleet.daemons))
     wait_until(lambda: victim.status()['confirmed'], WAIT_SECONDS, 'confirmed')
     assert victim.status()['config_version'] == changes + 1
     assert call(victim.entry)[0] == 200
--- a/tests/system/test_failures.py
+++ b/tests/system/test_failures.py
@@ -143,7 +143,7 @@
         value = document(deadline_ms=1000 + number)
         publish(fleet, value, number, f'c{number + 1}')
     fleet.restart(victim)
-    fleet.wait_in_force(6, len(fleet.daemons))
+    fleet.wait_for_version(6, len(fleet.daemons))
     wait_until(lambda: victim.status()['confirmed'], WAIT_SECONDS, 'confirmed')
     assert call(victim.entry)[0] == 200
 
--- a/tests/system/test_partitions.py
+++ b/tests/system/test_partitions.py
@@ -81,7 +81,7 @@
         assert '2222' in shown(old)['document']
         leader = find_leader(fleet)
         assert offer(leader, lost, 1, 'lost') == ResultCode.VERSION_CONFLICT
-        fleet.wait_in_force(2, len(fleet.daemons))
+        fleet.wait_for_version(2, len(fleet.daemons))
     code = call(entry.entry, 'POST', '/bookings', b'{}', 'k1')[1]
     assert code == ResultCode.ANSWERED
     assert runs_of(fleet, 'k1') == 1
@@ -204,7 +204,7 @@
             assert runs_of(fleet, key) == 0
         assert entry.status()['version'] == 1
         fleet.paths.heal()
-        fleet.wait_in_force(2, len(fleet.daemons))
+        fleet.wait_for_version(2, len(fleet.daemons))
         wait_until(
             lambda: late.status()['confirmed'], WAIT_SECONDS, 'confirmed'
         )
@@ -273,7 +273,7 @@
         assert {d.status()['version'] for d in small} == {1}
         assert {call(d.entry)[0] for d in small for _ in range(10)} == {200}
         fleet.paths.heal()
-        fleet.wait_in_force(2, len(fleet.daemons))
+        fleet.wait_for_version(2, len(fleet.daemons))
         wait_until(
             lambda: not any(d.status()['suspects'] for d in fleet.daemons),
             WAIT_SECONDS,
--- a/tests/system/test_requests_that_end_targets.py
+++ b/tests/system/test_requests_that_end_targets.py
@@ -125,6 +125,6 @@
             health_path='/health',
             gossip_seconds=FAST_GOSSIP,
         )
-    fleet.wait_in_force(1, 2)
+    fleet.wait_for_version(1, 2)
     entry = fleet.daemons[-1].entry
     assert {call(entry)[0] for _ in range(12)} == {200}
--- a/tests/system/test_under_load.py
+++ b/tests/system/test_under_load.py
@@ -7,7 +7,7 @@
 
 from cyclamenlift.standins.answers import AnswerFault
 from cyclamenlift.standins.answers import check_answer
-from cyclamenlift.standins.fleet import ask
+from cyclamenlift.standins.fleet import http_request
 from cyclamenlift.standins.fleet import temporary_fleet
 from cyclamenlift.standins.fleet import wait_until
 from tests.system.builders import document
@@ -50,7 +50,9 @@
                 'X-Request-Id': name,
                 'Idempotency-Key': name,
             }
-            answer = ask(address, self.method, '/prices', b'', headers)
+            answer = http_request(
+                address, self.method, '/prices', b'', headers
+            )
             found.add((answer[0], check_answer(answer[2], name)))
             self.counts[number] += 1
         return found
