--- a/cyclamenlift/console/__init__.py
+++ b/cyclamenlift/console/__init__.py
@@ -1,7 +1,7 @@
 """Web console in which operators edit and publish the event document."""
 
+from cyclamenlift.console.control_interface import ContextControlInterface
+from cyclamenlift.console.control_interface import ControlInterface
 from cyclamenlift.console.pages import ConsolePages
-from cyclamenlift.console.port import ContextPort
-from cyclamenlift.console.port import ControlPort
 
-__all__ = ['ConsolePages', 'ContextPort', 'ControlPort']
+__all__ = ['ConsolePages', 'ContextControlInterface', 'ControlInterface']
--- a/cyclamenlift/console/port.py
+++ b/cyclamenlift/console/control_interface.py
@@ -15,7 +15,7 @@
 from cyclamenlift.events.reports import StorageReport
 
 
-class ControlPort(Protocol):
+class ControlInterface(Protocol):
     """Commands and queries; ``done`` is called once, now or later."""
 
     def publish(
@@ -37,12 +37,14 @@
         """Report the state of the control instances."""
 
     def replace_storage(
-        self, order: StorageReplacement, done: Callable[[StorageReport], None]
+        self,
+        replacement: StorageReplacement,
+        done: Callable[[StorageReport], None],
     ) -> None:
         """Make a new storage a voter in place of a lost one."""
 
 
-class ContextPort:
+class ContextControlInterface:
     """Implementation with the commands and queries of the JSON API."""
 
     def __init__(self, context: ControlContext):
@@ -60,5 +62,5 @@
     def status(self, done) -> None:
         done(queries.status(self.context))
 
-    def replace_storage(self, order, done) -> None:
-        commands.replace_storage(self.context, order, done)
+    def replace_storage(self, replacement, done) -> None:
+        commands.replace_storage(self.context, replacement, done)
--- a/cyclamenlift/console/pages.py
+++ b/cyclamenlift/console/pages.py
@@ -7,9 +7,9 @@
 import pydantic
 import structlog
 
+from cyclamenlift.console.control_interface import ControlInterface
 from cyclamenlift.console.editing import Draft
 from cyclamenlift.console.editing import draft_from_fields
-from cyclamenlift.console.port import ControlPort
 from cyclamenlift.console.rendering import render
 from cyclamenlift.console.views import blank_document
 from cyclamenlift.console.views import FormBuilder
@@ -43,32 +43,32 @@
 
     channel = '/'
 
-    def __init__(self, port: ControlPort):
+    def __init__(self, control: ControlInterface):
         super().__init__()
-        self.port = port
+        self.control = control
 
     @expose('index')
     def index(self) -> Answer:
         """Show the document in force."""
-        return show_version(self.port, 0)
+        return show_version(self.control, 0)
 
     @expose('version')
     def version(self) -> Answer:
         """Show one version."""
-        return show_version(self.port, requested_version(self.request))
+        return show_version(self.control, requested_version(self.request))
 
     @expose('edit')
     def edit(self) -> Answer:
         """Show the form for a version (GET) or process it (POST)."""
         if self.request.method == 'POST':
-            return handle_form(self.port, self.request)
-        return show_form(self.port, requested_version(self.request))
+            return handle_form(self.control, self.request)
+        return show_form(self.control, requested_version(self.request))
 
     @expose('history')
     def history(self) -> Answer:
         """List the newest versions and who published them."""
         deferred = Deferred()
-        self.port.history(
+        self.control.history(
             HISTORY_LENGTH,
             lambda report: deferred.resolve(
                 render('history.html', report.code, report=report)
@@ -80,8 +80,8 @@
     def instances(self) -> Answer:
         """Show the control instances (GET) or replace a storage (POST)."""
         if self.request.method == 'POST':
-            return replace_storage(self.port, self.request)
-        return show_instances(self.port, None)
+            return replace_storage(self.control, self.request)
+        return show_instances(self.control, None)
 
 
 # Helpers are module functions: circuits serves every controller method.
@@ -95,7 +95,7 @@
     return int(text)
 
 
-def show_version(port: ControlPort, version: int) -> Deferred:
+def show_version(control: ControlInterface, version: int) -> Deferred:
     deferred = Deferred()
 
     def finish(report: DocumentReport) -> None:
@@ -108,11 +108,11 @@
             render('event.html', code, report=report, document=document)
         )
 
-    port.show(version, finish)
+    control.show(version, finish)
     return deferred
 
 
-def show_form(port: ControlPort, version: int) -> Deferred:
+def show_form(control: ControlInterface, version: int) -> Deferred:
     """Render the form for a version, with the newest version as its base."""
     deferred = Deferred()
 
@@ -122,11 +122,11 @@
         draft.assign_change_id()
         deferred.resolve(render_form(draft, ResultCode.ANSWERED))
 
-    port.show(version, finish)
+    control.show(version, finish)
     return deferred
 
 
-def handle_form(port: ControlPort, request) -> Answer:
+def handle_form(control: ControlInterface, request) -> Answer:
     """Edit rows, validate or publish; the form keeps its values."""
     try:
         draft = draft_from_fields(form_of(request))
@@ -140,9 +140,9 @@
         valid = draft.check()
         return render_form(draft, validation_code(valid), checked=valid)
     if draft.action == 'rebase':
-        return rebase(port, draft)
+        return rebase(control, draft)
     if draft.action == 'publish':
-        return publish(port, draft)
+        return publish(control, draft)
     detail = f'unknown action {draft.action[:50]!r}'
     return problem_answer(Problem(ResultCode.BAD_REQUEST, detail))
 
@@ -151,7 +151,7 @@
     return ResultCode.ANSWERED if valid else ResultCode.DOCUMENT_INVALID
 
 
-def rebase(port: ControlPort, draft: Draft) -> Deferred:
+def rebase(control: ControlInterface, draft: Draft) -> Deferred:
     """Set the newest version as the base, under a new change id."""
     deferred = Deferred()
 
@@ -160,11 +160,11 @@
         draft.assign_change_id()
         deferred.resolve(render_form(draft, ResultCode.ANSWERED))
 
-    port.show(0, finish)
+    control.show(0, finish)
     return deferred
 
 
-def publish(port: ControlPort, draft: Draft) -> Answer:
+def publish(control: ControlInterface, draft: Draft) -> Answer:
     """Publish the draft; answer once the outcome is known."""
     try:
         change = draft.publication()
@@ -189,7 +189,7 @@
             answer = render_form(draft, report.code, report=report)
         deferred.resolve(answer)
 
-    port.publish(change, finish)
+    control.publish(change, finish)
     return deferred
 
 
@@ -210,10 +210,12 @@
     )
 
 
-def show_instances(port: ControlPort, done: StorageReport | None) -> Deferred:
+def show_instances(
+    control: ControlInterface, done: StorageReport | None
+) -> Deferred:
     deferred = Deferred()
     code = ResultCode.ANSWERED if done is None else done.code
-    port.status(
+    control.status(
         lambda report: deferred.resolve(
             render('instances.html', code, report=report, done=done)
         )
@@ -221,18 +223,18 @@
     return deferred
 
 
-def replace_storage(port: ControlPort, request) -> Answer:
+def replace_storage(control: ControlInterface, request) -> Answer:
     """Request a replacement, then show the instances with its outcome."""
     try:
-        order = StorageReplacement(**dict(form_of(request)))
+        replacement = StorageReplacement(**dict(form_of(request)))
     except (ValueError, TypeError):
         detail = 'instance and storage_id are required'
         return problem_answer(Problem(ResultCode.BAD_REQUEST, detail))
     deferred = Deferred()
 
     def finish(report: StorageReport) -> None:
-        page = show_instances(port, report)
+        page = show_instances(control, report)
         page.then(deferred.resolve)
 
-    port.replace_storage(order, finish)
+    control.replace_storage(replacement, finish)
     return deferred
--- a/cyclamenlift/reports/__init__.py
+++ b/cyclamenlift/reports/__init__.py
@@ -1,6 +1,6 @@
 """Error-budget reports for operators."""
 
 from cyclamenlift.reports.queries import ServiceBurn
-from cyclamenlift.reports.state import BurnWindows
+from cyclamenlift.reports.state import BurnCounters
 
-__all__ = ['BurnWindows', 'ServiceBurn']
+__all__ = ['BurnCounters', 'ServiceBurn']
--- a/cyclamenlift/reports/state.py
+++ b/cyclamenlift/reports/state.py
@@ -21,16 +21,16 @@
 ANSWERED = (ResultCode.ANSWERED, ResultCode.ANSWERED_FROM_RECORD)
 
 
-def counts_for_objective(code: int) -> bool:
+def counts_towards_objective(code: int) -> bool:
     """Tell whether an outcome counts towards the service's objective.
 
-    >>> counts_for_objective(ResultCode.KEY_REQUIRED)
+    >>> counts_towards_objective(ResultCode.KEY_REQUIRED)
     False
     """
     return not FIRST_CALLER_ERROR <= code <= LAST_CALLER_ERROR
 
 
-def is_good(code: int, seconds: float, rule: ServiceRule) -> bool:
+def meets_objective(code: int, seconds: float, rule: ServiceRule) -> bool:
     """Tell whether a finished call met the service's objective."""
     return code in ANSWERED and seconds <= rule.objective_seconds
 
@@ -86,7 +86,7 @@
         }
 
 
-class BurnWindows:
+class BurnCounters:
     """Call counts of every service that one daemon keeps for the report."""
 
     def __init__(self, instance: str, data_centre: str) -> None:
--- a/cyclamenlift/runtime/control_pages.py
+++ b/cyclamenlift/runtime/control_pages.py
@@ -4,8 +4,8 @@
 from circuits.web.controllers import Controller
 from circuits.web.controllers import expose
 
+from cyclamenlift.console.control_interface import ContextControlInterface
 from cyclamenlift.console.pages import ConsolePages
-from cyclamenlift.console.port import ContextPort
 from cyclamenlift.events.context import ControlContext
 from cyclamenlift.http.pages import WebAnswer
 from cyclamenlift.runtime.admin import METRICS_TYPE
@@ -33,6 +33,6 @@
     """Return the controllers of a control instance's admin address."""
     return [
         ControlApi(context),
-        ConsolePages(ContextPort(context)),
+        ConsolePages(ContextControlInterface(context)),
         MetricsPage(metrics),
     ]
--- a/cyclamenlift/runtime/observing.py
+++ b/cyclamenlift/runtime/observing.py
@@ -6,9 +6,9 @@
 from cyclamenlift.core.codes import ResultCode
 from cyclamenlift.core.metrics import Metrics
 from cyclamenlift.quarantine.queries import quarantined
-from cyclamenlift.reports.state import BurnWindows
-from cyclamenlift.reports.state import counts_for_objective
-from cyclamenlift.reports.state import is_good
+from cyclamenlift.reports.state import BurnCounters
+from cyclamenlift.reports.state import counts_towards_objective
+from cyclamenlift.reports.state import meets_objective
 
 if typing.TYPE_CHECKING:
     from cyclamenlift.runtime.daemon import DaemonNode
@@ -23,7 +23,7 @@
         self.node = node
         settings = node.settings
         self.metrics = Metrics(settings.instance, settings.data_centre)
-        self.burn = BurnWindows(settings.instance, settings.data_centre)
+        self.burn = BurnCounters(settings.instance, settings.data_centre)
         node.calls.finished_hooks.append(self.on_finished)
         self.watch()
 
@@ -37,8 +37,8 @@
         if call.service_seconds is not None:
             added = seconds - call.service_seconds
         self.metrics.call_finished(call.service, int(code), seconds, added)
-        if counts_for_objective(code):
-            good = is_good(code, seconds, call.request.rule)
+        if counts_towards_objective(code):
+            good = meets_objective(code, seconds, call.request.rule)
             good = good and call.status < SERVER_ERROR
             self.burn.record(call.service, good, seconds, now)
 
--- a/cyclamenlift/standins/fleet.py
+++ b/cyclamenlift/standins/fleet.py
@@ -20,7 +20,7 @@
 import time
 
 from cyclamenlift.core.streams import Address
-from cyclamenlift.standins.paths import ANYBODY
+from cyclamenlift.standins.paths import ANY_SOURCE
 from cyclamenlift.standins.paths import DirectPaths
 from cyclamenlift.standins.paths import Paths
 
@@ -317,7 +317,7 @@
             arguments.append(f'--service={target.service}')
             arguments.append(f'--target={target.address}')
             arguments.append(f'--slots={target.slots}')
-        peer_address = self.paths.tcp(ANYBODY, name, peer)
+        peer_address = self.paths.tcp(ANY_SOURCE, name, peer)
         gossip_address = self.paths.udp(name, gossip)
         if peer_address != peer:
             arguments.append(f'--advertise_peer={peer_address}')
--- a/cyclamenlift/standins/paths.py
+++ b/cyclamenlift/standins/paths.py
@@ -9,7 +9,7 @@
 from cyclamenlift.standins.relay import TcpRelay
 from cyclamenlift.standins.relay import UdpRelay
 
-ANYBODY = '*'
+ANY_SOURCE = '*'
 BOTH = tuple(Direction)
 
 
@@ -85,29 +85,29 @@
 
     # -- partitions ---------------------------------------------------------
 
-    def separate(
+    def isolate(
         self, *names: str, others: set[str] | None = None
     ) -> Partition:
         """Cut ``names`` off from ``others``, by default from all the rest."""
         other_names = None if others is None else frozenset(others)
-        cut = Partition(frozenset(names), other_names)
-        self.partitions.append(cut)
+        partition = Partition(frozenset(names), other_names)
+        self.partitions.append(partition)
         self.apply_partitions()
-        return cut
+        return partition
 
-    def heal(self, cut: Partition | None = None) -> None:
+    def heal(self, partition: Partition | None = None) -> None:
         """Remove one partition, or all of them by default."""
-        if cut is None:
+        if partition is None:
             self.partitions.clear()
         else:
-            self.partitions.remove(cut)
+            self.partitions.remove(partition)
         self.apply_partitions()
 
     def is_partitioned(self, one: str, two: str) -> bool:
         """Tell whether a partition separates two names."""
         return any(
-            cut.separates(one, two) or cut.separates(two, one)
-            for cut in self.partitions
+            partition.separates(one, two) or partition.separates(two, one)
+            for partition in self.partitions
         )
 
     def cut_stream(
@@ -124,9 +124,9 @@
 
     def apply_in_loop(self) -> None:
         for (source, target), path in self.streams.items():
-            cut = self.is_partitioned(source, target)
+            is_cut = self.is_partitioned(source, target)
             for direction in BOTH:
-                path.set_cut(direction, cut)
+                path.set_cut(direction, is_cut)
         for target, path in self.datagrams.items():
             path.blocked = frozenset(
                 other.upstream
--- a/cyclamenlift/standins/relay.py
+++ b/cyclamenlift/standins/relay.py
@@ -22,8 +22,8 @@
 class Direction(enum.Enum):
     """Direction of data, relative to the side that opened the connection."""
 
-    THERE = 'there'
-    BACK = 'back'
+    FORWARD = 'there'
+    BACKWARD = 'back'
 
 
 @dataclasses.dataclass(slots=True)
@@ -110,7 +110,9 @@
 
     def __init__(self, upstream: Address):
         self.upstream = upstream
-        self.lanes = {direction: DirectionState() for direction in Direction}
+        self.direction_states = {
+            direction: DirectionState() for direction in Direction
+        }
         self.pipes: set[Pipe] = set()
         self.unconnected: list[Pipe] = []
         self.tasks: set[asyncio.Task] = set()
@@ -119,13 +121,15 @@
     async def open(self, host: str) -> Address:
         loop = asyncio.get_running_loop()
         self.server = await loop.create_server(
-            lambda: Pipe(self, self.lanes[Direction.THERE]), host, 0
+            lambda: Pipe(self, self.direction_states[Direction.FORWARD]),
+            host,
+            0,
         )
         return Address(*self.server.sockets[0].getsockname()[:2])
 
     def on_accepted(self, pipe: Pipe) -> None:
         """Connect to the upstream process, once the path is not cut."""
-        if self.lanes[Direction.THERE].is_cut:
+        if self.direction_states[Direction.FORWARD].is_cut:
             self.unconnected.append(pipe)
             return
         task = asyncio.get_running_loop().create_task(self.connect(pipe))
@@ -134,7 +138,7 @@
 
     async def connect(self, pipe: Pipe) -> None:
         loop = asyncio.get_running_loop()
-        peer = Pipe(self, self.lanes[Direction.BACK])
+        peer = Pipe(self, self.direction_states[Direction.BACKWARD])
         peer.peer = pipe
         pipe.peer = peer
         try:
@@ -144,10 +148,10 @@
 
     def set_cut(self, direction: Direction, is_cut: bool) -> None:
         """Cut or heal one direction; healing delivers queued data."""
-        self.lanes[direction].is_cut = is_cut
+        self.direction_states[direction].is_cut = is_cut
         if is_cut:
             return
-        if direction is Direction.THERE:
+        if direction is Direction.FORWARD:
             unconnected, self.unconnected = self.unconnected, []
             for pipe in unconnected:
                 self.on_accepted(pipe)
--- a/tests/console/builders.py
+++ b/tests/console/builders.py
@@ -56,7 +56,7 @@
     return document_to_bytes(document_from_text(json.dumps(value)).unwrap())
 
 
-class FakePort:
+class FakeControl:
     """Keeps versions in memory; ``code`` overrides the publish result."""
 
     def __init__(self, *documents: dict):
@@ -152,15 +152,15 @@
 
     def __init__(self, *documents: dict):
         self.loop = Loop()
-        self.port = FakePort(*documents)
-        pages = ConsolePages(self.port)
+        self.control = FakeControl(*documents)
+        pages = ConsolePages(self.control)
         self.server = WebServer(self.loop.root, LOOPBACK, [pages])
 
     def ask(self, data: bytes) -> Answer:
         caller = Caller.connect(self.loop, self.server.address)
         caller.send(data)
         self.loop.settle(caller)
-        self.port.release()
+        self.control.release()
         caller.until(lambda c: answers_in(c.received))
         return answers_in(caller.received)[0]
 
--- a/tests/console/test_pages.py
+++ b/tests/console/test_pages.py
@@ -20,8 +20,8 @@
     fields = fields_of(console.get('/edit'))
     answer = console.post('/edit', {**fields, 'action': 'publish'})
     assert b'Version 2 is accepted' in answer.body
-    assert console.port.versions == [canonical(DOCUMENT)] * 2
-    (change,) = console.port.published
+    assert console.control.versions == [canonical(DOCUMENT)] * 2
+    (change,) = console.control.published
     assert change.base_version == 1 and change.change_id
 
 
@@ -75,7 +75,7 @@
     marked = after.partition('class="error"')[2].partition('</div>')[0]
     assert detail in marked
     assert resubmitted[path] == text
-    assert len(console.port.versions) == 1
+    assert len(console.control.versions) == 1
 
 
 def test_error_of_the_whole_document_is_shown():
@@ -108,7 +108,7 @@
     assert found == names
     rows = [k for k in resubmitted if k.startswith('services[0].operations')]
     assert len(rows) == 3 * operations
-    assert not console.port.published
+    assert not console.control.published
 
 
 @pytest.mark.parametrize(
@@ -124,7 +124,7 @@
     console = Console(DOCUMENT)
     fields = fields_of(console.get('/edit'))
     fields['event'] = 'evening'
-    console.port.code = code
+    console.control.code = code
     answer = console.post('/edit', {**fields, 'action': 'publish'})
     resubmitted = fields_of(answer)
     assert f'({int(code)})'.encode() in answer.body
@@ -140,7 +140,7 @@
     rebased = fields_of(console.post('/edit', {**fields, 'action': 'rebase'}))
     assert rebased['base_version'] == '2'
     assert rebased['event'] == 'morning'
-    assert not console.port.published
+    assert not console.control.published
 
 
 def test_imported_document_text_fills_the_form():
@@ -150,7 +150,7 @@
     resubmitted = fields_of(
         console.post('/edit', {**fields, 'action': 'take-text'})
     )
-    assert resubmitted['event'] == 'pasted' and not console.port.published
+    assert resubmitted['event'] == 'pasted' and not console.control.published
     fields['document_text'] = 'a: ['
     answer = console.post('/edit', {**fields, 'action': 'take-text'})
     assert answer.status == 422 and fields_of(answer)['event'] == 'morning'
@@ -176,7 +176,7 @@
     answer = console.post('/edit', fields)
     assert answer.status == 400
     assert json.loads(answer.body)['code'] == 4000
-    assert not console.port.published
+    assert not console.control.published
 
 
 @pytest.mark.parametrize(
@@ -188,7 +188,7 @@
     fields = {**fields_of(console.get('/edit')), 'action': 'publish'}
     answer = console.post('/edit', fields, f'Origin: {origin}')
     assert answer.status == status
-    assert len(console.port.published) == (status == 200)
+    assert len(console.control.published) == (status == 200)
 
 
 def test_pages_show_versions_history_and_unconfirmed_state():
@@ -200,7 +200,7 @@
     assert console.get('/version?version=7').status == 404
     history = console.get('/history').body
     assert b'&lt;Ada&gt;' in history and b'<Ada>' not in history
-    console.port.leader = 'c2'
+    console.control.leader = 'c2'
     assert b'Not confirmed' in console.get('/').body
 
 
@@ -212,7 +212,7 @@
     assert page.body.count(b'Let the new storage count') == 1
     fields = fields_of(page)
     answer = console.post('/instances', fields)
-    assert console.port.replaced == [('c2', 's2b')]
+    assert console.control.replaced == [('c2', 's2b')]
     assert b'Storage replaced' in answer.body
     assert console.post('/instances', {'x': 'y'}).status == 400
 
--- a/tests/reports/test_burn.py
+++ b/tests/reports/test_burn.py
@@ -16,9 +16,9 @@
 from cyclamenlift.reports.queries import burn
 from cyclamenlift.reports.rendering import to_html
 from cyclamenlift.reports.state import BUCKETS
-from cyclamenlift.reports.state import BurnWindows
-from cyclamenlift.reports.state import counts_for_objective
-from cyclamenlift.reports.state import is_good
+from cyclamenlift.reports.state import BurnCounters
+from cyclamenlift.reports.state import counts_towards_objective
+from cyclamenlift.reports.state import meets_objective
 from tests.reports.builders import rules
 from tests.reports.builders import snapshot
 
@@ -89,12 +89,12 @@
 )
 def test_which_calls_count_and_which_are_good(code, seconds, counts, good):
     rule = rules().services['prices']
-    assert counts_for_objective(code) is counts
-    assert is_good(code, seconds, rule) is good
+    assert counts_towards_objective(code) is counts
+    assert meets_objective(code, seconds, rule) is good
 
 
 def test_recorded_calls_are_reported_by_age():
-    windows = BurnWindows('one', 'bole')
+    windows = BurnCounters('one', 'bole')
     for now, good in ((0, True), (30, False), (61, True), (7_300, True)):
         windows.record('prices', good, 0.05, float(now))
     given = windows.to_snapshot(7_310.0, rules())
--- a/tests/standins/test_relay.py
+++ b/tests/standins/test_relay.py
@@ -34,8 +34,8 @@
     for end in (client, accepted):
         end.settimeout(WAIT_SECONDS)
     yield {
-        Direction.THERE: (client, accepted),
-        Direction.BACK: (accepted, client),
+        Direction.FORWARD: (client, accepted),
+        Direction.BACKWARD: (accepted, client),
     }
     client.close()
     accepted.close()
@@ -73,7 +73,7 @@
 def test_new_connection_passes_nothing_until_the_path_is_healed(paths):
     with socket.create_server((HOST, 0)) as server:
         relayed = paths.tcp('a', 'b', str(Address(*server.getsockname())))
-        paths.separate('b')
+        paths.isolate('b')
         with socket.create_connection(tuple(Address.parse(relayed))) as client:
             client.sendall(b'x')
             server.settimeout(QUIET_SECONDS)
@@ -87,12 +87,12 @@
 
 
 def test_delay_keeps_the_order(paths, ends):
-    lane = paths.streams['a', 'b'].lanes[Direction.THERE]
-    client, accepted = ends[Direction.THERE]
-    lane.delay = QUIET_SECONDS
+    state = paths.streams['a', 'b'].direction_states[Direction.FORWARD]
+    client, accepted = ends[Direction.FORWARD]
+    state.delay = QUIET_SECONDS
     client.sendall(b'x')
-    wait_until(lambda: lane.received_bytes == 1, WAIT_SECONDS, 'x is in')
-    lane.delay = 0.0
+    wait_until(lambda: state.received_bytes == 1, WAIT_SECONDS, 'x is in')
+    state.delay = 0.0
     client.sendall(b'y')
     assert accepted.recv(1) + accepted.recv(1) == b'xy'
 
@@ -108,7 +108,7 @@
         sock.settimeout(WAIT_SECONDS)
         address = str(Address(*sock.getsockname()))
         relayed[name] = tuple(Address.parse(paths.udp(name, address)))
-    paths.separate('a')
+    paths.isolate('a')
     for sender in 'abc':
         socks[sender].sendto(sender.encode(), relayed['c'])
     assert {socks['c'].recv(9) for _ in range(2)} == {b'b', b'c'}
@@ -132,7 +132,7 @@
 )
 def test_partitions_are_combined(paths, cuts, apart):
     for names, others in cuts:
-        paths.separate(*names, others=others)
+        paths.isolate(*names, others=others)
     for pair in ('ab', 'ac', 'bc'):
         assert paths.is_partitioned(*pair) == (pair in apart)
         assert paths.is_partitioned(*reversed(pair)) == (pair in apart)
--- a/tests/system/test_partitions.py
+++ b/tests/system/test_partitions.py
@@ -9,7 +9,7 @@
 from cyclamenlift.core.codes import is_not_run
 from cyclamenlift.core.codes import ResultCode
 from cyclamenlift.standins.fleet import wait_until
-from cyclamenlift.standins.paths import ANYBODY
+from cyclamenlift.standins.paths import ANY_SOURCE
 from cyclamenlift.standins.relay import Direction
 from tests.system.builders import call
 from tests.system.builders import document
@@ -51,8 +51,8 @@
     entry = entry_of(fleet)
     with watched_versions(fleet):
         # The entry reaches the old leader alone, the others reach all.
-        fleet.paths.separate('entry', others=rest)
-        fleet.paths.separate(old.name, others=rest)
+        fleet.paths.isolate('entry', others=rest)
+        fleet.paths.isolate(old.name, others=rest)
         # These meet a leader that does not yet know that it is cut off.
         waits = [in_background(shown, old) for _ in range(3)]
         booking = in_background(
@@ -87,7 +87,9 @@
     assert runs_of(fleet, 'k1') == 1
 
 
-@pytest.mark.parametrize('directions', [tuple(Direction), (Direction.BACK,)])
+@pytest.mark.parametrize(
+    'directions', [tuple(Direction), (Direction.BACKWARD,)]
+)
 def test_silently_cut_gate_costs_no_look_up_and_runs_nothing_twice(
     fleet, directions
 ):
@@ -102,7 +104,7 @@
         'the booking runs',
     )[0]
     name = fleet.daemons[fleet.targets.index(victim)].running.name
-    fleet.paths.cut_stream(ANYBODY, name, directions)
+    fleet.paths.cut_stream(ANY_SOURCE, name, directions)
     found = [call(entry)[:2] for _ in range(60)]
     log = entry_of(fleet).running.log.read_text()
     assert set(found) == {(200, ResultCode.ANSWERED)}, log
@@ -110,7 +112,9 @@
     assert 3000 <= code < 4000
     assert not is_not_run(code)
     assert runs_of(fleet, 'k1') == 1
-    lane = fleet.paths.streams[ANYBODY, name].lanes[Direction.THERE]
+    lane = fleet.paths.streams[ANY_SOURCE, name].direction_states[
+        Direction.FORWARD
+    ]
 
     def shunned() -> bool:
         before = lane.received_bytes
@@ -139,7 +143,7 @@
             old = find_leader(fleet)
             rest = others_of(fleet, old)
             # In every other turn the daemons reach the old leader still.
-            fleet.paths.separate(old.name, others=rest if turn % 2 else None)
+            fleet.paths.isolate(old.name, others=rest if turn % 2 else None)
             find_leader(fleet, rest)
             wait_for_bookings(bookers, 5)
             fleet.paths.heal()
@@ -167,14 +171,16 @@
     rest = others_of(fleet, old)
     entry = entry_of(fleet)
     with watched_versions(fleet) as watch:
-        alone = fleet.paths.separate('late')
+        alone = fleet.paths.isolate('late')
         late = fleet.start_daemon('late', 'dc-0', gossip_seconds=FAST_GOSSIP)
         wait_until(late.status, WAIT_SECONDS, 'the late daemon runs')
-        fleet.paths.separate(old.name, 'entry', 'late')
+        fleet.paths.isolate(old.name, 'entry', 'late')
         # Two sources that agree would be believed, without confirmation.
-        fleet.paths.separate('late', others={'entry'})
+        fleet.paths.isolate('late', others={'entry'})
         # What waited meets a leader that does not know that it is cut off.
-        old_lane = fleet.paths.streams['late', old.name].lanes[Direction.BACK]
+        old_lane = fleet.paths.streams['late', old.name].direction_states[
+            Direction.BACKWARD
+        ]
         fleet.paths.heal(alone)
         find_leader(fleet, rest)
         kept = document(deadline_ms=2222)
@@ -222,7 +228,7 @@
     names.update(c.name for c in fleet.controls)
     # A path between daemons serves all, so every daemon is cut off alone.
     for name in names:
-        fleet.paths.separate(name)
+        fleet.paths.isolate(name)
     before = fleet.targets[0].counters()['runs']
     found = [call(lone.entry)[:2] for _ in range(100)]
     log = lone.running.log.read_text()
@@ -246,7 +252,7 @@
     publish(fleet, document(), 0, 'c1')
     small, big = fleet.daemons[:2], fleet.daemons[2:]
     with watched_versions(fleet):
-        fleet.paths.separate(*(d.running.name for d in small))
+        fleet.paths.isolate(*(d.running.name for d in small))
         wait_until(
             lambda: all(d.status()['suspects'] for d in fleet.daemons),
             WAIT_SECONDS,
@@ -295,7 +301,7 @@
     make_fleet(fleet, 5)
     publish(fleet, document(), 0, 'c1')
     small, big = fleet.daemons[:2], fleet.daemons[2:]
-    fleet.paths.separate(*(d.running.name for d in small))
+    fleet.paths.isolate(*(d.running.name for d in small))
     wait_until(
         lambda: all(d.status()['suspects'] >= 3 for d in small),
         WAIT_SECONDS,
@@ -303,8 +309,8 @@
     )
     # A path serves all daemons: cut what the smaller side must not reach.
     for daemon in small:
-        fleet.paths.cut_stream(ANYBODY, daemon.running.name, is_cut=False)
+        fleet.paths.cut_stream(ANY_SOURCE, daemon.running.name, is_cut=False)
     for daemon in big:
-        fleet.paths.cut_stream(ANYBODY, daemon.running.name)
+        fleet.paths.cut_stream(ANY_SOURCE, daemon.running.name)
     found = [call(d.entry)[:2] for _ in range(30) for d in small]
     assert found == [(200, ResultCode.ANSWERED)] * len(found)
