--- a/cyclamenlift/reports/losses.py
+++ b/cyclamenlift/reports/losses.py
@@ -104,12 +104,12 @@
     records: Iterable[dict], seconds: float
 ) -> dict[float, Window]:
     """Return the windows by start, in seconds after the first record."""
-    found: dict[float, Window] = {}
+    windows: dict[float, Window] = {}
     timed = sorted((unix_seconds(r), n, r) for n, r in enumerate(records))
     for at, _, record in timed:
         start = (at - timed[0][0]) // seconds * seconds
-        found.setdefault(start, Window()).add(record)
-    return found
+        windows.setdefault(start, Window()).add(record)
+    return windows
 
 
 def unix_seconds(record: dict) -> float:
--- a/cyclamenlift/standins/client.py
+++ b/cyclamenlift/standins/client.py
@@ -7,7 +7,7 @@
 import httptools
 
 
-class AnswerLost(Exception):
+class ResponseLost(Exception):
     """The connection closed before the response was complete."""
 
     def __init__(self, some_received: bool):
@@ -16,7 +16,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class HttpAnswer:
+class HttpResponse:
     """A complete HTTP response."""
 
     status: int = 0
@@ -30,7 +30,7 @@
     def __init__(self):
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpResponseParser(self)
-        self.answer = HttpAnswer()
+        self.answer = HttpResponse()
         self.waiter: asyncio.Future | None = None
         self.closed = False
         self.unsolicited = False
@@ -67,7 +67,7 @@
     def on_message_complete(self) -> None:
         status = self.parser.get_status_code()
         if status == 100:
-            self.answer = HttpAnswer()
+            self.answer = HttpResponse()
             return
         self.answer.status = status
         self.keep_alive = self.parser.should_keep_alive()
@@ -80,11 +80,11 @@
         waiter = self.waiter
         self.waiter = None
         if waiter is not None and not waiter.done():
-            waiter.set_exception(AnswerLost(self.received))
+            waiter.set_exception(ResponseLost(self.received))
 
-    async def call(self, data: bytes, seconds: float) -> HttpAnswer:
-        """Send a request; return its response or raise AnswerLost."""
-        self.answer = HttpAnswer()
+    async def call(self, data: bytes, seconds: float) -> HttpResponse:
+        """Send a request; return its response or raise ResponseLost."""
+        self.answer = HttpResponse()
         self.received = False
         loop = asyncio.get_running_loop()
         self.waiter = loop.create_future()
--- a/cyclamenlift/standins/fleet.py
+++ b/cyclamenlift/standins/fleet.py
@@ -36,13 +36,13 @@
     """A process did not start, or a condition did not become true."""
 
 
-def own_host() -> str:
+def own_loopback_ip() -> str:
     """Return the loopback IP address that is unique to this process."""
     pid = os.getpid()
     return f'127.{100 + (pid >> 16) % 100}.{(pid >> 8) & 255}.{pid & 255}'
 
 
-def free_port(kind: int = socket.SOCK_STREAM) -> str:
+def free_address(kind: int = socket.SOCK_STREAM) -> str:
     """Return a free ``host:port``; each port is returned once.
 
     A started process may bind the port seconds later. Therefore the port is
@@ -50,7 +50,7 @@
     same IP address use ephemeral ports and cannot take it in the meantime.
     """
     for port in FREE_PORTS:
-        address = Address(own_host(), port)
+        address = Address(own_loopback_ip(), port)
         with socket.socket(socket.AF_INET, kind) as probe:
             try:
                 probe.bind(tuple(address))
@@ -224,7 +224,7 @@
         """Start a stand-in target and wait until it listens."""
         arguments = [
             'cyclamenlift.standins.target',
-            f'--host={own_host()}',
+            f'--host={own_loopback_ip()}',
             f'--name={name}',
             f'--slots={slots}',
         ]
@@ -253,10 +253,10 @@
     def start_controls(self, count: int, **options) -> list[ControlHandle]:
         """Start the control instances of a new cluster."""
         names = [f'control-{n}' for n in range(1, count + 1)]
-        peers = {name: free_port() for name in names}
+        peers = {name: free_address() for name in names}
         for name, address in peers.items():
             data = self.folder / name
-            admin = free_port()
+            admin = free_address()
             arguments = [
                 'cyclamenlift',
                 'control',
@@ -293,8 +293,8 @@
         **options,
     ) -> DaemonHandle:
         """Start a daemon for ``target``, or an entry without a target."""
-        entry, peer, admin = free_port(), free_port(), free_port()
-        gossip = free_port(socket.SOCK_DGRAM)
+        entry, peer, admin = free_address(), free_address(), free_address()
+        gossip = free_address(socket.SOCK_DGRAM)
         arguments = [
             'cyclamenlift',
             'daemon',
--- a/cyclamenlift/standins/load.py
+++ b/cyclamenlift/standins/load.py
@@ -18,9 +18,9 @@
 from cyclamenlift.standins.answers import AnswerFault
 from cyclamenlift.standins.answers import check_answer
 from cyclamenlift.standins.answers import read_first_line
-from cyclamenlift.standins.client import AnswerLost
-from cyclamenlift.standins.client import HttpAnswer
+from cyclamenlift.standins.client import HttpResponse
 from cyclamenlift.standins.client import Pool
+from cyclamenlift.standins.client import ResponseLost
 from cyclamenlift.standins.loops import run_precisely
 from cyclamenlift.standins.summary import CallClass
 from cyclamenlift.standins.summary import CallKind
@@ -152,7 +152,7 @@
         if connection is not None:
             try:
                 answer = await connection.call(self.encode(call), seconds)
-            except AnswerLost as error:
+            except ResponseLost as error:
                 if error.some_received:
                     class_without_answer = CallClass.BROKEN
             pool.release(connection)
@@ -186,7 +186,7 @@
 
 def build_record(
     call: PlannedCall,
-    answer: HttpAnswer | None,
+    answer: HttpResponse | None,
     class_without_answer: CallClass,
     seconds: float,
 ) -> CallRecord:
@@ -216,7 +216,7 @@
 
 
 def classify_answer(
-    call: PlannedCall, answer: HttpAnswer, code: int
+    call: PlannedCall, answer: HttpResponse, code: int
 ) -> CallClass:
     """Classify a response by its result code, then by its body.
 
--- a/tests/runtime/control_builders.py
+++ b/tests/runtime/control_builders.py
@@ -9,7 +9,7 @@
 from cyclamenlift.cli.admin import request
 from cyclamenlift.cli.publishing import LeaderCall
 from cyclamenlift.core.streams import Address
-from cyclamenlift.standins.fleet import free_port
+from cyclamenlift.standins.fleet import free_address
 from cyclamenlift.standins.fleet import http_request
 from tests.models.builders import document_value
 
@@ -45,8 +45,8 @@
     def __init__(self, folder, **flags):
         self.folder = folder
         self.flags = flags
-        self.peers = {name: Address.parse(free_port()) for name in NAMES}
-        self.admins = {name: Address.parse(free_port()) for name in NAMES}
+        self.peers = {name: Address.parse(free_address()) for name in NAMES}
+        self.admins = {name: Address.parse(free_address()) for name in NAMES}
         self.processes: dict[str, subprocess.Popen] = {}
         for name in NAMES:
             self.start(name)
--- a/tests/standins/builders.py
+++ b/tests/standins/builders.py
@@ -5,7 +5,7 @@
 import dataclasses
 
 from cyclamenlift.standins.client import ClientConnection
-from cyclamenlift.standins.client import HttpAnswer
+from cyclamenlift.standins.client import HttpResponse
 from cyclamenlift.standins.load import LoadPlan
 from cyclamenlift.standins.load import PlannedCall
 from cyclamenlift.standins.service import TargetPlan
@@ -43,7 +43,7 @@
     return '\r\n'.join(lines).encode() + b'\r\n\r\n' + body
 
 
-async def ask(address: str, *arguments, **headers) -> HttpAnswer:
+async def ask(address: str, *arguments, **headers) -> HttpResponse:
     """Send one request on a new connection."""
     connection = await connect(address)
     try:
--- a/tests/standins/test_load.py
+++ b/tests/standins/test_load.py
@@ -7,7 +7,7 @@
 
 from cyclamenlift.standins.answers import AnswerFacts
 from cyclamenlift.standins.answers import build_answer
-from cyclamenlift.standins.client import HttpAnswer
+from cyclamenlift.standins.client import HttpResponse
 from cyclamenlift.standins.load import classify_answer
 from cyclamenlift.standins.load import run_load
 from cyclamenlift.standins.load import sha256_of
@@ -41,7 +41,7 @@
     ],
 )
 def test_an_answer_is_classified(status, code, body, expected):
-    answer = HttpAnswer(status, {}, bytearray(body))
+    answer = HttpResponse(status, {}, bytearray(body))
     assert classify_answer(build_call(), answer, code) is expected
 
 
@@ -50,7 +50,7 @@
     [(b'ab', CallClass.ANSWERED), (b'ac', CallClass.BROKEN)],
 )
 def test_uploaded_body_must_arrive_unchanged(sent, expected):
-    answer = HttpAnswer(200, {}, bytearray(UPLOADED))
+    answer = HttpResponse(200, {}, bytearray(UPLOADED))
     assert (
         classify_answer(build_call(CallKind.UPLOAD, sent), answer, 0)
         is expected
--- a/tests/standins/test_relay.py
+++ b/tests/standins/test_relay.py
@@ -6,7 +6,7 @@
 import pytest
 
 from cyclamenlift.core.streams import Address
-from cyclamenlift.standins.fleet import free_port
+from cyclamenlift.standins.fleet import free_address
 from cyclamenlift.standins.fleet import wait_until
 from cyclamenlift.standins.paths import RelayPaths
 from cyclamenlift.standins.relay import Direction
@@ -142,6 +142,6 @@
     # Regression: a relay or an outgoing connection took the port of a
     # process that had not bound it yet, and the process did not start.
     lowest_ephemeral = int(LOCAL_PORTS.read_text().split()[0])
-    addresses = [Address.parse(free_port()) for _ in range(50)]
+    addresses = [Address.parse(free_address()) for _ in range(50)]
     assert len(set(addresses)) == 50
     assert all(address.port < lowest_ephemeral for address in addresses)
--- a/tests/standins/test_target.py
+++ b/tests/standins/test_target.py
@@ -11,8 +11,8 @@
 
 from cyclamenlift.standins.answers import AnswerFault
 from cyclamenlift.standins.answers import check_answer
-from cyclamenlift.standins.client import AnswerLost
-from cyclamenlift.standins.client import HttpAnswer
+from cyclamenlift.standins.client import HttpResponse
+from cyclamenlift.standins.client import ResponseLost
 from tests.standins.builders import ask
 from tests.standins.builders import connect
 from tests.standins.builders import request
@@ -85,7 +85,7 @@
         async with running_target(max_connections=1) as (service, address):
             first = await connect(address)
             await first.call(request('GET', '/prices'), 5.0)
-            with pytest.raises(AnswerLost):
+            with pytest.raises(ResponseLost):
                 await ask(address, 'GET', '/prices')
             first.close()
             return service.counters.refused_connections
@@ -102,11 +102,11 @@
     ],
 )
 def test_cut_faults_affect_only_the_next_calls(faults, some_received):
-    async def run() -> HttpAnswer:
+    async def run() -> HttpResponse:
         async with running_target() as (_, address):
             body = json.dumps({**faults, 'calls': 1}).encode()
             await ask(address, 'POST', '/_standin/fault', body)
-            with pytest.raises(AnswerLost) as caught:
+            with pytest.raises(ResponseLost) as caught:
                 await ask(address, 'GET', '/prices')
             assert caught.value.some_received is some_received
             return await ask(address, 'GET', '/prices?id=r')
@@ -128,7 +128,7 @@
     ],
 )
 def test_faults_can_be_changed_at_runtime(faults, path, status, fragment):
-    async def run() -> HttpAnswer:
+    async def run() -> HttpResponse:
         async with running_target(service_ms=300.0) as (service, address):
             body = json.dumps(faults).encode()
             response = await ask(address, 'POST', '/_standin/fault', body)
--- a/tests/system/ending.py
+++ b/tests/system/ending.py
@@ -6,7 +6,7 @@
 import time
 
 from cyclamenlift.standins.fleet import Fleet
-from cyclamenlift.standins.fleet import free_port
+from cyclamenlift.standins.fleet import free_address
 from cyclamenlift.standins.fleet import TargetHandle
 from tests.system.builders import call
 from tests.system.builders import FAST_GOSSIP
@@ -29,7 +29,7 @@
 
     def start(self, number: int) -> TargetHandle:
         name = f'prices-{number}'
-        options = {'port': free_port().rpartition(':')[2]}
+        options = {'port': free_address().rpartition(':')[2]}
         target = self.fleet.start_target(
             name,
             SERVICE,
--- a/tests/system/partitions.py
+++ b/tests/system/partitions.py
@@ -11,7 +11,7 @@
 from cyclamenlift.core.codes import is_not_run
 from cyclamenlift.core.codes import ResultCode
 from cyclamenlift.standins.fleet import Fleet
-from cyclamenlift.standins.fleet import own_host
+from cyclamenlift.standins.fleet import own_loopback_ip
 from cyclamenlift.standins.fleet import request_json
 from cyclamenlift.standins.fleet import wait_until
 from cyclamenlift.standins.paths import RelayPaths
@@ -28,7 +28,7 @@
 @contextlib.contextmanager
 def relayed_fleet():
     """Give a fleet whose processes reach each other through relays."""
-    paths = RelayPaths(own_host())
+    paths = RelayPaths(own_loopback_ip())
     with tempfile.TemporaryDirectory(prefix='cyclamenlift-') as name:
         fleet = Fleet(pathlib.Path(name), paths=paths)
         try:
