--- a/cyclamenlift/console/pages.py
+++ b/cyclamenlift/console/pages.py
@@ -1,4 +1,4 @@
-"""The pages of the console: look, edit, publish, history, instances."""
+"""Console pages: view, edit, publish, history and control instances."""
 
 import json
 
@@ -7,9 +7,9 @@
 import pydantic
 import structlog
 
+from cyclamenlift.console.control_interface import ControlInterface
 from cyclamenlift.console.editing import Draft
 from cyclamenlift.console.editing import draft_from_fields
-from cyclamenlift.console.port import ControlPort
 from cyclamenlift.console.rendering import render
 from cyclamenlift.console.views import blank_document
 from cyclamenlift.console.views import FormBuilder
@@ -28,8 +28,8 @@
 LOG = structlog.get_logger('console')
 HISTORY_LENGTH = 50
 MAX_DIGITS = 18
-# After these codes the same change may be sent again under its id.
-SAME_CHANGE = (
+# After these results the same change may be resubmitted with its change id.
+RESUBMITTABLE_CODES = (
     ResultCode.CHANGE_UNKNOWN,
     ResultCode.NOT_LEADER,
     ResultCode.DOCUMENT_INVALID,
@@ -39,36 +39,36 @@
 
 
 class ConsolePages(BaseController):
-    """``/``, ``/edit``, ``/version``, ``/history`` and ``/instances``."""
+    """Serves ``/``, ``/edit``, ``/version``, ``/history``, ``/instances``."""
 
     channel = '/'
 
-    def __init__(self, port: ControlPort):
+    def __init__(self, control: ControlInterface):
         super().__init__()
-        self.port = port
+        self.control = control
 
     @expose('index')
     def index(self) -> Answer:
         """Show the document in force."""
-        return show_version(self.port, 0)
+        return show_version(self.control, 0)
 
     @expose('version')
     def version(self) -> Answer:
         """Show one version."""
-        return show_version(self.port, asked_version(self.request))
+        return show_version(self.control, requested_version(self.request))
 
     @expose('edit')
     def edit(self) -> Answer:
-        """Open the form on a version (GET), or work on it (POST)."""
+        """Show the form for a version (GET) or process it (POST)."""
         if self.request.method == 'POST':
-            return work_on_form(self.port, self.request)
-        return open_form(self.port, asked_version(self.request))
+            return handle_form(self.control, self.request)
+        return show_form(self.control, requested_version(self.request))
 
     @expose('history')
     def history(self) -> Answer:
-        """List who made the newest versions."""
+        """List the newest versions and who published them."""
         deferred = Deferred()
-        self.port.history(
+        self.control.history(
             HISTORY_LENGTH,
             lambda report: deferred.resolve(
                 render('history.html', report.code, report=report)
@@ -78,56 +78,56 @@
 
     @expose('instances')
     def instances(self) -> Answer:
-        """Show the control instances (GET), or replace a storage (POST)."""
+        """Show the control instances (GET) or replace a storage (POST)."""
         if self.request.method == 'POST':
-            return replace_storage(self.port, self.request)
-        return show_instances(self.port, None)
+            return replace_storage(self.control, self.request)
+        return show_instances(self.control, None)
 
 
-# These are functions, since circuits exposes the methods of a controller.
+# Helpers are module functions: circuits serves every controller method.
 
 
-def asked_version(request) -> int:
-    """Return the version in the query, 0 (the newest) if there is none."""
+def requested_version(request) -> int:
+    """Return the version in the query, 0 (the newest) if missing."""
     text = parse_query(request).get('version', '')
     if not (text.isascii() and text.isdigit()) or len(text) > MAX_DIGITS:
         return 0
     return int(text)
 
 
-def show_version(port: ControlPort, version: int) -> Deferred:
+def show_version(control: ControlInterface, version: int) -> Deferred:
     deferred = Deferred()
 
     def finish(report: DocumentReport) -> None:
         document = json.loads(report.document) if report.document else None
         code = report.code
         if not document and not report.current_version:
-            # A cluster without a document is new, not broken.
+            # A new cluster has no document yet; that is not an error.
             code = ResultCode.ANSWERED
         deferred.resolve(
             render('event.html', code, report=report, document=document)
         )
 
-    port.show(version, finish)
+    control.show(version, finish)
     return deferred
 
 
-def open_form(port: ControlPort, version: int) -> Deferred:
-    """Return the form, filled with a version on the newest as its base."""
+def show_form(control: ControlInterface, version: int) -> Deferred:
+    """Render the form for a version, with the newest version as its base."""
     deferred = Deferred()
 
     def finish(report: DocumentReport) -> None:
         value = json.loads(report.document) if report.document else None
         draft = Draft(value or blank_document(), report.current_version)
-        draft.renew()
+        draft.assign_change_id()
         deferred.resolve(render_form(draft, ResultCode.ANSWERED))
 
-    port.show(version, finish)
+    control.show(version, finish)
     return deferred
 
 
-def work_on_form(port: ControlPort, request) -> Answer:
-    """Change rows, check or publish; the form is kept in each case."""
+def handle_form(control: ControlInterface, request) -> Answer:
+    """Edit rows, validate or publish; the form keeps its values."""
     try:
         draft = draft_from_fields(parse_form(request))
     except ValueError as error:
@@ -135,37 +135,37 @@
     if draft.edit_rows():
         return render_form(draft, ResultCode.ANSWERED)
     if draft.action == 'take-text':
-        return render_form(draft, code_of_check(draft.take_text()))
+        return render_form(draft, validation_code(draft.load_text()))
     if draft.action == 'check':
-        good = draft.check()
-        return render_form(draft, code_of_check(good), checked=good)
+        valid = draft.check()
+        return render_form(draft, validation_code(valid), checked=valid)
     if draft.action == 'rebase':
-        return rebase(port, draft)
+        return rebase(control, draft)
     if draft.action == 'publish':
-        return publish(port, draft)
-    detail = f'no action is called {draft.action[:50]!r}'
+        return publish(control, draft)
+    detail = f'unknown action {draft.action[:50]!r}'
     return problem_response(Problem(ResultCode.BAD_REQUEST, detail))
 
 
-def code_of_check(good: bool) -> ResultCode:
-    return ResultCode.ANSWERED if good else ResultCode.DOCUMENT_INVALID
+def validation_code(valid: bool) -> ResultCode:
+    return ResultCode.ANSWERED if valid else ResultCode.DOCUMENT_INVALID
 
 
-def rebase(port: ControlPort, draft: Draft) -> Deferred:
-    """Put the draft on the newest version, as another change."""
+def rebase(control: ControlInterface, draft: Draft) -> Deferred:
+    """Set the newest version as the base, under a new change id."""
     deferred = Deferred()
 
     def finish(report: DocumentReport) -> None:
         draft.base_version = report.current_version
-        draft.renew()
+        draft.assign_change_id()
         deferred.resolve(render_form(draft, ResultCode.ANSWERED))
 
-    port.show(0, finish)
+    control.show(0, finish)
     return deferred
 
 
-def publish(port: ControlPort, draft: Draft) -> Answer:
-    """Publish the draft; the answer comes once the outcome is known."""
+def publish(control: ControlInterface, draft: Draft) -> Answer:
+    """Publish the draft; answer once the outcome is known."""
     try:
         change = draft.publication()
     except pydantic.ValidationError as error:
@@ -180,16 +180,16 @@
             code=int(report.code),
             version=report.version,
         )
-        draft.note(report.problems)
+        draft.set_problems(report.problems)
         if report.code == ResultCode.CHANGE_ACCEPTED:
             answer = render('accepted.html', report.code, report=report)
         else:
-            if report.code not in SAME_CHANGE:
-                draft.renew()
+            if report.code not in RESUBMITTABLE_CODES:
+                draft.assign_change_id()
             answer = render_form(draft, report.code, report=report)
         deferred.resolve(answer)
 
-    port.publish(change, finish)
+    control.publish(change, finish)
     return deferred
 
 
@@ -210,10 +210,12 @@
     )
 
 
-def show_instances(port: ControlPort, done: StorageReport | None) -> Deferred:
+def show_instances(
+    control: ControlInterface, done: StorageReport | None
+) -> Deferred:
     deferred = Deferred()
     code = ResultCode.ANSWERED if done is None else done.code
-    port.status(
+    control.status(
         lambda report: deferred.resolve(
             render('instances.html', code, report=report, done=done)
         )
@@ -221,18 +223,18 @@
     return deferred
 
 
-def replace_storage(port: ControlPort, request) -> Answer:
-    """Order a replacement, then show the instances with its outcome."""
+def replace_storage(control: ControlInterface, request) -> Answer:
+    """Request a replacement, then show the instances with its outcome."""
     try:
-        order = StorageReplacement(**dict(parse_form(request)))
+        replacement = StorageReplacement(**dict(parse_form(request)))
     except (ValueError, TypeError):
-        detail = 'instance and storage_id are needed'
+        detail = 'instance and storage_id are required'
         return problem_response(Problem(ResultCode.BAD_REQUEST, detail))
     deferred = Deferred()
 
     def finish(report: StorageReport) -> None:
-        page = show_instances(port, report)
+        page = show_instances(control, report)
         page.then(deferred.resolve)
 
-    port.replace_storage(order, finish)
+    control.replace_storage(replacement, finish)
     return deferred
--- a/tests/system/partitions.py
+++ b/tests/system/partitions.py
@@ -10,9 +10,9 @@
 
 from cyclamenlift.core.codes import is_not_run
 from cyclamenlift.core.codes import ResultCode
-from cyclamenlift.standins.fleet import ask_json
 from cyclamenlift.standins.fleet import Fleet
-from cyclamenlift.standins.fleet import own_host
+from cyclamenlift.standins.fleet import own_loopback_ip
+from cyclamenlift.standins.fleet import request_json
 from cyclamenlift.standins.fleet import wait_until
 from cyclamenlift.standins.paths import RelayPaths
 from tests.system.builders import call
@@ -28,7 +28,7 @@
 @contextlib.contextmanager
 def relayed_fleet():
     """Yield a fleet whose processes connect to each other through relays."""
-    paths = RelayPaths(own_host())
+    paths = RelayPaths(own_loopback_ip())
     with tempfile.TemporaryDirectory(prefix='cyclamenlift-') as name:
         fleet = Fleet(pathlib.Path(name), paths=paths)
         try:
@@ -66,7 +66,7 @@
         'document': json.dumps(value),
         'operator_name': 'test',
     }
-    answer = ask_json(control.admin, '/api/publish', 'POST', body)
+    answer = request_json(control.admin, '/api/publish', 'POST', body)
     return answer['code'] if answer else 0
 
 
@@ -82,7 +82,7 @@
 
 
 def read_document(control) -> dict | None:
-    return ask_json(control.admin, '/api/document')
+    return request_json(control.admin, '/api/document')
 
 
 class VersionMonitor:
--- a/tests/system/test_partitions.py
+++ b/tests/system/test_partitions.py
@@ -9,7 +9,7 @@
 from cyclamenlift.core.codes import is_not_run
 from cyclamenlift.core.codes import ResultCode
 from cyclamenlift.standins.fleet import wait_until
-from cyclamenlift.standins.paths import ANYBODY
+from cyclamenlift.standins.paths import ANY_SOURCE
 from cyclamenlift.standins.relay import Direction
 from tests.system.builders import call
 from tests.system.builders import document
@@ -52,8 +52,8 @@
     entry = entry_of(fleet)
     with monitored_versions(fleet):
         # The entry reaches only the old leader; other daemons reach all.
-        fleet.paths.separate('entry', others=rest)
-        fleet.paths.separate(old.name, others=rest)
+        fleet.paths.isolate('entry', others=rest)
+        fleet.paths.isolate(old.name, others=rest)
         # These reach the leader before it detects the partition.
         pending = [in_background(read_document, old) for _ in range(3)]
         booking = in_background(
@@ -85,13 +85,15 @@
             publish_once(leader, rejected, 1, 'lost')
             == ResultCode.VERSION_CONFLICT
         )
-        fleet.wait_in_force(2, len(fleet.daemons))
+        fleet.wait_for_version(2, len(fleet.daemons))
     code = call(entry.entry, 'POST', '/bookings', b'{}', 'k1')[1]
     assert code == ResultCode.ANSWERED
     assert runs_of(fleet, 'k1') == 1
 
 
-@pytest.mark.parametrize('directions', [tuple(Direction), (Direction.BACK,)])
+@pytest.mark.parametrize(
+    'directions', [tuple(Direction), (Direction.BACKWARD,)]
+)
 def test_partitioned_gate_fails_no_look_up_and_runs_nothing_twice(
     fleet, directions
 ):
@@ -106,7 +108,7 @@
         'the booking runs',
     )[0]
     name = fleet.daemons[fleet.targets.index(victim)].running.name
-    fleet.paths.cut_stream(ANYBODY, name, directions)
+    fleet.paths.cut_stream(ANY_SOURCE, name, directions)
     found = [call(entry)[:2] for _ in range(60)]
     log = entry_of(fleet).running.log.read_text()
     assert set(found) == {(200, ResultCode.ANSWERED)}, log
@@ -114,7 +116,9 @@
     assert 3000 <= code < 4000
     assert not is_not_run(code)
     assert runs_of(fleet, 'k1') == 1
-    lane = fleet.paths.streams[ANYBODY, name].lanes[Direction.THERE]
+    lane = fleet.paths.streams[ANY_SOURCE, name].direction_states[
+        Direction.FORWARD
+    ]
 
     def receives_no_calls() -> bool:
         before = lane.received_bytes
@@ -143,7 +147,7 @@
             old = wait_for_leader(fleet)
             rest = other_controls(fleet, old)
             # In odd rounds the daemons can still reach the old leader.
-            fleet.paths.separate(
+            fleet.paths.isolate(
                 old.name, others=rest if round_number % 2 else None
             )
             wait_for_leader(fleet, rest)
@@ -173,14 +177,16 @@
     rest = other_controls(fleet, old)
     entry = entry_of(fleet)
     with monitored_versions(fleet) as monitor:
-        alone = fleet.paths.separate('late')
+        alone = fleet.paths.isolate('late')
         late = fleet.start_daemon('late', 'dc-0', gossip_seconds=FAST_GOSSIP)
         wait_until(late.status, WAIT_SECONDS, 'the late daemon answers')
-        fleet.paths.separate(old.name, 'entry', 'late')
+        fleet.paths.isolate(old.name, 'entry', 'late')
         # Without this, two agreeing sources would be accepted unconfirmed.
-        fleet.paths.separate('late', others={'entry'})
+        fleet.paths.isolate('late', others={'entry'})
         # Delayed requests reach the leader before it detects the partition.
-        old_lane = fleet.paths.streams['late', old.name].lanes[Direction.BACK]
+        old_lane = fleet.paths.streams['late', old.name].direction_states[
+            Direction.BACKWARD
+        ]
         fleet.paths.heal(alone)
         wait_for_leader(fleet, rest)
         accepted = document(deadline_ms=2222)
@@ -210,7 +216,7 @@
             assert runs_of(fleet, key) == 0
         assert entry.status()['version'] == 1
         fleet.paths.heal()
-        fleet.wait_in_force(2, len(fleet.daemons))
+        fleet.wait_for_version(2, len(fleet.daemons))
         wait_until(
             lambda: late.status()['confirmed'], WAIT_SECONDS, 'confirmed'
         )
@@ -228,7 +234,7 @@
     names.update(c.name for c in fleet.controls)
     # Daemons share the path to a daemon, so each is isolated separately.
     for name in names:
-        fleet.paths.separate(name)
+        fleet.paths.isolate(name)
     before = fleet.targets[0].counters()['runs']
     found = [call(isolated.entry)[:2] for _ in range(100)]
     log = isolated.running.log.read_text()
@@ -252,7 +258,7 @@
     publish(fleet, document(), 0, 'c1')
     small, big = fleet.daemons[:2], fleet.daemons[2:]
     with monitored_versions(fleet):
-        fleet.paths.separate(*(d.running.name for d in small))
+        fleet.paths.isolate(*(d.running.name for d in small))
         wait_until(
             lambda: all(d.status()['suspects'] for d in fleet.daemons),
             WAIT_SECONDS,
@@ -279,7 +285,7 @@
         assert {d.status()['version'] for d in small} == {1}
         assert {call(d.entry)[0] for d in small for _ in range(10)} == {200}
         fleet.paths.heal()
-        fleet.wait_in_force(2, len(fleet.daemons))
+        fleet.wait_for_version(2, len(fleet.daemons))
         wait_until(
             lambda: not any(d.status()['suspects'] for d in fleet.daemons),
             WAIT_SECONDS,
@@ -305,7 +311,7 @@
     make_fleet(fleet, 5)
     publish(fleet, document(), 0, 'c1')
     small, big = fleet.daemons[:2], fleet.daemons[2:]
-    fleet.paths.separate(*(d.running.name for d in small))
+    fleet.paths.isolate(*(d.running.name for d in small))
     wait_until(
         lambda: all(d.status()['suspects'] >= 3 for d in small),
         WAIT_SECONDS,
@@ -313,8 +319,8 @@
     )
     # Daemons share each path: cut those that lead to the bigger side.
     for daemon in small:
-        fleet.paths.cut_stream(ANYBODY, daemon.running.name, is_cut=False)
+        fleet.paths.cut_stream(ANY_SOURCE, daemon.running.name, is_cut=False)
     for daemon in big:
-        fleet.paths.cut_stream(ANYBODY, daemon.running.name)
+        fleet.paths.cut_stream(ANY_SOURCE, daemon.running.name)
     found = [call(d.entry)[:2] for _ in range(30) for d in small]
     assert found == [(200, ResultCode.ANSWERED)] * len(found)
