--- a/cyclamenlift/core/codes.py
+++ b/cyclamenlift/core/codes.py
@@ -96,8 +96,8 @@
     hint: str
 
 
-_RETRY = 'Safe to retry after the time in Retry-After.'
-_QUERY = 'Query the outcome with the same Idempotency-Key.'
+_RETRY = 'Safe to try again after the time in Retry-After.'
+_QUERY = 'Ask for the outcome with the same Idempotency-Key.'
 _CORRECT = 'Correct the request.'
 
 _INFO = {
@@ -109,7 +109,7 @@
     ),
     ResultCode.NO_TARGET: (503, 'no target may take the call', _RETRY),
     ResultCode.OVERLOADED: (503, 'every target is overloaded', _RETRY),
-    ResultCode.DRAINING: (503, 'the target is draining', _RETRY),
+    ResultCode.DRAINING: (503, 'the target is leaving', _RETRY),
     ResultCode.QUEUE_DEADLINE: (
         503,
         'the call would wait past its deadline',
@@ -121,17 +121,17 @@
         'no majority of control instances to claim the key',
         _RETRY,
     ),
-    ResultCode.TARGET_UNREACHABLE: (503, 'the target is unreachable', _RETRY),
+    ResultCode.TARGET_UNREACHABLE: (503, 'target not reached', _RETRY),
     ResultCode.BODY_BUDGET_FULL: (
         503,
-        'no memory left to buffer the upload',
+        'no room to keep the upload safe',
         _RETRY,
     ),
-    ResultCode.LEDGER_FULL: (429, 'too many keys are stored', _RETRY),
+    ResultCode.LEDGER_FULL: (429, 'too many keys are held', _RETRY),
     ResultCode.SHUTTING_DOWN: (503, 'this instance is stopping', _RETRY),
     ResultCode.NO_CONFIGURATION: (
         503,
-        'no event document is active on this instance yet',
+        'no event document is in force here yet',
         _RETRY,
     ),
     ResultCode.DEADLINE_NOT_RUN: (
@@ -141,32 +141,32 @@
     ),
     ResultCode.TARGET_REFUSED: (
         503,
-        'the target itself refused the call',
+        'the target refused the call itself',
         _RETRY,
     ),
     ResultCode.TARGET_REPLACED: (
         503,
-        'the address now belongs to another target',
+        'another target has the address by now',
         _RETRY,
     ),
     ResultCode.TARGET_SLOW: (
         503,
-        'the target is slower than the entry assumed',
+        'the target is slower now than the entry knew',
         _RETRY,
     ),
     ResultCode.RULES_BEHIND: (
         503,
-        'not in the active document, but a newer one is pending',
+        'not named by the document in force, and a newer one is coming',
         _RETRY,
     ),
     ResultCode.REQUEST_QUARANTINED: (
         503,
-        'quarantined, since targets ended while they ran this request',
+        'kept away, since targets ended while they ran this request',
         _RETRY,
     ),
     ResultCode.TARGET_BROKE_OFF: (
         502,
-        'the target closed the connection early',
+        'the target broke off',
         _QUERY,
     ),
     ResultCode.PEER_LOST: (502, 'the connection to the gate was lost', _QUERY),
@@ -183,25 +183,25 @@
     ResultCode.CLAIM_UNKNOWN: (
         504,
         'an attempt with this key has an unknown outcome',
-        'Determine it by other means; a new key may run it twice.',
+        'Find out by other means; a new key may run it twice.',
     ),
     ResultCode.BAD_TARGET_ANSWER: (
         502,
-        'the response of the target was invalid or incomplete',
+        'the answer of the target was not whole',
         _QUERY,
     ),
     ResultCode.RECORD_TOO_LARGE: (
         504,
-        'it ran, but its response was too large to record',
-        'The operation ran once: check its effect.',
+        'it ran; its answer was too large to keep',
+        'The operation ran once: look up its effect.',
     ),
     ResultCode.TARGET_ENDED: (502, 'the target ended while it ran', _QUERY),
     ResultCode.PAGE_FAILED: (
         500,
         'the page failed',
-        'Check the logs and the current state before a retry.',
+        'Look at the logs and at the current state before trying again.',
     ),
-    ResultCode.BAD_REQUEST: (400, 'the request is invalid', _CORRECT),
+    ResultCode.BAD_REQUEST: (400, 'the request is wrong', _CORRECT),
     ResultCode.UNKNOWN_SERVICE: (
         404,
         'no service of this name in the event',
@@ -210,11 +210,11 @@
     ResultCode.KEY_REQUIRED: (
         400,
         'the operation needs an Idempotency-Key',
-        'Send one key for each operation and reuse it for retries.',
+        'Send one key for each operation and keep it when trying again.',
     ),
     ResultCode.KEY_EXPIRED: (
         409,
-        'the key or the event has expired; this attempt did not run',
+        'key past its deadline or the event; this attempt was not run',
         'Send Cyclamenlift-Key-Expires within the event.',
     ),
     ResultCode.KEY_REUSED: (
@@ -222,16 +222,16 @@
         'the key was used for another request',
         'Use a fresh key for a new operation.',
     ),
-    ResultCode.BODY_TOO_LARGE: (413, 'the body exceeds the limit', _CORRECT),
+    ResultCode.BODY_TOO_LARGE: (413, 'the body is over the limit', _CORRECT),
     ResultCode.HEADERS_TOO_LARGE: (
         431,
-        'the headers exceed the limit',
+        'headers over the limit',
         _CORRECT,
     ),
-    ResultCode.BAD_FRAMING: (400, 'invalid request framing', _CORRECT),
+    ResultCode.BAD_FRAMING: (400, 'the framing of the request', _CORRECT),
     ResultCode.REQUEST_TIMEOUT: (
         408,
-        'the request was not received in time',
+        'the request did not arrive in time',
         'Send it again on a new connection.',
     ),
     ResultCode.NOT_FOUND: (404, 'no such page', 'Check the path.'),
@@ -249,14 +249,14 @@
     ),
     ResultCode.NO_ROUTE: (
         404,
-        'no route matches the host and path',
+        'no route fits the host and path',
         'Compare host and path with the routes of the document.',
     ),
     ResultCode.CHANGE_ACCEPTED: (200, 'change accepted', 'Nothing to do.'),
     ResultCode.VERSION_CONFLICT: (
         409,
-        'another change was made first',
-        'Read the current version, then publish based on it.',
+        'another change came first',
+        'Read the current version, then publish on that base.',
     ),
     ResultCode.CHANGE_ID_REUSED: (
         409,
@@ -266,12 +266,12 @@
     ResultCode.DOCUMENT_INVALID: (
         422,
         'the document has errors; nothing was changed',
-        'Correct the listed fields.',
+        'Correct the fields that are named.',
     ),
     ResultCode.NOT_LEADER: (
         421,
-        'this control instance is not the leader',
-        'Send the request to the leader that is named.',
+        'this control instance does not lead',
+        'Ask the instance that is named as leader.',
     ),
     ResultCode.CHANGE_UNKNOWN: (
         504,
@@ -281,15 +281,15 @@
     ResultCode.STORAGE_REPLACED: (200, 'storage replaced', 'Nothing to do.'),
     ResultCode.STORAGE_REFUSED: (
         409,
-        'the storage cannot be replaced now',
-        'Check the status of the control instances.',
+        'the storage can not be replaced now',
+        'Look at the status of the control instances.',
     ),
-    ResultCode.SETTING_INVALID: (0, 'a setting is invalid', 'Correct it.'),
+    ResultCode.SETTING_INVALID: (0, 'a setting is wrong', 'Correct it.'),
     ResultCode.SETTING_MISSING: (0, 'a setting is missing', 'Give it.'),
     ResultCode.DOCUMENT_UNREADABLE: (
         0,
         'the document could not be read',
-        'Pass a YAML or JSON file.',
+        'Give a YAML or JSON file.',
     ),
     ResultCode.INSTANCE_UNREACHABLE: (
         0,
@@ -303,7 +303,7 @@
     ),
     ResultCode.STORAGE_TORN_TAIL: (
         0,
-        'an incomplete record at the end was truncated',
+        'an unfinished record at the end was cut',
         'Nothing to do: it was never acknowledged.',
     ),
     ResultCode.STORAGE_IN_USE: (
@@ -314,18 +314,18 @@
     ResultCode.STORAGE_FOREIGN: (
         0,
         'the data folder belongs to another instance',
-        'Use the data folder of this instance.',
+        'Give the data folder of this instance.',
     ),
     ResultCode.STORAGE_FAILED: (
         0,
         'the disk refused a write or a sync',
         'Check the disk; the instance has stopped.',
     ),
-    ResultCode.FRAME_TOO_LARGE: (0, 'a frame exceeds the limit', 'Check '
-                                 'which process uses the peer port.'),
-    ResultCode.FRAME_MALFORMED: (0, 'a frame could not be parsed', 'Compare '
+    ResultCode.FRAME_TOO_LARGE: (0, 'a frame is over the limit', 'Look for '
+                                 'a stranger on the peer port.'),
+    ResultCode.FRAME_MALFORMED: (0, 'a frame could not be read', 'Compare '
                                  'the versions of both instances.'),
-    ResultCode.FRAME_UNEXPECTED: (0, 'an unexpected frame', 'Compare the '
+    ResultCode.FRAME_UNEXPECTED: (0, 'a frame out of place', 'Compare the '
                                   'versions of both instances.'),
     ResultCode.STRANGER: (0, 'a process of another cluster', 'Compare the '
                           'cluster names in the settings.'),
--- a/cyclamenlift/events/commands.py
+++ b/cyclamenlift/events/commands.py
@@ -85,9 +85,7 @@
     """Publish a validated document; see ``publish``."""
     document = document_to_bytes(checked)
     if len(document) > MAX_CANONICAL_BYTES:
-        problem = Problem(
-            ResultCode.DOCUMENT_INVALID, 'the document is too large'
-        )
+        problem = Problem(ResultCode.DOCUMENT_INVALID, 'the document is large')
         done(invalid_report(context, [problem]))
         return
     if not context.leads():
--- a/cyclamenlift/events/state.py
+++ b/cyclamenlift/events/state.py
@@ -165,7 +165,7 @@
                 return known.outcome
             return self.reject(
                 ResultCode.CHANGE_ID_REUSED,
-                'the change id belongs to another document',
+                'another document came first',
             )
         parsed = parse_document(document)
         outcome = self.evaluate(
@@ -197,7 +197,7 @@
         if not 0 < len(change_id) <= MAX_ID_LENGTH:
             return self.reject(
                 ResultCode.DOCUMENT_INVALID,
-                f'a change id must have 1 to {MAX_ID_LENGTH} characters',
+                f'a change id has 1 to {MAX_ID_LENGTH} characters',
             )
         if isinstance(parsed, str):
             return self.reject(ResultCode.DOCUMENT_INVALID, parsed)
--- a/cyclamenlift/gate/gate_call.py
+++ b/cyclamenlift/gate/gate_call.py
@@ -307,7 +307,7 @@
         if self.verdict is AnswerVerdict.REPLACED:
             code = ResultCode.TARGET_REPLACED
             self.gate.doubt_target()
-        detail = f'status {self.status}, target reports that it did not run'
+        detail = f'status {self.status}, says it did not run'
         state = self.gate.state
         wait = retry_after_refusal(len(state.running), state.concurrency_limit)
         self.send_refused(code, detail, wait)
--- a/cyclamenlift/gate/suspects.py
+++ b/cyclamenlift/gate/suspects.py
@@ -39,14 +39,12 @@
             return False
         if assessment.status is QuarantineStatus.QUARANTINED:
             wait = assessment.until - self.gate.now()
-            self.refuse(
-                call, 'quarantined: targets ended while they ran it', wait
-            )
+            self.refuse(call, 'targets ended while they ran it', wait)
             return True
         if self.is_running(fingerprint):
             self.refuse(
                 call,
-                'suspect request is already running here',
+                'a suspect that runs here',
                 RUNNING_RETRY_AFTER,
             )
             return True
@@ -59,7 +57,7 @@
         now = self.gate.now()
         wait = self.next_trial.get(fingerprint, now) - now
         if wait > 0.0:
-            self.refuse(call, 'a trial of this request ran recently', wait)
+            self.refuse(call, 'a trial was made lately', wait)
             return True
         if call.key in self.gate.state.running:
             self.note_trial(fingerprint, now)
--- a/cyclamenlift/gate/tasks.py
+++ b/cyclamenlift/gate/tasks.py
@@ -279,21 +279,15 @@
             self, link, start, now, self.transit_delay(link, start)
         )
         if start.service_name != self.service:
-            call.send_refused(
-                ResultCode.NO_TARGET, 'call is for another service'
-            )
+            call.send_refused(ResultCode.NO_TARGET, 'another service')
             return
         if self.awaits_target():
-            call.send_refused(
-                ResultCode.NO_TARGET, 'target not identified yet'
-            )
+            call.send_refused(ResultCode.NO_TARGET, 'no target known yet')
             return
         if self.quarantine.is_behind():
             # Without the quarantine list, a request that is barred from all
             # targets would reach this one.
-            call.send_refused(
-                ResultCode.NO_TARGET, 'quarantine list not synchronized yet'
-            )
+            call.send_refused(ResultCode.NO_TARGET, 'ends not known yet')
             return
         self.news.note_call(link, now)
         if self.presence.absent:
@@ -416,8 +410,4 @@
 
 def refuse_call(link, start: CallStart, code: ResultCode) -> None:
     """Refuse a call on an instance that has no gate."""
-    link.send(
-        Refused(
-            start.call_id, int(code), 'no target on this instance', 0, None
-        )
-    )
+    link.send(Refused(start.call_id, int(code), 'no target here', 0, None))
--- a/cyclamenlift/http/client.py
+++ b/cyclamenlift/http/client.py
@@ -267,14 +267,14 @@
         parser = stream.context.parser
         parser.feed(data)
         if parser.problem:
-            self.fail(call, f'malformed response: {parser.problem}')
+            self.fail(call, f'the answer is malformed: {parser.problem}')
             self.discard(stream)
             return
         try:
             self.deliver(stream, call, parser)
         except Exception:
             LOG.exception('listener_failed', target=str(self.address))
-            self.fail(call, 'processing the response failed')
+            self.fail(call, 'the answer could not be taken')
             self.discard(stream)
 
     def reassign_unsent(self, stream: Stream, call: TargetCall | None) -> None:
@@ -346,8 +346,8 @@
         if error is None and connection.parser.completes_at_eof():
             call.finish().on_end()
             return
-        reason = error or 'the connection was closed'
-        self.fail(call, f'incomplete response of the target: {reason}', kind)
+        reason = error or 'it closed the connection'
+        self.fail(call, f'no whole answer of the target: {reason}', kind)
 
     def fail(
         self,
--- a/cyclamenlift/http/connection.py
+++ b/cyclamenlift/http/connection.py
@@ -303,7 +303,7 @@
         elif self.active is not None and not self.active.request.complete:
             self.expire_body(self.active)
         elif self.parser.in_head:
-            detail = 'the request head was not received in time'
+            detail = 'the head of the request is late'
             self.refuse(Problem(ResultCode.REQUEST_TIMEOUT, detail))
         else:
             self.linger()
@@ -312,7 +312,7 @@
         if exchange.done:
             self.linger()
             return
-        detail = 'the request body was not received in time'
+        detail = 'the body of the request is late'
         problem = Problem(ResultCode.REQUEST_TIMEOUT, detail)
         self.fail_body(exchange, problem)
 
--- a/cyclamenlift/http/request_parser.py
+++ b/cyclamenlift/http/request_parser.py
@@ -193,7 +193,7 @@
         version = self.parser.get_http_version()
         minor = VERSIONS.get(version)
         if minor is None:
-            reject(f'HTTP version {version} is not supported')
+            reject(f'HTTP version {version} is not spoken here')
         method = self.parser.get_method().decode('ascii')
         fields = self.fields_by_name()
         host = fields.get('host')
@@ -202,7 +202,7 @@
         upgrade = self.parser.should_upgrade()
         if upgrade and (method == 'CONNECT' or length != 0):
             # llhttp would treat the body as data of another protocol.
-            reject('protocol upgrades are not supported')
+            reject('no other protocol is spoken here')
         return IncomingRequest(
             method,
             request_path(self.target.decode('latin-1'), method, host),
@@ -227,13 +227,13 @@
         coding = fields.get('transfer-encoding')
         if coding is not None:
             if coding.lower() != 'chunked' or not minor:
-                reject(f'transfer coding {coding!r} is not supported')
+                reject(f'transfer coding {coding!r} is not spoken here')
             return None
         length = int(fields.get('content-length', '0'))
         if length > self.limits.max_body_bytes:
             raise RequestRejected(
                 ResultCode.BODY_TOO_LARGE,
-                f'{length} bytes exceed {self.limits.max_body_bytes}',
+                f'{length} bytes, over {self.limits.max_body_bytes}',
             )
         return length
 
@@ -247,7 +247,7 @@
     """Reject a missing or malformed ``Host``."""
     if host is None:
         if minor:
-            reject('the Host field is missing')
+            reject('no Host field')
         return
     if HOST_PATTERN.fullmatch(host) is None:
         reject('the Host field is malformed')
@@ -264,7 +264,7 @@
     '/a'
     """
     if '#' in target:
-        reject('the request target contains a fragment')
+        reject('a fragment in the request target')
     if target.startswith('/') or (target == '*' and method == 'OPTIONS'):
         return target
     scheme, mark, rest = target.partition('://')
--- a/cyclamenlift/http/response_parser.py
+++ b/cyclamenlift/http/response_parser.py
@@ -94,7 +94,7 @@
         try:
             self.parser.feed_data(data)
         except HttpParserUpgrade:
-            self.fail('the protocol was switched')
+            self.fail('it switched to another protocol')
         except HttpParserError as error:
             cause = error.__context__
             refused = isinstance(cause, ResponseRejected)
@@ -114,7 +114,7 @@
             0 if self.progress else self.unparsed_bytes + size
         )
         if self.unparsed_bytes > self.limits.max_header_bytes:
-            self.fail('header fields exceed the limit')
+            self.fail('its header fields are over the limit')
 
     def completes_at_eof(self) -> bool:
         """Return whether end of file completes the response."""
@@ -124,7 +124,7 @@
 
     def on_message_begin(self) -> None:
         if self.complete:
-            raise ResponseRejected('data after the end of the response')
+            raise ResponseRejected('bytes after the answer')
         self.headers = []
         self.head_bytes = 0
 
@@ -132,7 +132,7 @@
         limits = self.limits
         self.head_bytes += len(name) + len(value) + FIELD_OVERHEAD
         if self.head_bytes > limits.max_header_bytes:
-            raise ResponseRejected('header fields exceed the limit')
+            raise ResponseRejected('its header fields are over the limit')
         if self.head_ready:
             # Trailer fields count towards the limit and are dropped.
             return
@@ -142,17 +142,17 @@
         )
         self.headers.append(field)
         if len(self.headers) > limits.max_headers:
-            raise ResponseRejected('too many header fields')
+            raise ResponseRejected('it has too many header fields')
 
     def on_headers_complete(self) -> None:
         self.progress = True
         if self.parser.get_http_version() not in VERSIONS:
-            raise ResponseRejected('the HTTP version is not supported')
+            raise ResponseRejected('its HTTP version is not spoken here')
         self.status = self.parser.get_status_code()
         self.interim = self.status < 200
         if self.interim:
             if self.status == SWITCHING_PROTOCOLS:
-                raise ResponseRejected('the protocol was switched')
+                raise ResponseRejected('it switched to another protocol')
             return
         self.determine_framing()
         if self.is_for_other_call():
@@ -164,7 +164,7 @@
 
     def on_body(self, data: bytes) -> None:
         if self.complete:
-            raise ResponseRejected('data after the end of the response')
+            raise ResponseRejected('bytes after the answer')
         self.progress = True
         if not self.skipping:
             self.chunks.append(data)
@@ -193,7 +193,7 @@
     def skip_response(self) -> None:
         """Skip a response to another call; the expected one may follow."""
         if self.until_close:
-            raise ResponseRejected('it is a response to another call')
+            raise ResponseRejected('it answers another call')
         self.skipping = True
 
     def determine_framing(self) -> None:
@@ -205,9 +205,7 @@
                 length = int(value)
             elif name == 'transfer-encoding':
                 if value.lower() != 'chunked':
-                    raise ResponseRejected(
-                        f'unsupported transfer coding {value!r}'
-                    )
+                    raise ResponseRejected(f'its transfer coding is {value!r}')
                 chunked = True
         self.bodiless = self.method == 'HEAD' or (
             self.status in BODILESS_STATUS
@@ -217,5 +215,5 @@
         self.length = length
         self.until_close = length is None and not chunked
         if self.until_close and not self.limits.unsized_answers:
-            raise ResponseRejected('it declares no length')
+            raise ResponseRejected('it states no length')
         self.keep_alive = self.parser.should_keep_alive()
--- a/cyclamenlift/http/server.py
+++ b/cyclamenlift/http/server.py
@@ -85,7 +85,7 @@
         stream.context = CallerConnection(self, stream)
         limit = self.limits.max_connections
         if limit and len(self.streams) > limit:
-            detail = f'the limit of {limit} connections is reached'
+            detail = f'{limit} connections are open'
             problem = Problem(ResultCode.OVERLOADED, detail)
             stream.context.refuse(problem)
 
--- a/cyclamenlift/http/target.py
+++ b/cyclamenlift/http/target.py
@@ -36,7 +36,7 @@
         b'GET / HTTP/1.1\\r\\nhost: a\\r\\n\\r\\n'
         """
         if not self.method.isalpha() or ' ' in self.path or not self.path:
-            raise HeaderError('malformed request line')
+            raise HeaderError('the request line is malformed')
         fields = [
             field for field in self.headers if field[0] not in REPLACED_FIELDS
         ]
--- a/cyclamenlift/http/target_call.py
+++ b/cyclamenlift/http/target_call.py
@@ -82,7 +82,7 @@
             return
         left = self.body_left - size
         if left < 0 or (last and left):
-            raise ValueError('the body differs from its declared length')
+            raise ValueError('the body does not have its declared length')
         self.body_left = left
 
     def finish(self) -> TargetListener:
--- a/cyclamenlift/http/web.py
+++ b/cyclamenlift/http/web.py
@@ -93,7 +93,7 @@
             exchange.respond_problem(Problem(ResultCode.BAD_REQUEST, detail))
             return
         if not is_same_origin(exchange):
-            detail = 'Origin: cross-origin request'
+            detail = 'Origin: a page of another place sent this'
             exchange.respond_problem(Problem(ResultCode.BAD_REQUEST, detail))
             return
         if not self.has_page(request):
--- a/cyclamenlift/replication/commands.py
+++ b/cyclamenlift/replication/commands.py
@@ -38,13 +38,13 @@
     if state.commit_index < state.leadership.start_index:
         return 'the leader has not committed an entry of its term yet'
     if state.voters.change_pending(state.commit_index):
-        return 'another configuration change is in progress'
+        return 'another replacement is under way'
     if instance not in latest.storage_ids:
-        return f'{instance!r} is not a voter'
+        return f'{instance!r} is no control instance'
     if progress is None:
-        return f'{instance!r} is the leader and its storage is in use'
+        return f'{instance!r} leads; its storage is in use'
     if progress.storage_id != storage_id:
-        return f'{instance!r} last reported storage {progress.storage_id!r}'
+        return f'{instance!r} last answered with {progress.storage_id!r}'
     return ''
 
 
--- a/cyclamenlift/replication/tasks.py
+++ b/cyclamenlift/replication/tasks.py
@@ -204,7 +204,7 @@
         BODY_TOO_LARGE.
         """
         if len(command) > MAX_COMMAND_BYTES:
-            detail = f'the command has {len(command)} bytes'
+            detail = f'a command of {len(command)} bytes'
             problem = Problem(ResultCode.BODY_TOO_LARGE, detail)
             self.call_soon(lambda: done(Failure(problem)))
             return
