--- a/cyclamenlift/__init__.py
+++ b/cyclamenlift/__init__.py
@@ -1,8 +1,9 @@
-"""A load balancer for servers whose load shifts in milliseconds.
+"""A load balancer for servers whose load changes within milliseconds.
 
-Each package below this one holds one concern and the same few modules:
-``state`` (pure decisions), ``tasks`` (circuits components that own sockets
-and state), ``commands`` and ``queries`` (kept apart) and ``codes``.
+Each subpackage covers one concern and follows the same layout: ``state``
+(pure decision logic without I/O), ``tasks`` (circuits components that own
+sockets and mutable state), ``commands`` (writes), ``queries`` (reads) and
+``codes``.
 """
 
 __version__ = '0.2.0'
--- a/cyclamenlift/__main__.py
+++ b/cyclamenlift/__main__.py
@@ -1,4 +1,4 @@
-"""Run the command line: ``python -m cyclamenlift``."""
+"""Entry point of ``python -m cyclamenlift``."""
 
 from cyclamenlift.cli import main
 
--- a/cyclamenlift/conf/__init__.py
+++ b/cyclamenlift/conf/__init__.py
@@ -1,4 +1,4 @@
-"""Settings from flags and environment, checked at start."""
+"""Settings from flags and environment variables, validated at start."""
 
 from cyclamenlift.conf.settings import ControlSettings
 from cyclamenlift.conf.settings import DaemonSettings
--- a/cyclamenlift/conf/durations.py
+++ b/cyclamenlift/conf/durations.py
@@ -1,4 +1,4 @@
-"""Times as text: a number and its unit, ``ms`` or ``s``."""
+"""Parsing of durations: a number followed by ``ms`` or ``s``."""
 
 import re
 
@@ -7,19 +7,21 @@
 
 
 def milliseconds(text: object) -> float:
-    """Return a time in milliseconds; raise ValueError when it is none.
+    """Parse a duration to milliseconds; raise ValueError if invalid.
 
     >>> milliseconds('2.5s'), milliseconds('1500ms')
     (2500.0, 1500.0)
     """
     found = PATTERN.fullmatch(text) if isinstance(text, str) else None
     if found is None:
-        raise ValueError(f'{str(text)[:40]!r} is no time such as 1500ms')
+        raise ValueError(
+            f'{str(text)[:40]!r} is not a duration such as 1500ms'
+        )
     return float(found[1]) * MILLISECONDS_OF[found[2]]
 
 
 def seconds(text: object) -> float:
-    """Return a time in seconds.
+    """Parse a duration to seconds; raise ValueError if invalid.
 
     >>> seconds('1500ms')
     1.5
--- a/cyclamenlift/conf/settings.py
+++ b/cyclamenlift/conf/settings.py
@@ -1,7 +1,8 @@
-"""Settings of the two kinds of process.
+"""Settings of the daemon and control processes.
 
-A flag wins over the environment variable ``CYCLAMENLIFT_<NAME>``; both win
-over the default. All wrong settings are listed at once by ``check``.
+A flag takes precedence over the environment variable ``CYCLAMENLIFT_<NAME>``,
+which takes precedence over the default. ``check`` reports all invalid
+settings at once.
 """
 
 from collections.abc import Mapping
@@ -42,14 +43,14 @@
 
 
 def split_list(value) -> tuple[str, ...]:
-    """Accept ``a,b`` as well as a sequence (fire parses commas)."""
+    """Accept ``a,b`` as well as a sequence, which fire makes of commas."""
     if isinstance(value, str):
         return tuple(part.strip() for part in value.split(',') if part)
     return value
 
 
-# A union with str would allow commas, too, but report each wrong entry once
-# for either part.
+# A union with str would also accept commas, but would report each invalid
+# entry once per member of the union.
 AddressList = Annotated[
     tuple[AddressText, ...],
     pydantic.BeforeValidator(split_list),
@@ -60,50 +61,55 @@
 
 
 class CommonSettings(pydantic.BaseModel):
-    """What every process is told."""
+    """Settings of every process."""
 
     model_config = pydantic.ConfigDict(extra='forbid', frozen=True)
 
-    instance: Name = pydantic.Field(description='name of this instance')
-    data_centre: Name = pydantic.Field(description='data centre it runs in')
+    instance: Name = pydantic.Field(description='unique name of this instance')
+    data_centre: Name = pydantic.Field(
+        description='data centre of this instance'
+    )
     cluster: Name = pydantic.Field(
-        'cyclamenlift', description='processes of another cluster are refused'
+        'cyclamenlift',
+        description='name of the cluster; peers of other clusters are refused',
     )
     peer_listen: AddressText = pydantic.Field(
-        '127.0.0.1:7100', description='address for the system itself, TCP'
+        '127.0.0.1:7100',
+        description='address for connections between instances, TCP',
     )
     admin_listen: AddressText = pydantic.Field(
-        '127.0.0.1:7180', description='address for status, metrics, console'
+        '127.0.0.1:7180',
+        description='address of status, metrics and console, HTTP',
     )
     log_format: Literal['json', 'console'] = pydantic.Field(
-        'json', description='form of the log lines'
+        'json', description='format of log lines'
     )
     log_level: Literal['debug', 'info', 'warning', 'error'] = pydantic.Field(
-        'info', description='least severe log line that is written'
+        'info', description='minimum severity of log lines'
     )
 
 
 class DaemonSettings(CommonSettings):
-    """What a daemon beside a target is told."""
+    """Settings of a daemon."""
 
     entry_listen: AddressText = pydantic.Field(
-        '127.0.0.1:7000', description='address where callers arrive, HTTP'
+        '127.0.0.1:7000', description='address for callers, HTTP'
     )
     gossip_listen: AddressText = pydantic.Field(
-        '127.0.0.1:7101', description='address for membership, UDP'
+        '127.0.0.1:7101', description='address of the membership protocol, UDP'
     )
     advertise_peer: OptionalAddress = pydantic.Field(
-        '', description='peer address for other daemons; empty: peer_listen'
+        '', description='peer address announced to others; empty: peer_listen'
     )
     advertise_gossip: OptionalAddress = pydantic.Field(
         '',
-        description='gossip address for other daemons; empty: gossip_listen',
+        description='gossip address announced to others; empty: gossip_listen',
     )
     control: AddressList = pydantic.Field(
         (), description='peer addresses of the control instances'
     )
     seeds: AddressList = pydantic.Field(
-        (), description='gossip addresses of some other daemons'
+        (), description='gossip addresses of some other instances'
     )
     service: str = pydantic.Field(
         '', description='service of the local target; empty: entry only'
@@ -112,113 +118,139 @@
         '', description='address of the local target, host:port'
     )
     target_name: str = pydantic.Field(
-        '', description='name of the target; the instance if empty'
+        '', description='name of the target; empty: name of the instance'
     )
     slots: int = pydantic.Field(
-        20, ge=1, le=10_000, description='calls the target runs at once'
+        20,
+        ge=1,
+        le=10_000,
+        description='maximum concurrent calls of the target',
     )
     target_connections: int = pydantic.Field(
-        260, ge=1, le=60_000, description='connections the target accepts'
+        260, ge=1, le=60_000, description='maximum connections to the target'
     )
     warm_connections: int = pydantic.Field(
-        8, ge=0, le=1_000, description='connections kept open to the target'
+        8,
+        ge=0,
+        le=1_000,
+        description='idle connections kept open to the target',
     )
     health_path: str = pydantic.Field(
-        '', description='health page of the target; empty: none'
+        '', description='health check path of the target; empty: no checks'
     )
     health_seconds: float = pydantic.Field(
-        1.0, ge=0.01, le=60, description='time between two health requests'
+        1.0, ge=0.01, le=60, description='interval of health checks'
     )
     health_timeout_seconds: float = pydantic.Field(
-        1.0, ge=0.01, le=60, description='time for a health answer'
+        1.0, ge=0.01, le=60, description='timeout of a health check'
     )
     gossip_seconds: float = pydantic.Field(
         1.0, ge=0.05, le=60, description='period of the membership protocol'
     )
     body_budget_bytes: int = pydantic.Field(
-        64 * 1024**2, ge=0, description='bytes of uploads kept at the entry'
+        64 * 1024**2,
+        ge=0,
+        description='memory for request bodies at the entry',
     )
     max_header_bytes: int = pydantic.Field(
-        16 * 1024, ge=1024, le=1024**2, description='limit of all headers'
+        16 * 1024,
+        ge=1024,
+        le=1024**2,
+        description='maximum total size of the headers',
     )
     head_seconds: float = pydantic.Field(
-        10.0, gt=0, le=600, description='time for a request head to arrive'
+        10.0, gt=0, le=600, description='timeout for receiving a request head'
     )
     body_seconds: float = pydantic.Field(
-        300.0, gt=0, le=3600, description='time for a body to arrive'
+        300.0,
+        gt=0,
+        le=3600,
+        description='timeout for receiving a request body',
     )
     idle_seconds: float = pydantic.Field(
-        60.0, gt=0, le=3600, description='time an idle caller stays connected'
+        60.0,
+        gt=0,
+        le=3600,
+        description='timeout of an idle connection of a caller',
     )
     pipelined_requests: int = pydantic.Field(
         8,
         ge=1,
         le=1_000,
-        description='safe requests of one connection worked on at once',
+        description='maximum concurrent safe requests per connection',
     )
     drain_seconds: float = pydantic.Field(
-        300.0, ge=0, le=3600, description='longest wait of a graceful stop'
+        300.0,
+        ge=0,
+        le=3600,
+        description='maximum duration of a graceful shutdown',
     )
     farewell_seconds: float = pydantic.Field(
         0.0,
         ge=0,
         le=3600,
-        description='time that a stopping entry still takes new connections',
+        description='time a stopping entry accepts connections',
     )
     link_mbps: float = pydantic.Field(
         0.0,
         ge=0,
-        description='rate of the link of this instance; 0: not known, then '
-        'bodies count as if they took no time on their way',
+        description='bandwidth of the network link; 0: unknown, then the '
+        'transfer time of bodies is ignored',
     )
     retry_slack: float = pydantic.Field(
         0.0,
         ge=0,
-        description='retries that all entries share in a window beyond the '
-        'share of first tries; 0: each entry has a budget of its own',
+        description='retries per window shared by all entries, in addition to '
+        'retry_share; 0: each entry has its own budget',
     )
     retry_share: float = pydantic.Field(
-        0.2, ge=0, le=1, description='retries as a share of first tries'
+        0.2,
+        ge=0,
+        le=1,
+        description='maximum retries as a share of first tries',
     )
     retry_window_seconds: float = pydantic.Field(
         10.0, gt=0, le=600, description='window of the shared retry budget'
     )
     max_depth: int = pydantic.Field(
-        16, ge=1, le=64, description='deepest chain of calls'
+        16, ge=1, le=64, description='maximum depth of nested calls'
     )
 
     without: NameList = pydantic.Field(
-        (), description='mechanisms of deciding to run without, by name'
+        (), description='load-balancing mechanisms to disable, by name'
     )
 
     @pydantic.model_validator(mode='after')
     def check_target(self) -> 'DaemonSettings':
         if bool(self.service) != bool(self.target):
-            raise ValueError('service and target go together')
+            raise ValueError('service and target must be set together')
         if self.target:
             Address.parse(self.target)
         return self
 
 
 class ControlSettings(CommonSettings):
-    """What a control instance is told."""
+    """Settings of a control instance."""
 
     data: str = pydantic.Field(description='data folder of this instance')
     peers: AddressList = pydantic.Field(
         (),
-        description='name=host:port of every control instance, this one too',
+        description='name=host:port of all control instances, including own',
     )
     bootstrap: bool = pydantic.Field(
-        False, description='found a new cluster; every instance takes part'
+        False,
+        description='create a new cluster; all listed peers must take part',
     )
     wanted_voters: int = pydantic.Field(
         0,
         ge=0,
         le=7,
-        description='let the leader add and replace voters, down to this many',
+        description='number of voters that the leader maintains by adding '
+        'and replacing voters; 0: no automatic changes',
     )
     gossip_listen: OptionalAddress = pydantic.Field(
-        '', description='address for membership, UDP; empty: take no part'
+        '',
+        description='address of the membership protocol, UDP; empty: disabled',
     )
     seeds: AddressList = pydantic.Field(
         (), description='gossip addresses of some other instances'
@@ -227,31 +259,34 @@
         1.0, ge=0.05, le=60, description='period of the membership protocol'
     )
     election_ms: int = pydantic.Field(
-        500, ge=50, le=60_000, description='least time without a leader'
+        500, ge=50, le=60_000, description='minimum election timeout'
     )
     heartbeat_ms: int = pydantic.Field(
-        100, ge=10, le=10_000, description='time between heartbeats'
+        100, ge=10, le=10_000, description='interval of heartbeats'
     )
     snapshot_entries: int = pydantic.Field(
-        5_000, ge=10, description='log entries between two snapshots'
+        5_000, ge=10, description='number of log entries between snapshots'
     )
     recorded_answer_bytes: int = pydantic.Field(
-        16 * 1024, ge=0, le=1024**2, description='largest answer recorded'
+        16 * 1024,
+        ge=0,
+        le=1024**2,
+        description='maximum size of a recorded answer',
     )
     max_claims: int = pydantic.Field(
-        200_000, ge=1, description='keys held at once'
+        200_000, ge=1, description='maximum number of keys in the ledger'
     )
 
 
 def load_settings(
     kind: type[CommonSettings], flags: Mapping[str, object]
 ) -> Result[CommonSettings, list[Problem]]:
-    """Build settings from flags and environment, or list every problem."""
+    """Build settings from flags and environment, or return all problems."""
     unknown = sorted(set(flags) - set(kind.model_fields))
     problems = [
         Problem(
             ResultCode.SETTING_INVALID,
-            'no such setting',
+            'unknown setting',
             name,
             'Run "cyclamenlift check --help" for the list.',
         )
@@ -269,16 +304,18 @@
 
 
 def problem_of(item) -> Problem:
-    """Turn one pydantic error into a numbered problem with a hint."""
+    """Convert a pydantic error to a numbered problem with a hint."""
     name = str(item['loc'][0]) if item['loc'] else 'settings'
     hint = f'Set --{name} or {PREFIX}{name.upper()}.'
     if item['type'] == 'missing':
-        return Problem(ResultCode.SETTING_MISSING, 'not given', name, hint)
+        return Problem(
+            ResultCode.SETTING_MISSING, 'required but not set', name, hint
+        )
     return Problem(ResultCode.SETTING_INVALID, item['msg'], name, hint)
 
 
 def environment_values(kind: type[CommonSettings]) -> dict[str, object]:
-    """Return the settings that the environment gives, as texts."""
+    """Return the settings found in the environment, as strings."""
     given = {name.upper(): text for name, text in os.environ.items()}
     names = {name: PREFIX + name.upper() for name in kind.model_fields}
     return {n: given[v] for n, v in names.items() if v in given}
@@ -290,7 +327,7 @@
 
 
 def unknown_environment() -> list[str]:
-    """Return variables with our prefix that no setting reads."""
+    """Return variables with the prefix that match no setting."""
     known = set(environment_names(DaemonSettings))
     known.update(environment_names(ControlSettings))
     given = [name for name in os.environ if name.startswith(PREFIX)]
--- a/cyclamenlift/conf/watching.py
+++ b/cyclamenlift/conf/watching.py
@@ -1,4 +1,4 @@
-"""Notices that a settings file has changed, with or without a signal."""
+"""Reloads a settings file on SIGHUP or when the file has changed."""
 
 from collections.abc import Callable
 from collections.abc import Mapping
@@ -13,7 +13,7 @@
 
 from cyclamenlift.core.problems import Problem
 
-# The file may change without a signal; a look costs one system call.
+# Polling also detects changes without a signal and costs one system call.
 LOOK_SECONDS = 2.0
 Fields = Mapping[str, str]
 Stamp = tuple[int, int]
@@ -22,17 +22,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SettingsFile:
-    """How a file is read, and what changes whenever it does."""
+    """Functions that read a file and return its modification stamp."""
 
     read: Callable[[], Result[Fields, Problem]]
     stamp: Callable[[], Stamp]
 
 
 class SettingsWatch(BaseComponent):
-    """Reads the file again on SIGHUP or when it has another time stamp.
+    """Reloads the file on SIGHUP or when its stamp has changed.
 
-    ``stamp`` is that of before ``fields`` were read, so a change since
-    then is noticed.
+    ``stamp`` must be taken before ``fields`` are read, so that a change
+    between the two is detected.
     """
 
     channel = 'settings'
@@ -63,12 +63,12 @@
             self.reload('signal')
 
     def look(self) -> None:
-        """Read the file if it is another than before."""
+        """Reload the file if its stamp has changed."""
         if self.file.stamp() != self.stamp:
             self.reload('changed file')
 
     def reload(self, reason: str) -> None:
-        """Take over what has changed; an unreadable file changes nothing."""
+        """Read the file and apply changes; ignore an unreadable file."""
         self.stamp = self.file.stamp()
         found = self.file.read()
         if isinstance(found, Failure):
--- a/cyclamenlift/lean.py
+++ b/cyclamenlift/lean.py
@@ -1,10 +1,10 @@
-"""Loads the parts of large libraries that a daemon uses, and no more.
+"""Lazy and partial imports of large libraries.
 
-A library's package often imports all of its modules for the convenience of
-those who use many. A daemon uses few, and memory and the time of a start
-are dear where one runs beside each target. ``load_lean`` must run before
-anything else is imported. Measured for a daemon on one instance: 43 MB and
-0.69 s before, see docs/measurements.md for what is left.
+Many packages import all of their modules in ``__init__``. A daemon uses few
+of them, and since one runs beside each target, its memory and start time
+matter. ``load_lean`` must be called before any other import. Without it a
+daemon on one instance took 43 MB and 0.69 s to start; docs/measurements.md
+has the current values.
 """
 
 from collections.abc import Callable
@@ -17,8 +17,8 @@
 import sys
 import types
 
-# Standard modules that libraries import at their top and use in functions
-# that no daemon calls. They are loaded on their first use.
+# Standard modules that libraries import at module level but use only in
+# functions that no daemon calls. They are loaded on first use.
 LAZY_MODULES = (
     'asyncio',
     'ssl',
@@ -26,20 +26,20 @@
     'sysconfig',
     'tokenize',
 )
-# Functions that libraries import by name and call rarely or never. Their
-# module is loaded with the first call.
+# Functions that libraries import by name but call rarely or never. The first
+# call loads their module.
 LAZY_FUNCTIONS = {
     'importlib.metadata': ('entry_points', 'version'),
     'pickle': ('PicklingError',),
     'pydantic._internal._docs_extraction': ('extract_docstrings_from_cls',),
     'urllib.parse': ('quote_from_bytes',),
 }
-# Libraries that others use if they are there: for colours of logs on a
-# terminal, which a daemon does not have, and for hashes, which come from
-# the interpreter's own modules without loading OpenSSL.
+# Optional dependencies of libraries: for coloured logs on a terminal, which a
+# daemon does not have, and for hashes, which the interpreter's own modules
+# provide without loading OpenSSL.
 LEFT_OUT = ('colorama', 'rich', '_hashlib')
 
-# What the packages themselves offer, by the module that has it.
+# Names exported by the packages and the modules that define them.
 CIRCUITS_NAMES = {
     '__version__': 'circuits.version',
     'BaseComponent': 'circuits.core.components',
@@ -59,7 +59,7 @@
     'handler': 'circuits.core.handlers',
     'reprhandler': 'circuits.core.handlers',
 }
-# No daemon starts a process, so the base class is enough to be compared with.
+# No daemon starts processes; the base class suffices for isinstance checks.
 PROCESS_NAMES = {
     'Process': 'multiprocessing.process:BaseProcess',
     'current_process': 'multiprocessing.process',
@@ -81,14 +81,14 @@
     'multiprocessing': PROCESS_NAMES,
     'structlog': STRUCTLOG_NAMES,
 }
-# What keeps libraries from searching the machine while they load: pydantic
-# reads the metadata of all packages for plugins (there are none), and
-# zoneinfo the interpreter's build for the folder of time zones.
+# Prevents searches of the file system during imports: pydantic reads the
+# metadata of all packages to find plugins (there are none), and zoneinfo reads
+# the build configuration of the interpreter to find the time zones.
 ENVIRONMENT = {'PYDANTIC_DISABLE_PLUGINS': '__all__', 'PYTHONTZPATH': ''}
 
 
 def load_lean() -> None:
-    """Prepare lazy modules and bare packages; harmless when repeated."""
+    """Install lazy modules and partial packages; may be called again."""
     os.environ.update(ENVIRONMENT)
     for name in LAZY_MODULES:
         load_lazily(name)
@@ -101,9 +101,9 @@
 
 
 def load_lazily(name: str, functions: Sequence[str] = ()) -> None:
-    """Let a module be loaded when its first attribute is read.
+    """Install a module that is imported when an attribute is first read.
 
-    Those of ``functions`` may be read: only a call of one loads it.
+    Attributes in ``functions`` import the module only when called.
     """
     if name in sys.modules:
         return
@@ -111,8 +111,10 @@
 
     def load(attribute: str) -> object:
         if attribute.startswith('__'):
-            # The import system looks for these without using the module.
-            raise AttributeError(f'{name} has no {attribute} yet')
+            # The import system reads these without using the module.
+            raise AttributeError(
+                f'lazy module {name} has no attribute {attribute}'
+            )
         if sys.modules.get(name) is waiting:
             del sys.modules[name]
         return getattr(importlib.import_module(name), attribute)
@@ -127,16 +129,16 @@
 
 
 def leave_out(name: str) -> None:
-    """Let a library do without another that it only would like to have."""
+    """Make an optional dependency appear to be missing."""
     sys.modules.setdefault(name, None)
 
 
 def open_package(name: str, offered: Mapping[str, str]) -> None:
-    """Let the modules of a package be imported without its ``__init__``.
+    """Install a package whose modules load without its ``__init__``.
 
-    ``offered`` names what the package itself has: each name is taken from
-    its module, ``module`` or ``module:name``, when it is first asked for;
-    a module of the package stands for itself.
+    ``offered`` maps exported names to ``module`` or ``module:name``, which is
+    imported when the name is first read. A name that refers to a module of
+    the package yields that module.
     """
     if name in sys.modules:
         return
@@ -148,7 +150,9 @@
     def find(attribute: str) -> object:
         place = offered.get(attribute)
         if place is None:
-            raise AttributeError(f'{name} has no {attribute} here')
+            raise AttributeError(
+                f'partial package {name} has no attribute {attribute}'
+            )
         module, _, other_name = place.partition(':')
         found = importlib.import_module(module)
         if module == f'{name}.{attribute}':
@@ -160,7 +164,7 @@
 
 
 def package_folder(name: str) -> pathlib.Path:
-    """Return the folder of a package without running its ``__init__``."""
+    """Return the folder of a package without executing its ``__init__``."""
     parent, _, last = name.rpartition('.')
     if parent:
         return pathlib.Path(sys.modules[parent].__path__[0]) / last
--- a/cyclamenlift/models/__init__.py
+++ b/cyclamenlift/models/__init__.py
@@ -1,4 +1,4 @@
-"""The event document: validated at the border, plain data inside."""
+"""The event document: validated models and the data classes in use."""
 
 from cyclamenlift.models.document import document_from_bytes
 from cyclamenlift.models.document import document_from_text
--- a/cyclamenlift/models/document.py
+++ b/cyclamenlift/models/document.py
@@ -1,8 +1,8 @@
-"""Border models of the event document.
+"""Validation models of the event document.
 
-An operator writes one document for one event: which services take part,
-which targets may carry them, how much waiting and repetition callers
-tolerate. Units stand in the field names.
+An operator publishes one document per event. It lists the services, the
+targets that may serve them, and the timeouts and retries that callers
+accept. Field names include the unit.
 """
 
 import datetime
@@ -23,9 +23,9 @@
 from cyclamenlift.models.routes import StrictModel
 
 MAX_DOCUMENT_BYTES = 1024 * 1024
-# The canonical bytes may be longer: they hold what was left out, and what
-# the document was made from. 10,000 routes, the most that there may be, take
-# 4.1 MB at 410 bytes each, with long names twice that.
+# The canonical form may be longer: it includes default values and the source
+# text. The maximum of 10,000 routes takes 4.1 MB at 410 bytes each, and twice
+# that with long names.
 MAX_CANONICAL_BYTES = 8 * 1024 * 1024
 NAME_PATTERN = r'^[a-z0-9][a-z0-9.-]{0,62}$'
 METHOD_PATTERN = r'^[A-Z]{3,10}$'
@@ -42,46 +42,45 @@
 
 
 class OperationModel(StrictModel):
-    """One kind of call of a service, matched by method and path.
+    """A kind of call of a service, matched by method and path.
 
-    ``path`` is a prefix that ends in ``*`` or a whole path. A call that
-    matches no operation counts as idempotent for GET, HEAD and OPTIONS
-    only.
+    ``path`` is a complete path, or a prefix followed by ``*``. A call that
+    matches no operation is idempotent if its method is GET, HEAD or OPTIONS.
     """
 
     method: str = pydantic.Field(
-        pattern=METHOD_PATTERN, description='HTTP method, in capitals'
+        pattern=METHOD_PATTERN, description='HTTP method in upper case'
     )
     path: str = pydantic.Field(
-        '/*', description='whole path, or a prefix that ends in *'
+        '/*', description='complete path, or a prefix followed by *'
     )
     idempotent: bool = pydantic.Field(
-        False, description='whether it may run twice without harm'
+        False, description='whether repeating the call is safe'
     )
 
     @pydantic.field_validator('path')
     @classmethod
     def check_path(cls, value: str) -> str:
         if not value.startswith('/'):
-            raise ValueError('a path starts with /')
+            raise ValueError('a path must start with /')
         if '*' in value[:-1]:
-            raise ValueError('* may only stand at the end of a path')
+            raise ValueError('* is allowed only at the end of a path')
         return value
 
 
 class ObjectiveModel(StrictModel):
-    """Service-level objective: a share of calls answered within a time."""
+    """Service-level objective: the share of calls answered in time."""
 
     latency_ms: float = pydantic.Field(
-        100.0, gt=0, le=600_000, description='a good call is answered within'
+        100.0, gt=0, le=600_000, description='longest latency of a good call'
     )
     percent: float = pydantic.Field(
-        99.9, gt=0, lt=100, description='share of calls that must be good'
+        99.9, gt=0, lt=100, description='required percentage of good calls'
     )
 
 
 class ServiceModel(StrictModel):
-    """One service of the event."""
+    """A service of the event."""
 
     name: Name = pydantic.Field(
         description='name of the service, as in the Host header'
@@ -89,109 +88,123 @@
     targets: tuple[str, ...] = pydantic.Field(
         ('*',),
         min_length=1,
-        description='patterns of the target names that may carry it',
+        description='name patterns of the targets that may serve it',
     )
     data_centres: tuple[Name, ...] = pydantic.Field(
-        (), description='data centres that may carry it; empty: all'
+        (), description='data centres that may serve it; empty: all'
     )
     deadline_ms: int = pydantic.Field(
-        2_000, ge=1, le=3_600_000, description='longest wait of a call'
+        2_000, ge=1, le=3_600_000, description='timeout of a call'
     )
     upload_deadline_ms: int = pydantic.Field(
         300_000,
         ge=1,
         le=3_600_000,
-        description='longest wait of a call with a body over 64 KiB',
+        description='timeout of a call with a body over 64 KiB',
     )
     policy: Policy = pydantic.Field(
-        'hot_cold', description='how a target is chosen'
+        'hot_cold', description='load-balancing policy'
     )
     max_tries: int = pydantic.Field(
-        3, ge=1, le=10, description='most tries of one call, hedges included'
+        3,
+        ge=1,
+        le=10,
+        description='maximum tries of one call, including hedges',
     )
     retry_budget_percent: float = pydantic.Field(
         10.0,
         ge=0,
         le=100,
-        description='retries and hedges, as a share of first tries',
+        description='retries and hedges, as a percentage of first tries',
     )
     hedge: bool = pydantic.Field(
         True, description='whether idempotent calls may be hedged'
     )
     queue_limit: int = pydantic.Field(
-        16, ge=0, le=10_000, description='calls that may wait at one gate'
+        16,
+        ge=0,
+        le=10_000,
+        description='maximum number of calls queued at one gate',
     )
     probe_budget_per_second: float = pydantic.Field(
         20.0,
         ge=0,
         le=100_000,
-        description='load probes and health requests at each target',
+        description='maximum load probes and health requests per target',
     )
     ejection_percent: int = pydantic.Field(
-        30, ge=0, le=100, description='most targets set aside as bad'
+        30,
+        ge=0,
+        le=100,
+        description='maximum percentage of targets ejected as failing',
     )
     slow_start_ms: int = pydantic.Field(
-        5_000, ge=0, le=600_000, description='time to ramp a new target up'
+        5_000, ge=0, le=600_000, description='ramp-up time of a new target'
     )
     max_body_bytes: int = pydantic.Field(
-        64 * 1024**2, ge=0, le=4 * 1024**3, description='largest body'
+        64 * 1024**2, ge=0, le=4 * 1024**3, description='maximum body size'
     )
     whole_answer_bytes: int = pydantic.Field(
         256 * 1024,
         ge=0,
         le=64 * 1024**2,
-        description='answers up to this size are gathered before sending',
+        description='answers up to this size are buffered before sending',
     )
     operations: tuple[OperationModel, ...] = pydantic.Field(
-        (), description='which calls may be repeated; first match counts'
+        (), description='which calls may be repeated; the first match applies'
     )
     objective: ObjectiveModel = pydantic.Field(
         ObjectiveModel(), description='the service-level objective'
     )
     health_path: str = pydantic.Field(
-        '', description="health page; empty: as the daemon's settings say"
+        '',
+        description="health check path; empty: that of the daemon's settings",
     )
     max_connections: int = pydantic.Field(
-        0, ge=0, le=60_000, description='connections a target takes; 0: any'
+        0,
+        ge=0,
+        le=60_000,
+        description='maximum connections per target; 0: no limit',
     )
 
 
 class EventDocument(StrictModel):
-    """The whole configuration: one event with its services."""
+    """The complete configuration: one event with its services."""
 
     event: Name = pydantic.Field(description='name of the event')
     starts_at: datetime.datetime = pydantic.Field(
-        description='start, with an offset such as +03:00'
+        description='start time with an offset such as +03:00'
     )
     ends_at: datetime.datetime = pydantic.Field(
-        description='end; keyed calls are taken until then'
+        description='end time; calls with a key are accepted until then'
     )
     services: tuple[ServiceModel, ...] = pydantic.Field(
-        min_length=1, max_length=500, description='the services that take part'
+        min_length=1, max_length=500, description='services of the event'
     )
     routes: tuple[RouteModel, ...] = pydantic.Field(
         (),
         max_length=10_000,
-        description='where requests go; none: Host names the service',
+        description='routing rules; without any, Host names the service',
     )
     caller_limits: CallerLimitsModel | None = pydantic.Field(
-        None, description="limits of callers; none: the daemon's settings"
+        None,
+        description="limits for callers; null: those of the daemon's settings",
     )
     source: str = pydantic.Field(
-        '', description='the text it was made from, kept as it was sent'
+        '', description='original text that the document was created from'
     )
 
     @pydantic.field_validator('starts_at', 'ends_at')
     @classmethod
     def check_zone(cls, value: datetime.datetime) -> datetime.datetime:
         if value.tzinfo is None:
-            raise ValueError('give a time with its offset, such as +03:00')
+            raise ValueError('a time needs an offset such as +03:00')
         return value
 
     @pydantic.model_validator(mode='after')
     def check_whole(self) -> 'EventDocument':
         if self.ends_at <= self.starts_at:
-            raise ValueError('ends_at must come after starts_at')
+            raise ValueError('ends_at must be later than starts_at')
         names = [service.name for service in self.services]
         twice = sorted({name for name in names if names.count(name) > 1})
         if twice:
@@ -201,17 +214,24 @@
             for share in route.shares:
                 if share.service not in known:
                     raise ValueError(
-                        f'route {route.name!r} names the unknown service '
+                        f'route {route.name!r} refers to the unknown service '
                         f'{share.service!r}'
                     )
         return self
 
 
 def document_from_text(text: str) -> Result[EventDocument, list[Problem]]:
-    """Read YAML or JSON; return every problem with its field's path."""
+    """Parse YAML or JSON; return every problem with its field's path."""
     if len(text) > MAX_DOCUMENT_BYTES:
-        return Failure([Problem(ResultCode.DOCUMENT_INVALID, 'over 1 MiB')])
-    # Only operators' tools read YAML; daemons need not carry its library.
+        return Failure(
+            [
+                Problem(
+                    ResultCode.DOCUMENT_INVALID,
+                    'the document is larger than 1 MiB',
+                )
+            ]
+        )
+    # Only operators' tools read YAML; daemons do not import its library.
     import yaml
 
     try:
@@ -231,7 +251,7 @@
 
 
 def problem_of(item) -> Problem:
-    """Turn one pydantic error into a problem that names the field."""
+    """Convert a pydantic error to a problem with the path of the field."""
     path = ''
     for part in item['loc']:
         path += f'[{part}]' if isinstance(part, int) else f'.{part}'
@@ -243,11 +263,11 @@
 
 
 def document_to_bytes(document: EventDocument) -> bytes:
-    """Return the canonical form: JSON with sorted keys."""
+    """Serialize a document to its canonical form: JSON with sorted keys."""
     value = document.model_dump(mode='json')
     return json.dumps(value, sort_keys=True, separators=(',', ':')).encode()
 
 
 def document_from_bytes(data: bytes) -> EventDocument:
-    """Read the canonical form back; raise ValueError when it is not one."""
+    """Parse the canonical form; raise ValueError if it is invalid."""
     return EventDocument.model_validate_json(data)
--- a/cyclamenlift/models/lines.py
+++ b/cyclamenlift/models/lines.py
@@ -1,9 +1,9 @@
-"""The form in which daemons hold a document: a line for each part.
+"""Line-based form of the event document, as daemons store it.
 
-The first line is the JSON of everything but the routes, each further line
-that of one route. So a change of one route is a change of one line, to send
-and to read. The text that the document was made from is left out: only
-operators read it, and it would be half of the bytes.
+The first line is the JSON of everything except the routes; each further line
+is the JSON of one route. A change of one route thus changes a single line to
+transfer and parse. The source text is omitted: only operators read it, and it
+would take half of the bytes.
 """
 
 import dataclasses
@@ -21,12 +21,12 @@
 
 
 def dump(value) -> bytes:
-    """Return one line of JSON, the same for the same value."""
+    """Serialize a value to one line of deterministic JSON."""
     return json.dumps(value, sort_keys=True, separators=(',', ':')).encode()
 
 
 def lines_from_canonical(data: bytes) -> Lines:
-    """Return the lines of a document's canonical bytes.
+    """Convert the canonical form of a document to lines.
 
     >>> lines_from_canonical(b'{"event":"e","routes":[{"name":"r"}]}')
     (b'{"event":"e"}', b'{"name":"r"}')
@@ -38,14 +38,14 @@
 
 
 def canonical_from_lines(lines: Lines) -> bytes:
-    """Return canonical bytes, for a peer that does not know lines."""
+    """Return the canonical form, for peers that do not support lines."""
     value = json.loads(lines[0])
     value['routes'] = [json.loads(line) for line in lines[1:]]
     return dump(value)
 
 
 def known_routes(lines: Lines, rules: EventRules | None) -> dict:
-    """Return the inside form of each route by its line."""
+    """Map each route line to its parsed rule."""
     if rules is None or rules.routes is None:
         return {}
     return dict(zip(lines[1:], rules.routes.routes, strict=True))
@@ -54,13 +54,13 @@
 def rules_from_lines(
     lines: Lines, version: int, known: dict[bytes, RouteRule]
 ) -> EventRules:
-    """Return the inside form; ValueError if the lines are no document.
+    """Return the rules of a document; raise ValueError if it is invalid.
 
-    Routes that are ``known`` are taken as they are: to read one costs 25
+    Rules of ``known`` lines are reused: parsing a route takes 25
     microseconds, and a document may have thousands.
     """
     if not lines:
-        raise ValueError('a document without lines')
+        raise ValueError('the document has no lines')
     head = EventDocument.model_validate_json(lines[0])
     rules = rules_from_document(head, version)
     routes = tuple(known.get(line) or read_route(line) for line in lines[1:])
@@ -78,6 +78,6 @@
     for share in route.shares:
         if share.service not in rules.services:
             raise ValueError(
-                f'route {route.name!r} names the unknown service '
+                f'route {route.name!r} refers to the unknown service '
                 f'{share.service!r}'
             )
--- a/cyclamenlift/models/rules.py
+++ b/cyclamenlift/models/rules.py
@@ -1,4 +1,4 @@
-"""The event document as the daemons use it: data classes with lookups."""
+"""The event document as daemons use it: data classes with lookups."""
 
 import dataclasses
 import fnmatch
@@ -14,7 +14,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OperationRule:
-    """Whether calls of one method and path may be repeated."""
+    """Tells whether calls of a method and path may be repeated."""
 
     method: str
     path: str
@@ -30,7 +30,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServiceRule:
-    """One service's limits; times in seconds, shares as fractions."""
+    """Rules of one service; times in seconds, shares as fractions."""
 
     name: str
     targets: tuple[str, ...]
@@ -54,7 +54,7 @@
     max_connections: int = 0
 
     def is_idempotent(self, method: str, path: str) -> bool:
-        """Tell whether a call may run twice without harm."""
+        """Whether it is safe to run a call more than once."""
         bare = path.partition('?')[0]
         for operation in self.operations:
             if operation.matches(method, bare):
@@ -62,7 +62,7 @@
         return method in SAFE_METHODS
 
     def allows_target(self, name: str, data_centre: str) -> bool:
-        """Tell whether a target may carry this service."""
+        """Whether a target may serve this service."""
         if self.data_centres and data_centre not in self.data_centres:
             return False
         return any(fnmatch.fnmatchcase(name, glob) for glob in self.targets)
@@ -70,7 +70,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RouteShare:
-    """The part of a route's requests that one service gets."""
+    """The share of a route's requests that is sent to one service."""
 
     service: str
     weight: int
@@ -78,10 +78,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RouteRule:
-    """Where the requests of one host and path prefix go; times in s.
+    """Maps requests of a host and path prefix to services; times in s.
 
-    Requests that are not ``idempotent`` run at most once for each attempt
-    of a caller. ``rank`` 0 is the most urgent.
+    Requests that are not ``idempotent`` run at most once per attempt of a
+    caller. ``rank`` 0 is the most urgent.
     """
 
     name: str
@@ -96,11 +96,10 @@
 
 
 class RouteTable:
-    """Finds the route of a request: its host, then the longest prefix.
+    """Finds the route of a request by its host and the longest prefix.
 
-    Prefixes end with a slash, so only the parts of a path up to a slash
-    can be one: a look-up takes a step for each slash, however many routes
-    there are.
+    Prefixes end with a slash, so a lookup takes one step per slash in the
+    path, regardless of the number of routes.
     """
 
     def __init__(self, routes: tuple[RouteRule, ...]):
@@ -111,7 +110,7 @@
             prefixes[route.path_prefix] = route
 
     def find(self, host: str, path: str) -> RouteRule | None:
-        """Return the route of a lower-case host and a path with query."""
+        """Return the route of a lower-case host and a path, query included."""
         prefixes = self.hosts.get(host)
         if prefixes is None:
             return None
@@ -130,7 +129,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """What one caller may send and how long it may take; bytes and s."""
+    """Limits for the connections of callers, in bytes and seconds."""
 
     max_header_bytes: int
     max_body_bytes: int
@@ -140,9 +139,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EventRules:
-    """The document in force, with its version.
+    """The rules of a document and its version.
 
-    ``routes`` is None where the ``Host`` names the service itself.
+    ``routes`` is None if the ``Host`` header names the service directly.
     """
 
     version: int
@@ -155,7 +154,7 @@
 
 
 def rules_from_document(document: EventDocument, version: int) -> EventRules:
-    """Return the inside form of a validated document."""
+    """Convert a validated document to rules."""
     return EventRules(
         version=version,
         event=document.event,
@@ -168,14 +167,14 @@
 
 
 def route_table(routes: tuple[RouteModel, ...]) -> RouteTable | None:
-    """Return the look-up of a document's routes, None without any."""
+    """Return the table of a document's routes, None without routes."""
     if not routes:
         return None
     return RouteTable(tuple(route_of(route) for route in routes))
 
 
 def route_of(route: RouteModel) -> RouteRule:
-    """Return the inside form of one route."""
+    """Convert a route to a rule."""
     return RouteRule(
         name=route.name,
         host=route.host,
@@ -190,7 +189,7 @@
 
 
 def limits_of(limits: CallerLimitsModel | None) -> CallerLimits | None:
-    """Return the inside form of the callers' limits."""
+    """Convert the limits for callers."""
     if limits is None:
         return None
     return CallerLimits(
@@ -202,7 +201,7 @@
 
 
 def rule_of(service: ServiceModel) -> ServiceRule:
-    """Return the inside form of one service."""
+    """Convert a service to a rule."""
     return ServiceRule(
         name=service.name,
         targets=service.targets,
--- a/cyclamenlift/platform/__init__.py
+++ b/cyclamenlift/platform/__init__.py
@@ -1,6 +1,6 @@
-"""The adapter to the users' platform.
+"""Adapter to the platform of the users.
 
-It translates and decides nothing: settings file, header fields, check-ins,
-readiness and the operators' calls are read here into the product's own
-types. No other package knows the platform's names.
+Translates settings file, header fields, heartbeats, readiness checks and
+operators' requests to the types of the product, without any decision logic.
+Names defined by the platform occur in no other package.
 """
--- a/cyclamenlift/platform/__main__.py
+++ b/cyclamenlift/platform/__main__.py
@@ -9,8 +9,8 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Run the program that is named; 2 when there is none such."""
-    # A reload that is asked for during the start is covered by the start.
+    """Run the named program; return 2 if the name is unknown."""
+    # A reload requested during startup is redundant: startup reads the file.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     load_lean()
     from cyclamenlift.platform.programs import PROGRAMS
--- a/cyclamenlift/platform/dialect.py
+++ b/cyclamenlift/platform/dialect.py
@@ -1,20 +1,20 @@
-"""The header fields of the platform, under the product's names."""
+"""Header field names of the platform."""
 
 from cyclamenlift.http.dialects import Dialect
 from cyclamenlift.http.dialects import DIALECTS
 
-# What an operator's change builds on: the version in force, a number.
+# The version of the configuration that a change is based on, a number.
 BASE_VERSION_FIELD = 'base-version'
 
 PLATFORM_DIALECT = DIALECTS.register('platform')(
     Dialect(
-        # One try of a caller; each retry of the caller has a new one.
+        # Identifies one attempt of a caller; each retry has a new value.
         call_id='attempt-id',
-        # From callers the whole time limit, to targets what is left.
+        # From callers the total time limit, to targets the remaining time.
         time_left_ms='deadline-ms',
-        # Names a service, not a caller: the one on the entry's machine.
+        # Names the service whose target runs beside the entry, not a caller.
         caller_service='caller-service',
-        # The incarnation that may run it, not merely the one preferred.
+        # The only incarnation that may run the request, not a preference.
         incarnation_asked='target-instance',
         incarnation='instance-id',
         proof='response-stamp',
--- a/cyclamenlift/platform/documents.py
+++ b/cyclamenlift/platform/documents.py
@@ -1,7 +1,7 @@
-"""Operators' configurations, read into event documents and back.
+"""Conversion of platform configurations to event documents.
 
-The text of a configuration is kept inside the event document, so that it
-is read back as it was sent; a partial change is made on that text.
+The event document includes the original text, so that operators read back
+exactly what they sent; partial changes are applied to that text.
 """
 
 import json
@@ -18,7 +18,7 @@
 from cyclamenlift.models.document import document_from_value
 from cyclamenlift.models.document import EventDocument
 
-# The platform's operators set no event; theirs is always under way.
+# Platform configurations have no event; a permanent one stands in.
 EVENT_NAME = 'platform'
 EVENT_STARTS = '2000-01-01T00:00:00Z'
 EVENT_ENDS = '9999-01-01T00:00:00Z'
@@ -31,20 +31,20 @@
 
 
 class WireModel(pydantic.BaseModel):
-    """A part of a configuration; fields that are not known are kept out."""
+    """Part of a configuration; unknown fields are ignored."""
 
     model_config = pydantic.ConfigDict(extra='ignore', frozen=True)
 
 
 class WireShare(WireModel):
-    """One service of a route with its weight."""
+    """A service of a route and its weight."""
 
     service: str
     weight: int = pydantic.Field(ge=0)
 
 
 class WireRoute(WireModel):
-    """One entry of ``path_rules``."""
+    """An entry of ``path_rules``."""
 
     name: str
     path_prefix: str
@@ -58,14 +58,14 @@
 
 
 class WireHost(WireModel):
-    """The routes of one host."""
+    """The routes of a host."""
 
     host: str
     path_rules: tuple[WireRoute, ...] = ()
 
 
 class WireService(WireModel):
-    """A service; its ``name`` is what targets announce."""
+    """A service; targets announce themselves with its ``name``."""
 
     name: str
     health_path: str = ''
@@ -73,7 +73,7 @@
 
 
 class WireLimits(WireModel):
-    """What callers may send; ``header_timeout`` bounds the head only."""
+    """Limits for callers; ``header_timeout`` applies to the head only."""
 
     max_header_bytes: int
     max_body_bytes: int
@@ -99,21 +99,21 @@
 
 
 def read_version(body: bytes) -> Result[int, Problem]:
-    """Return the version that a change chose for itself."""
+    """Return the version that a change assigns to its result."""
     try:
         value = json.loads(body)
     except (ValueError, RecursionError) as error:
-        return invalid(f'no JSON: {error}')
+        return invalid(f'not JSON: {error}')
     version = value.get('version') if isinstance(value, dict) else None
     if isinstance(version, bool) or not isinstance(version, int):
-        return invalid('it has no version')
+        return invalid('version is missing or not an integer')
     if not 0 < version < MOST_VERSION:
         return invalid(f'version {version} is out of range')
     return Success(version)
 
 
 def read_configuration(body: bytes | str) -> Result[EventDocument, Problem]:
-    """Read a complete configuration into an event document."""
+    """Parse a complete configuration to an event document."""
     try:
         wire = WireConfiguration.model_validate_json(body)
         value = document_value(wire)
@@ -128,7 +128,7 @@
 
 
 def document_value(wire: WireConfiguration) -> dict:
-    """Return the fields of the event document; ValueError if it is none."""
+    """Return the fields of the event document; ValueError if invalid."""
     limits = wire.limits
     return {
         'event': EVENT_NAME,
@@ -161,7 +161,7 @@
 def route_value(host: str, route: WireRoute) -> dict:
     """Return the fields of one route; ValueError for an unknown kind."""
     if route.kind not in REPETITION_OF_KIND:
-        raise ValueError(f'route {route.name!r}: kind {route.kind!r}')
+        raise ValueError(f'route {route.name!r}: unknown kind {route.kind!r}')
     shares = [
         {'service': share.service, 'weight': share.weight}
         for share in route.weighted_services
@@ -184,7 +184,7 @@
 def edit_document(
     document: EventDocument, body: bytes
 ) -> Result[EventDocument, Problem]:
-    """Return the document with a partial change made on its source."""
+    """Apply a partial change to the source text of a document."""
     try:
         patch = WirePatch.model_validate_json(body)
         value = json.loads(document.source)
@@ -192,12 +192,12 @@
         upsert(value, patch.upsert)
         value['version'] = patch.version
     except (ValueError, TypeError, KeyError, AttributeError) as error:
-        return invalid(f'the change can not be read: {error!r}')
+        return invalid(f'the change can not be applied: {error!r}')
     return read_configuration(json.dumps(value))
 
 
 def remove_named(value: dict, names: dict) -> None:
-    """Remove services and routes by their names."""
+    """Remove services and routes by name."""
     services = set(names.get('services', ()))
     value['services'] = [
         s for s in value['services'] if s['name'] not in services
@@ -207,7 +207,7 @@
 
 
 def without_routes(hosts: list[dict], names: set[str]) -> list[dict]:
-    """Return the hosts without these routes; one without any is left out."""
+    """Remove routes by name and drop hosts that have no routes left."""
     for host in hosts:
         host['path_rules'] = [
             r for r in host['path_rules'] if r['name'] not in names
@@ -216,7 +216,7 @@
 
 
 def upsert(value: dict, items: dict) -> None:
-    """Add items, or put them in the place of those of the same name."""
+    """Add items, or replace those of the same name."""
     put_all(value['services'], items.get('services', ()))
     hosts = items.get('virtual_hosts', ())
     value['virtual_hosts'] = with_routes(value['virtual_hosts'], hosts)
@@ -225,11 +225,11 @@
 
 
 def with_routes(hosts: list[dict], added: list[dict]) -> list[dict]:
-    """Return the hosts with the routes of ``added`` put under theirs.
+    """Return the hosts with the routes of ``added`` merged in.
 
-    A route leaves another host that it stood under. All are looked up by
-    name: to look for each new one among all others took seconds with some
-    thousand routes, and the leader gave no sign of life meanwhile.
+    A route that another host had moves to its new host. Lookups use a dict:
+    a linear search for each added route took seconds with some thousand
+    routes and blocked the heartbeats of the leader.
     """
     routes_of: dict[str, list[dict]] = {}
     for host in added:
@@ -254,12 +254,12 @@
 
 
 def at_home(routes: list[dict], host: str, home_of: dict) -> list[dict]:
-    """Return the routes that no other host has now."""
+    """Return the routes that have not moved to another host."""
     return [r for r in routes if home_of.get(r['name'], host) == host]
 
 
 def put_all(items: list[dict], added: list[dict]) -> None:
-    """Put named items in the place of those of the same name, or behind."""
+    """Replace items by name; append those with new names."""
     places = {item['name']: place for place, item in enumerate(items)}
     for item in added:
         place = places.setdefault(item['name'], len(items))
--- a/cyclamenlift/platform/operators.py
+++ b/cyclamenlift/platform/operators.py
@@ -1,4 +1,4 @@
-"""The operators' calls, read into changes and queries of the product."""
+"""HTTP interface for operators: changes and reads of the configuration."""
 
 from returns.result import Failure
 import structlog
@@ -34,8 +34,8 @@
 REPLACE_PATH = '/v1/Config.Replace'
 PATCH_PATH = '/v1/Config.Patch'
 GET_PATH = '/v1/Config.Get'
-# 1,400 routes have 219 KB as they are sent, so 10,000, the most of a document,
-# 1.6 MB (worked out); routes with several shares need more.
+# A request with 1,400 routes takes 219 KB, so the maximum of 10,000 routes is
+# estimated at 1.6 MB; routes with several services need more.
 MOST_CHANGE_BYTES = 4 * 1024 * 1024
 STATUS_OF = {
     ResultCode.CHANGE_ACCEPTED: 200,
@@ -51,7 +51,7 @@
 
 @ORDER_KINDS.register(REPLACE_PATH)
 def replace(context: ControlContext, order: Order, done: OrderDone) -> None:
-    """Publish a whole configuration."""
+    """Publish a complete configuration."""
     document = read_configuration(order.body)
     if isinstance(document, Failure):
         done(invalid_report(context, [document.failure()]))
@@ -61,7 +61,7 @@
 
 @ORDER_KINDS.register(PATCH_PATH)
 def patch(context: ControlContext, order: Order, done: OrderDone) -> None:
-    """Publish a change of named items."""
+    """Publish a partial change."""
     publish_partial(
         context,
         order.change,
@@ -71,10 +71,10 @@
 
 
 class OperatorCalls:
-    """Takes changes and reads of the configuration.
+    """Serves changes and reads of the configuration.
 
-    Every instance takes changes, but for large ones; these and reads are
-    sent to the leader's place, which is the same port on its host.
+    Every instance accepts changes unless they are large. Large changes and
+    reads are redirected to the same port of the leader's host.
     """
 
     def __init__(self, orders: OrderTaker, port: int):
@@ -82,7 +82,7 @@
         self.port = port
 
     def take(self, exchange: Exchange) -> None:
-        """Take one request on the operators' address."""
+        """Handle a request from an operator."""
         path = exchange.path.partition('?')[0]
         if (exchange.method, path) == ('GET', GET_PATH):
             self.take_get(exchange)
@@ -98,13 +98,13 @@
             )
 
     def take_get(self, exchange: Exchange) -> None:
-        """Answer with the newest configuration, if sure to have it."""
+        """Answer with the newest configuration, or redirect the request."""
         if not self.orders.read(lambda report: self.give(exchange, report)):
             self.send_on(exchange, self.orders.place())
 
     def give(self, exchange: Exchange, report: DocumentReport) -> None:
         if not report.confirmed or not report.document:
-            self.refuse_unsure(exchange, 'not sure to be newest')
+            self.refuse_unsure(exchange, 'the configuration may be outdated')
             return
         source = document_from_bytes(report.document.encode()).source
         exchange.respond(200, [JSON_TYPE], source.encode())
@@ -136,7 +136,7 @@
     def finish(
         self, exchange: Exchange, order: Order, report: PublishReport
     ) -> None:
-        """Answer with what became of a change."""
+        """Answer a change with its outcome."""
         log_answered(order, report)
         elsewhere = self.orders.elsewhere()
         if report.code in OPEN_CODES and elsewhere is not None:
@@ -149,10 +149,10 @@
             refuse(exchange, status, Problem(report.code, report.summary()))
 
     def send_on(self, exchange: Exchange, place: Address | None) -> None:
-        """Name the place of another instance, or say that none is known."""
+        """Redirect to another instance, or refuse if none is known."""
         log_sent_on(exchange.path, place)
         if place is None:
-            self.refuse_unsure(exchange, 'no leader is known')
+            self.refuse_unsure(exchange, 'the leader is unknown')
             return
         there = f'http://{place.host}:{self.port}{exchange.path}'
         answer(exchange, 307, None, (('Location', there),))
--- a/cyclamenlift/platform/programs.py
+++ b/cyclamenlift/platform/programs.py
@@ -1,4 +1,4 @@
-"""The two programs on the platform: the product's, with the adapter on."""
+"""The daemon and control programs with the platform's interfaces."""
 
 import random
 from typing import NamedTuple
@@ -30,7 +30,7 @@
 
 
 class Prepared(NamedTuple):
-    """The settings file as it was read, its stamp before, and its meaning."""
+    """Fields of the settings file, their stamp and the parsed settings."""
 
     fields: Fields
     stamp: tuple[int, int]
@@ -38,7 +38,7 @@
 
 
 def listen(root, address: str, take, channel: str) -> HttpServer:
-    """Serve small requests of the platform on one address."""
+    """Start a server for requests of the platform."""
     server = HttpServer(root.poller, HttpLimits(), take, channel)
     server.register(root)
     server.listen(Address.parse(address))
@@ -46,7 +46,7 @@
 
 
 def run_daemon() -> int:
-    """Run a daemon; return its exit status."""
+    """Run a daemon and return its exit status."""
     from cyclamenlift.platform.readiness import Readiness
     from cyclamenlift.platform.targets import TargetCheckIns
     from cyclamenlift.runtime.daemon import DaemonNode
@@ -65,11 +65,11 @@
     check_ins = TargetCheckIns(node.gate, settings.service)
 
     def take(exchange) -> None:
-        """Take a call of an operator or of a target."""
+        """Handle a request from an operator or a target."""
         if not exchange.path.startswith(OPERATOR_PATHS):
             check_ins.take(exchange)
             return
-        # Few daemons are ever asked, and the others need not load it.
+        # Few daemons receive such requests; the others skip the import.
         from cyclamenlift.platform.operators import OperatorCalls
 
         OperatorCalls(node.orders, address.port).take(exchange)
@@ -83,7 +83,7 @@
 
 
 def run_control() -> int:
-    """Run a control instance; return its exit status."""
+    """Run a control instance and return its exit status."""
     from cyclamenlift.platform.operators import OperatorCalls
     from cyclamenlift.runtime.control import ControlNode
     from cyclamenlift.runtime.peers import read_list
@@ -110,7 +110,7 @@
 
 
 def watch_settings(node, fields: Fields, stamp: tuple[int, int]) -> None:
-    """Let a changed settings file take effect on a running process."""
+    """Apply changes of the settings file to a running process."""
     SettingsWatch(
         node.loop,
         SettingsFile(read_fields, file_stamp),
@@ -121,13 +121,13 @@
 
 
 def take_seeds(membership, fields: Fields) -> None:
-    """Let membership ask the seeds that the file names now."""
+    """Pass the seeds of the settings file to membership."""
     seeds = [Address.parse(seed) for seed in gossip_seeds(fields)]
     membership.set_seeds(seeds)
 
 
 def prepare(kind: type) -> Prepared | None:
-    """Read the settings and set up logs; None after telling what is wrong."""
+    """Read the settings and set up logs; None if there were problems."""
     stamp = file_stamp()
     found = read_fields()
     if isinstance(found, Failure):
@@ -144,7 +144,7 @@
 
 
 def complain(problems: list[Problem]) -> int:
-    """Write every problem of the settings; return the exit status."""
+    """Log all problems of the settings and return the exit status."""
     for problem in problems:
         LOG.error('settings_refused', problem=problem.line())
     return EXIT_SETTINGS
--- a/cyclamenlift/platform/readiness.py
+++ b/cyclamenlift/platform/readiness.py
@@ -1,4 +1,4 @@
-"""The platform's question whether callers may be sent to a daemon."""
+"""Readiness endpoint of a daemon for the platform."""
 
 from collections.abc import Callable
 
@@ -12,13 +12,13 @@
 
 
 class Readiness:
-    """Answers 200 while ``is_ready`` says so, else 503."""
+    """Answers 200 while ``is_ready`` returns True, otherwise 503."""
 
     def __init__(self, is_ready: Callable[[], bool]):
         self.is_ready = is_ready
 
     def take(self, exchange: Exchange) -> None:
-        """Take one request on the readiness address."""
+        """Handle a request on the readiness address."""
         if exchange.path.partition('?')[0] != READY_PATH:
             problem = Problem(ResultCode.NOT_FOUND, exchange.path[:100])
             refuse(exchange, 404, problem)
--- a/cyclamenlift/platform/settings.py
+++ b/cyclamenlift/platform/settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file, read into the product's own settings."""
+"""Conversion of the platform's settings file to settings."""
 
 from collections.abc import Mapping
 import os
@@ -18,21 +18,21 @@
 from cyclamenlift.core.streams import Address
 
 PATH_VARIABLE = 'CYCLAMENLIFT_BOOT'
-# Where the deploy file says that metrics are fetched.
+# Port for metrics according to the deployment file.
 METRICS_PORT = 9464
-# A process is ended ``grace`` after it was told to stop; it leaves that
-# much earlier by itself, in seconds.
+# The platform kills a process ``grace`` after the stop signal; the process
+# exits this much earlier, in seconds.
 GRACE_MARGIN_SECONDS = 0.7
-# Callers stay away after two readiness checks, one a second, have failed.
+# Callers are sent elsewhere after two failed readiness checks, one a second.
 READINESS_SECONDS = 2.2
-# How old the figure of a target's load may grow before it is asked for, in
-# seconds: a sixth of a slow spell of its machine (0.5 s as measured).
+# Maximum age of a target's load report before the target is polled, in
+# seconds: a sixth of a slowdown of its machine (measured: 0.5 s).
 LOAD_SECONDS = 0.08
 Fields = Mapping[str, str]
 
 
 def read_fields() -> Result[Fields, Problem]:
-    """Return the lines of the settings file, ``a.b=value`` each."""
+    """Read the settings file, which has lines of ``a.b=value``."""
     path = os.environ.get(PATH_VARIABLE, '')
     try:
         text = pathlib.Path(path).read_text()
@@ -45,7 +45,7 @@
 
 
 def file_stamp() -> tuple[int, int]:
-    """Return what changes with the file; zeros while it is not there."""
+    """Return time and size of the file; zeros if it does not exist."""
     try:
         status = os.stat(os.environ.get(PATH_VARIABLE, ''))
     except OSError:
@@ -54,7 +54,7 @@
 
 
 def parse_fields(text: str) -> Fields:
-    """Read lines of ``name=value``; others are left out.
+    """Parse lines of ``name=value``; other lines are ignored.
 
     >>> parse_fields('ip=10.0.0.1\\n# a word\\n')
     {'ip': '10.0.0.1'}
@@ -68,35 +68,35 @@
 
 
 def bounds_of(fields: Fields) -> Fields:
-    """Return the bounds of the contract by name, as texts."""
+    """Return the values of ``bounds`` by name, as strings."""
     parts = fields.get('bounds', '').split(',')
     pairs = (part.partition('=') for part in parts if '=' in part)
     return {name: value for name, _, value in pairs}
 
 
 def internal_address(fields: Fields, host: str) -> str:
-    """Return where a daemon or control instance is reached by its own."""
+    """Return the address for connections between instances."""
     port = fields.get('internal_ports', '').partition(',')[0]
     return f'{host}:{port}'
 
 
 def seed_hosts(fields: Fields) -> list[str]:
-    """Return the hosts of the seeds; their ports are the operators'."""
+    """Return the hosts of the seeds; their ports serve operators."""
     seeds = [s for s in fields.get('seeds', '').split(',') if s]
     return [Address.parse(seed).host for seed in seeds]
 
 
 def gossip_seeds(fields: Fields) -> list[str]:
-    """Return where membership asks for the other instances."""
+    """Return the gossip addresses of the seeds."""
     return [internal_address(fields, host) for host in seed_hosts(fields)]
 
 
 def common_values(fields: Fields) -> dict[str, object]:
-    """Return the settings that daemons and control share."""
+    """Return the settings common to daemons and control instances."""
     host = fields.get('ip', '')
     own = internal_address(fields, host)
     return {
-        # Control instances are found by host, so all are named by it.
+        # Control instances are found by host, so the host is the name.
         'instance': host,
         'data_centre': fields.get('zone', ''),
         'peer_listen': own,
@@ -146,7 +146,7 @@
 def read_settings(
     kind: type[CommonSettings], fields: Fields
 ) -> Result[CommonSettings, list[Problem]]:
-    """Return checked settings of one kind of process, or every problem."""
+    """Return validated settings of a kind of process, or all problems."""
     make = {DaemonSettings: daemon_values, ControlSettings: control_values}
     try:
         values = make[kind](fields)
--- a/cyclamenlift/platform/targets.py
+++ b/cyclamenlift/platform/targets.py
@@ -1,4 +1,4 @@
-"""Check-ins of the local target, read into announcements."""
+"""Heartbeats and deregistration of the local target."""
 
 from typing import Literal
 
@@ -23,38 +23,38 @@
 
 BEAT_PATH = '/v1/Instances.Heartbeat/'
 LEAVE_PATH = '/v1/Instances.Deregister/'
-# A check-in takes about 200 bytes; more is no check-in.
+# A heartbeat takes about 200 bytes; far larger bodies are invalid.
 MOST_BEAT_BYTES = 16 * 1024
-# The most that numbers may be: what a signed number of 64 bits holds.
+# Largest valid number: that of a signed 64-bit integer.
 MOST_NUMBER = 2**63 - 1
-# Characters of a refused check-in that go into a log line.
+# Maximum characters of a refused heartbeat in a log line.
 MOST_DETAIL = 200
 MOST_NAME = 60
 LOG = structlog.get_logger('targets')
 
 
 class WireTold(pydantic.BaseModel):
-    """What stands at the top level of all that a target says of itself.
+    """Fields common to all messages of a target.
 
-    Types are strict: what has another one comes from another writer.
+    Types are strict: a value of another type was not written by a target.
     """
 
     model_config = pydantic.ConfigDict(
         extra='ignore', frozen=True, strict=True
     )
 
-    # The target's start, which together with its name is an incarnation.
-    # Targets of earlier platforms do not tell it.
+    # Start time of the target; with the name it identifies an incarnation.
+    # Targets on older platforms do not send it.
     born: int = pydantic.Field(UNKNOWN_START, gt=0, le=MOST_NUMBER)
 
 
 class WireBeat(WireTold):
-    """A check-in; the incarnation's name stands in the path."""
+    """A heartbeat; the name of the incarnation is part of the path."""
 
     service: str = pydantic.Field(min_length=1)
     address: str
     zone: str = pydantic.Field(min_length=1)
-    # The software's version, which has nothing to do with documents.
+    # Version of the target's software, unrelated to documents.
     version: str
     slots: int = pydantic.Field(ge=1, le=10_000)
     state: Literal['ready', 'draining']
@@ -69,7 +69,7 @@
 
 
 def read_beat(incarnation: str, body: bytes) -> Result[Announcement, Problem]:
-    """Read a check-in into an announcement."""
+    """Parse a heartbeat to an announcement."""
     try:
         beat = WireBeat.model_validate_json(body)
         warm_up = seconds(beat.cold_left)
@@ -91,7 +91,7 @@
 
 
 def read_farewell(body: bytes) -> Result[int, Problem]:
-    """Read the start of a target that leaves; its body may be empty."""
+    """Return the start time in a deregistration; the body may be empty."""
     if not body:
         return Success(UNKNOWN_START)
     try:
@@ -101,19 +101,19 @@
 
 
 def bad_request(error: object) -> Problem:
-    """Return a numbered problem with a bounded text."""
+    """Return a numbered problem with a truncated detail."""
     return Problem(ResultCode.BAD_REQUEST, brief(error, MOST_DETAIL))
 
 
 class TargetCheckIns:
-    """Takes the check-ins and the farewell of the daemon's own target."""
+    """Handles heartbeats and deregistration of the local target."""
 
     def __init__(self, gate: Gate, service: str):
         self.gate = gate
         self.service = service
 
     def take(self, exchange: Exchange) -> None:
-        """Take one request on the check-in address."""
+        """Handle a request from a target."""
         path = exchange.path.partition('?')[0]
         if exchange.method == 'POST' and path.startswith(BEAT_PATH):
             name = path.removeprefix(BEAT_PATH)
@@ -162,7 +162,7 @@
     def refuse_told(
         self, exchange: Exchange, name: str, problem: Problem
     ) -> None:
-        """Refuse what no target writes: it changes nothing."""
+        """Log and refuse an invalid message, which has no effect."""
         LOG.warning(
             'check_in_refused',
             incarnation=name[:MOST_NAME],
--- a/cyclamenlift/runtime/__init__.py
+++ b/cyclamenlift/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""The two kinds of process, put together from the packages."""
+"""Assembles the daemon and control processes from the other packages."""
--- a/cyclamenlift/runtime/admin.py
+++ b/cyclamenlift/runtime/admin.py
@@ -1,4 +1,4 @@
-"""The admin pages of a daemon: status, metrics, burn figures, drain."""
+"""Admin pages of a daemon: status, metrics, burn rates and drain."""
 
 import dataclasses
 import typing
@@ -24,7 +24,7 @@
 
 
 class ApiPages(Controller):
-    """``/api``: what ``cyclamenlift status`` and ``quarantine`` show."""
+    """``/api``: data for ``cyclamenlift status`` and ``quarantine``."""
 
     channel = '/api'
 
@@ -38,7 +38,7 @@
 
     @expose('quarantine')
     def quarantine(self) -> WebAnswer:
-        """Return the requests that are not clear; a POST lifts some."""
+        """Return suspect and quarantined requests; a POST releases some."""
         if self.request.method == 'POST':
             order = read_border(LiftOrder, self.request.content)
             if isinstance(order, Failure):
@@ -73,7 +73,7 @@
 
     @expose('drain')
     def drain(self) -> WebAnswer:
-        """Begin a drain; a second request changes nothing."""
+        """Begin a drain (POST); a repeated request has no effect."""
         if self.request.method != 'POST':
             return problem_answer(Problem(ResultCode.METHOD_NOT_ALLOWED))
         self.node.drain()
--- a/cyclamenlift/runtime/control.py
+++ b/cyclamenlift/runtime/control.py
@@ -1,4 +1,4 @@
-"""A control instance: the replicated log, its servers and the console."""
+"""The control process: replicated log, its servers and the console."""
 
 import pathlib
 import random
@@ -43,13 +43,13 @@
 EXIT_SETTINGS = 2
 STOP_SECONDS = 5.0
 IDLE_CHECK_SECONDS = 0.05
-# How often lines are offered again to a reader of logs that stalled.
+# Interval for retrying log lines while the reader of the log stalls.
 LOG_FLUSH_SECONDS = 1.0
 LOG = structlog.get_logger('control')
 
 
 class ControlNode(BaseComponent):
-    """All parts of one control instance, and the order in which they stop."""
+    """Creates, connects and shuts down the parts of one control instance."""
 
     channel = 'control'
 
@@ -122,7 +122,7 @@
         )
 
     def make_membership(self) -> Membership | None:
-        """Return this instance's part in membership, None without one."""
+        """Return the membership component, None without a gossip address."""
         settings = self.settings
         if not settings.gossip_listen:
             return None
@@ -143,12 +143,12 @@
         )
 
     def start_membership(self) -> None:
-        """Tell the others of this instance and learn of them."""
+        """Join the membership protocol and subscribe to its updates."""
         if self.membership is None:
             return
         self.carrier.find_relay = self.find_relay
         self.membership.subscribe(self.on_member)
-        # Control instances remember while all daemons are restarted.
+        # Control instances keep the quarantine while all daemons restart.
         self.quarantine.join(self.network, self.membership)
         self.machine.subscribe_version(
             lambda version: self.membership.announce(config_version=version)
@@ -157,7 +157,7 @@
         self.membership.announce(config_version=self.machine.events.version)
 
     def find_relay(self) -> Address | None:
-        """Return any daemon that is alive, None if none is known."""
+        """Return the address of a random live daemon, None without one."""
         daemons = [
             record
             for record in self.membership.members()
@@ -169,9 +169,9 @@
         return Address.parse(self.rng.choice(daemons).peer_address)
 
     def on_member(self, record: MemberRecord) -> None:
-        """Tell the replica of another control instance.
+        """Update the replica with the address of another control instance.
 
-        A seed, which it takes for one, may turn out to be a daemon.
+        A configured peer that turns out to be a daemon is reported as gone.
         """
         is_control = record.role == MemberRole.CONTROL
         if record.instance == self.settings.instance:
@@ -220,15 +220,15 @@
         return server
 
     def make_pages(self) -> list:
-        """Return the controllers of the admin address, loaded late."""
+        """Import and return the admin controllers when first needed."""
         from cyclamenlift.runtime.control_pages import control_pages
 
         return control_pages(self.context, self.metrics)
 
-    # -- start and stop ---------------------------------------------------
+    # -- startup and shutdown ----------------------------------------------
 
     def start_parts(self) -> Result[None, Problem]:
-        """Open the data folder, then the ports; a Failure changes nothing."""
+        """Open the data folder, then the ports; a Failure opens no port."""
         opened = self.replica.start()
         if isinstance(opened, Failure):
             return opened
@@ -251,7 +251,7 @@
         return Success(None)
 
     def begin_stop(self) -> None:
-        """Take no new requests, answer those in hand, then leave."""
+        """Refuse new requests, finish pending ones, then leave the cluster."""
         if self.stopping:
             return
         self.stopping = True
@@ -287,10 +287,10 @@
 
 
 def run(settings: ControlSettings) -> int:
-    """Run a control instance until it is told to stop.
+    """Run a control instance until it is stopped; return the exit status.
 
-    Return the exit status: 2 for wrong settings, 1 when the data folder or
-    a port can not be had; every problem is on standard error.
+    The status is 2 for invalid settings and 1 if the data folder or a port
+    is unavailable; every problem is written to standard error.
     """
     configure_logs(settings.log_format, settings.log_level, settings.instance)
     peers = parse_peers(settings)
--- a/cyclamenlift/runtime/control_api.py
+++ b/cyclamenlift/runtime/control_api.py
@@ -30,7 +30,7 @@
 
 
 class ControlApi(Controller):
-    """``/api``: each answer is one report as JSON, with its code."""
+    """``/api``: every answer is a JSON report with a result code."""
 
     channel = '/api'
 
@@ -45,17 +45,17 @@
 
     @expose('replace-storage')
     def replace_storage(self) -> Deferred | WebAnswer:
-        """Let a new storage count for an instance (POST)."""
+        """Accept the new storage of an instance as a voter (POST)."""
         return run_command(self, StorageReplacement, replace_storage)
 
     @expose('document')
     def document(self) -> Deferred | WebAnswer:
-        """Return one version of the document, by default the newest."""
+        """Return a version of the document, by default the newest."""
         return run_query(self, 'version', 0, show)
 
     @expose('history')
     def history(self) -> Deferred | WebAnswer:
-        """Return who made the newest versions."""
+        """Return the authors and times of the newest versions."""
         return run_query(self, 'limit', HISTORY_LIMIT, history)
 
     @expose('status')
@@ -64,13 +64,13 @@
         return report_answer(status(self.context))
 
 
-# These are functions, since circuits exposes every method of a controller.
+# Module-level functions: circuits exposes every method of a controller.
 
 
 def run_command(
     page: ControlApi, kind: type, command: Callable
 ) -> Deferred | WebAnswer:
-    """Read the JSON body as ``kind`` and run a command with it."""
+    """Validate the JSON body as ``kind`` and run a command with it."""
     if page.request.method != 'POST':
         return problem_answer(Problem(ResultCode.METHOD_NOT_ALLOWED))
     order = read_border(kind, page.request.content)
@@ -91,7 +91,7 @@
     """Read a number from the query string and run a query with it."""
     text = query_of(page.request).get(name, str(default))
     if not (text.isascii() and text.isdigit()) or len(text) > MAX_DIGITS:
-        detail = f'{text[:50]!r} is no whole number'
+        detail = f'{text[:50]!r} is not a whole number'
         return problem_answer(Problem(ResultCode.BAD_REQUEST, detail, name))
     deferred = Deferred()
     query(
@@ -103,6 +103,6 @@
 
 
 def report_answer(report) -> WebAnswer:
-    """Return a report as JSON, under the HTTP status of its code."""
+    """Return a report as JSON with the HTTP status of its code."""
     status_code = describe(report.code).status or 200
     return WebAnswer(report_to_json(report), status_code, JSON)
--- a/cyclamenlift/runtime/control_metrics.py
+++ b/cyclamenlift/runtime/control_metrics.py
@@ -1,8 +1,8 @@
-"""Metrics of a control instance, read when ``/metrics`` is asked for.
+"""Metrics of a control instance, read on each request for ``/metrics``.
 
-``CONTROL_METRICS`` is the one list of their names, units and meanings. The
-numbers are those of this instance, as it sees itself: claims are answered
-by whoever leads, so add up the instances for the cluster's counts.
+``CONTROL_METRICS`` defines their names, units and descriptions. All values
+are local to the instance. Claims are answered by the current leader, so a
+count for the cluster is the sum over its instances.
 """
 
 from collections.abc import Callable
@@ -22,19 +22,19 @@
     'cyclamenlift.control.commits',
     Kind.COUNTER,
     '{entry}',
-    'log entries known to be committed, over all time',
+    'log entries known to be committed since the log was created',
 )
 TERM = MetricInfo(
     'cyclamenlift.control.term',
     Kind.GAUGE,
     '{term}',
-    'term of the replicated log; it rises with each election',
+    'term of the replicated log; each election increases it',
 )
 ROLE = MetricInfo(
     'cyclamenlift.control.role',
     Kind.GAUGE,
     '{instance}',
-    '1 for the role that this instance has, 0 for the others',
+    '1 for the current role of this instance, 0 for the others',
     ('role',),
 )
 LOG_INDEX = MetricInfo(
@@ -47,26 +47,26 @@
     'cyclamenlift.control.log.applied',
     Kind.GAUGE,
     '{entry}',
-    'index of the last entry that took effect here',
+    'index of the last log entry applied on this instance',
 )
 CLAIMS_HELD = MetricInfo(
     'cyclamenlift.control.claims.held',
     Kind.GAUGE,
     '{key}',
-    'keys that the ledger holds',
+    'idempotency keys in the ledger',
 )
 CLAIMS_ANSWERED = MetricInfo(
     'cyclamenlift.control.claims.answered',
     Kind.COUNTER,
     '{claim}',
-    'claims that this instance answered, by verdict',
+    'claims answered by this instance, by verdict',
     ('verdict',),
 )
 VERSION = MetricInfo(
     'cyclamenlift.control.config.version',
     Kind.GAUGE,
     '{version}',
-    'version of the event document that took effect here, 0 for none',
+    'version of the event document applied here, 0 for none',
 )
 CONTROL_METRICS = (
     COMMITS,
@@ -81,7 +81,7 @@
 
 
 class ControlMetrics:
-    """Observable instruments over the parts of one control instance."""
+    """Observable instruments that read the parts of a control instance."""
 
     def __init__(self, context: ControlContext, claims: ClaimServer):
         self.context = context
@@ -100,13 +100,13 @@
         return self.context.replica.status()
 
     def watch(self, info: MetricInfo, read: Callable[[], float]) -> None:
-        """Report ``read()`` at each collection."""
+        """Register a metric whose single value is ``read()``."""
         self.observe(info, lambda: [Reading(read())])
 
     def observe(
         self, info: MetricInfo, read: Callable[[], Iterable[Reading]]
     ) -> None:
-        """Report what ``read`` returns at each collection."""
+        """Register a metric whose readings ``read`` returns."""
         self.metrics.observe(info, read)
 
     def roles(self) -> list[Reading]:
@@ -124,5 +124,5 @@
         ]
 
     def render(self) -> bytes:
-        """Return all metrics in the text form of Prometheus."""
+        """Return all metrics in the Prometheus text format."""
         return self.metrics.render_prometheus()
--- a/cyclamenlift/runtime/control_pages.py
+++ b/cyclamenlift/runtime/control_pages.py
@@ -1,4 +1,4 @@
-"""The pages of a control instance: API, console and metrics."""
+"""Admin pages of a control instance: API, console and metrics."""
 
 from circuits.web.controllers import BaseController
 from circuits.web.controllers import Controller
--- a/cyclamenlift/runtime/daemon.py
+++ b/cyclamenlift/runtime/daemon.py
@@ -1,4 +1,8 @@
-"""The daemon beside a target: entry and gate in one process."""
+"""The daemon process, which runs beside a target.
+
+It contains the entry, which accepts callers' requests and chooses targets,
+and the gate, which admits calls to the local target.
+"""
 
 import dataclasses
 import random
@@ -53,12 +57,12 @@
 LOG = structlog.get_logger('daemon')
 EXIT_SETTINGS = 2
 BYTES_OF_MEGABIT = 125_000
-# How often lines are offered again to a reader of logs that stalled.
+# Interval for retrying log lines while the reader of the log stalls.
 LOG_FLUSH_SECONDS = 1.0
 
 
 class DaemonNode(BaseComponent):
-    """All parts of one daemon, and the order in which they stop."""
+    """Creates, connects and shuts down the components of one daemon."""
 
     channel = 'daemon'
 
@@ -114,7 +118,7 @@
     # -- parts ------------------------------------------------------------
 
     def first_control(self) -> list[Address]:
-        """Return the control instances of the settings, not ourselves."""
+        """Return the configured control addresses except this instance's."""
         settings = self.settings
         own = settings.advertise_peer or settings.peer_listen
         return [Address.parse(a) for a in settings.control if a != own]
@@ -203,7 +207,7 @@
         return server.register(self.loop)
 
     def make_pages(self) -> list:
-        """Return the controllers of the admin address, loaded late."""
+        """Import and return the admin controllers when first needed."""
         from cyclamenlift.runtime.admin import ApiPages
         from cyclamenlift.runtime.admin import DaemonPages
 
@@ -231,7 +235,7 @@
         )
 
     def join_gate_and_calls(self) -> None:
-        """Wire messages to calls and gate, over sockets and inside."""
+        """Subscribe calls and gate to peer links and to the local link."""
         self.entry_end, gate_end = local_pair(self.network.numbers)
         self.calls.subscribe(self.network)
         self.calls.subscribe(self.entry_end)
@@ -253,10 +257,14 @@
         self.network.subscribe(BodyChunk, self.on_body_chunk)
         self.network.subscribe(Credit, self.on_credit)
 
-    # -- messages that travel both ways ------------------------------------
+    # -- messages used in both directions -----------------------------------
 
     def on_body_chunk(self, link, chunk: BodyChunk) -> None:
-        """An answer's body comes on our own link, a request's on theirs."""
+        """Dispatch a chunk of a body to the calls or to the gate.
+
+        Answer bodies arrive on links that this daemon opened, request bodies
+        on links that its peers opened.
+        """
         if link.outgoing:
             self.calls.on_body_chunk(link, chunk)
         elif self.gate is not None:
@@ -272,19 +280,19 @@
         refuse_call(link, start, ResultCode.NO_TARGET)
 
     def link_to(self, choice):
-        """Return the link to a chosen gate; our own needs no socket."""
+        """Return the link to a chosen gate; the local gate needs no socket."""
         if choice.instance == self.settings.instance and self.gate:
             return self.entry_end
         return self.network.link_to(choice.address)
 
-    # -- start and changes --------------------------------------------------
+    # -- startup and updates ------------------------------------------------
 
     def leave_out(self) -> list[Problem]:
-        """Switch off what the settings name; return unknown names."""
+        """Disable the configured mechanisms; return any unknown names."""
         names = self.settings.without
         if not names:
             return []
-        # Only measurements name any, so others do not load the list.
+        # Only benchmark runs disable mechanisms; others skip the import.
         from cyclamenlift.runtime.mechanisms import switch_off
         from cyclamenlift.runtime.mechanisms import unknown_mechanisms
 
@@ -294,7 +302,7 @@
         return problems
 
     def start_parts(self) -> None:
-        """Join the other daemons and follow the event document."""
+        """Join the cluster and start following the event document."""
         self.follower.subscribe(self.on_rules)
         self.membership.subscribe(self.on_member)
         self.membership.subscribe_version(self.follower.note_version)
@@ -332,14 +340,17 @@
         self.calls.note_entries(len(self.routing.records))
 
     def on_daemon(self, record: MemberRecord) -> None:
-        """Ask no daemon as a control instance, though it may be a seed."""
+        """Stop treating a daemon as a control instance.
+
+        The configured control addresses may be seeds that run a daemon.
+        """
         address = parse_place(record.peer_address)
         if address is not None:
             self.follower.note_other(address)
             self.claims.finder.note_other(address)
 
     def on_control_instance(self, record: MemberRecord) -> None:
-        """Ask a control instance that became known, or no longer."""
+        """Add a live control instance or remove one that is gone."""
         address = parse_place(record.peer_address)
         if address is None:
             return
@@ -354,20 +365,20 @@
         self.membership.announce(target_state=state)
 
     def is_ready(self) -> bool:
-        """Tell whether callers may be sent here."""
+        """Whether callers may be sent to this daemon."""
         if self.stopping or not self.quarantine.is_synced():
             return False
         return self.follower.has_caught_up()
 
-    # -- drain and stop -----------------------------------------------------
+    # -- drain and shutdown -------------------------------------------------
 
     def drain(self) -> None:
-        """Take no new work for the local target; the entry goes on."""
+        """Admit no new calls to the local target; the entry keeps serving."""
         if self.gate is not None:
             self.gate.drain()
 
     def begin_stop(self) -> None:
-        """Stop without cutting off a call: drain, wait, leave."""
+        """Begin a graceful shutdown; repeated requests have no effect."""
         if self.stopping:
             return
         self.stopping = True
@@ -381,7 +392,7 @@
 
 
 def parse_place(text: str) -> Address | None:
-    """Return the address that a member told, None if it is none."""
+    """Return the address announced by a member, None if it is invalid."""
     try:
         return Address.parse(text)
     except ValueError:
@@ -389,7 +400,7 @@
 
 
 def limit_callers(limits: HttpLimits, wanted: CallerLimits) -> HttpLimits:
-    """Return the limits of the border with those of the document."""
+    """Return the HTTP limits overridden by those of the document."""
     return dataclasses.replace(
         limits,
         max_header_bytes=wanted.max_header_bytes,
@@ -400,7 +411,7 @@
 
 
 def run(settings: DaemonSettings) -> int:
-    """Run a daemon until it is told to stop; return the exit status."""
+    """Run a daemon until it is stopped; return the exit status."""
     configure_logs(settings.log_format, settings.log_level, settings.instance)
     node = DaemonNode(settings, random.Random())
     problems = node.leave_out()
--- a/cyclamenlift/runtime/local.py
+++ b/cyclamenlift/runtime/local.py
@@ -1,19 +1,19 @@
-"""The link between entry and gate of one process: no socket in between."""
+"""In-process link between the entry and the gate of one daemon."""
 
 from collections.abc import Callable
 
-# Stands for the frame of a message that needed none.
+# Placeholder for the encoded frame, which a local message does not need.
 NO_FRAME = b'none'
 
 
 class LocalLink:
-    """One direction of a pair; ``send`` calls the other end at once.
+    """One end of a pair; ``send`` calls the receiver at once.
 
-    It offers what calls and gate use of ``wire.Link``.
+    Implements the part of ``wire.Link`` that calls and gate use.
     """
 
     was_up = True
-    # Nobody greets on a link inside one process.
+    # A local link exchanges no Hello message.
     hello = None
     closed = False
     pending = 0
@@ -31,7 +31,7 @@
         return True
 
     def post(self, message) -> bytes:
-        """Send a message, which is there at once."""
+        """Send a message; it is delivered before this returns."""
         self.send(message)
         return NO_FRAME
 
@@ -41,17 +41,17 @@
     def withdraw(self, _frame: bytes) -> bool:
         return False
 
-    # -- what a PeerNetwork offers to those who subscribe -----------------
+    # -- subscription interface of PeerNetwork ----------------------------
 
     def subscribe(self, kind: type, receiver) -> None:
         self.receivers[kind] = receiver
 
     def subscribe_lost(self, _hook) -> None:
-        """Take no notice: a local link is lost only with its process."""
+        """Do nothing: a local link ends only with its process."""
 
 
 def local_pair(numbers) -> tuple[LocalLink, LocalLink]:
-    """Return the entry's and the gate's end of a local link."""
+    """Return the entry's end and the gate's end of a new local link."""
     entry = LocalLink(next(numbers), outgoing=True)
     gate = LocalLink(next(numbers), outgoing=False)
     entry.other = gate
--- a/cyclamenlift/runtime/machine.py
+++ b/cyclamenlift/runtime/machine.py
@@ -1,7 +1,7 @@
-"""What the replicated log drives on a control instance.
+"""The replicated state machine of a control instance.
 
-One log carries event documents and claims, so that a claim is judged by
-the document that stood before it in the log, the same on every instance.
+Event documents and claims share one log, so every instance evaluates a claim
+against the same document: the last one before it in the log.
 """
 
 from collections.abc import Callable
@@ -26,7 +26,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ControlSnapshot:
-    """Everything that a restarted control instance needs."""
+    """The complete state that a control instance restores on a restart."""
 
     events: EventSnapshot
     ledger: LedgerSnapshot
@@ -36,10 +36,10 @@
 
 
 class ControlMachine:
-    """The state machine of a control instance: documents and claims.
+    """Applies committed commands to the event documents and the ledger.
 
-    Replacing a storage is the replica's own matter and changes nothing
-    here, like a command that can not be read.
+    Storage replacements are handled by the replica and ignored here, as are
+    commands that can not be decoded.
     """
 
     def __init__(self) -> None:
@@ -48,20 +48,20 @@
         self.version_hooks: list[Callable[[int], None]] = []
 
     def subscribe_version(self, hook: Callable[[int], None]) -> None:
-        """Run ``hook`` with each version that takes effect."""
+        """Call ``hook`` with each document version that takes effect."""
         self.version_hooks.append(hook)
 
     def apply(self, index: int, stamp_unix_ms: int, command: bytes) -> bytes:
-        """Run one committed command and return its answer."""
+        """Apply a committed command and return its encoded result."""
         self.ledger.advance(stamp_unix_ms)
         try:
             return self.run(decode_struct(Command, command), stamp_unix_ms)
         except (FrameError, ValueError):
-            # The bytes are the same everywhere, so all skip them alike.
+            # Every instance has the same bytes, so all of them skip this one.
             return b''
 
     def run(self, decoded: Command, stamp_unix_ms: int) -> bytes:
-        """Run a command by its kind."""
+        """Apply a decoded command according to its kind."""
         if decoded.publish is not None:
             return self.apply_publish(decoded.publish, stamp_unix_ms)
         if decoded.claim is not None:
@@ -94,13 +94,13 @@
             hook(self.events.version)
 
     def snapshot(self) -> bytes:
-        """Return the whole state as the JSON of a ``ControlSnapshot``."""
+        """Return the complete state as JSON of a ``ControlSnapshot``."""
         events = self.events.encode()
         ledger = self.ledger.encode()
         return b'{"events":%b,"ledger":%b}' % (events, ledger)
 
     def restore(self, data: bytes) -> None:
-        """Replace the whole state; raise ValueError on foreign bytes."""
+        """Replace the complete state; raise ValueError for invalid data."""
         state = SNAPSHOT.validate_json(data)
         self.events.restore(state.events)
         self.ledger.restore(state.ledger)
@@ -108,7 +108,7 @@
 
 
 def document_of(command: PublishCommand) -> bytes:
-    """Return the document of a change; ValueError if it can't be unpacked."""
+    """Return the document of a change; ValueError if unpacking fails."""
     if command.packed_document:
         return unpack(command.packed_document, MAX_CANONICAL_BYTES)
     return command.document or b''
--- a/cyclamenlift/runtime/mechanisms.py
+++ b/cyclamenlift/runtime/mechanisms.py
@@ -1,8 +1,8 @@
-"""The mechanisms of deciding, and how each is switched off.
+"""Registry of load-balancing mechanisms that can be disabled.
 
-What each is worth can only be told by running without it. A mechanism is
-switched off once, when a daemon starts, by giving its part a neutral figure
-or a neutral stand-in: no call meets a question for it.
+Ablation runs disable a mechanism to measure its contribution. It is disabled
+once at startup by replacing a parameter or a method with a neutral one, so
+that no call pays for a check.
 """
 
 from collections.abc import Callable
@@ -23,13 +23,13 @@
     from cyclamenlift.runtime.daemon import DaemonNode
 
 LOG = structlog.get_logger('mechanisms')
-# A share of the slots that calls never reach.
+# A load, as a share of the slots, that is never reached.
 NEVER_CROWDED = 1000.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Mechanism:
-    """``buys`` says in one line what it is there for."""
+    """A mechanism: its benefit in one line and how to disable it."""
 
     buys: str
     switch_off: Callable[['DaemonNode'], None]
@@ -39,7 +39,7 @@
 
 
 def mechanism(name: str, buys: str):
-    """Return a decorator that files a function that switches one off."""
+    """Return a decorator registering the function that disables one."""
 
     def decorate(switch_off: Callable[['DaemonNode'], None]):
         MECHANISMS.register(name)(Mechanism(buys, switch_off))
@@ -49,12 +49,12 @@
 
 
 def unknown_mechanisms(names: tuple[str, ...]) -> list[Problem]:
-    """Return a numbered problem for each name that stands for none."""
+    """Return a numbered problem for each name that is not registered."""
     known = ', '.join(MECHANISMS)
     return [
         Problem(
             ResultCode.SETTING_INVALID,
-            f'no mechanism {name!r}',
+            f'unknown mechanism {name!r}',
             'without',
             f'One of: {known}.',
         )
@@ -64,13 +64,13 @@
 
 
 def switch_off(node: 'DaemonNode', names: tuple[str, ...]) -> None:
-    """Run a daemon without some mechanisms; the names are known ones."""
+    """Disable mechanisms of a daemon; every name must be registered."""
     for name in names:
         MECHANISMS.get(name).switch_off(node)
         LOG.warning('mechanism_off', mechanism=name)
 
 
-# -- who enters a target --------------------------------------------------
+# -- admission to a target ------------------------------------------------
 
 
 def change_admission(node: 'DaemonNode', **figures: float) -> None:
@@ -78,85 +78,85 @@
     state.rules = dataclasses.replace(state.rules, **figures)
 
 
-@mechanism('slots_by_crowding', 'runs as many calls as get most done')
+@mechanism('slots_by_crowding', 'adapts concurrency to the highest throughput')
 def without_slots_by_crowding(node: 'DaemonNode') -> None:
     state = node.gate.state
     state.learning.make_crowding = AllSlots
     state.set_slots(state.slots)
 
 
-@mechanism('refuse_the_late', 'keeps slots of a crowd for calls in time')
+@mechanism('refuse_the_late', 'refuses late calls when a target is busy')
 def without_refusing_the_late(node: 'DaemonNode') -> None:
     change_admission(node, crowded_share=NEVER_CROWDED)
 
 
-@mechanism('margin_by_spread', 'lets wait only what will rather be in time')
+@mechanism('margin_by_spread', 'queues only calls likely to be in time')
 def without_margin_by_spread(node: 'DaemonNode') -> None:
     change_admission(node, crowded_spreads=0.0, wait_spreads=0.0)
 
 
-@mechanism('reserved_slot', 'keeps a slot while more urgent calls come')
+@mechanism('reserved_slot', 'keeps a slot free for more urgent calls')
 def without_reserved_slot(node: 'DaemonNode') -> None:
     change_admission(node, reserved_slots=0)
 
 
-@mechanism('repeat_share', 'keeps slots from second tries')
+@mechanism('repeat_share', 'limits the slots that retries may use')
 def without_repeat_share(node: 'DaemonNode') -> None:
     change_admission(node, repeat_share=1.0)
 
 
-@mechanism('nested_first', 'lets calls of running work go first')
+@mechanism('nested_first', 'prioritises calls nested in running calls')
 def without_nested_first(node: 'DaemonNode') -> None:
     node.gate.state.order_of = lambda a: (a.rank, not a.returned)
 
 
-@mechanism('rank_order', 'lets the more urgent kinds go first')
+@mechanism('rank_order', 'orders waiting calls by the rank of their route')
 def without_rank_order(node: 'DaemonNode') -> None:
     node.gate.state.order_of = lambda a: (not a.nested, not a.returned)
 
 
-@mechanism('returned_first', 'lets who was refused before go first')
+@mechanism('returned_first', 'prioritises callers that retry after a refusal')
 def without_returned_first(node: 'DaemonNode') -> None:
     node.gate.state.order_of = lambda a: a.urgency
 
 
-@mechanism('hopeless_back', 'sends back what a slow spell has made late')
+@mechanism('hopeless_back', 'refuses queued calls that a slowdown made late')
 def without_hopeless_back(node: 'DaemonNode') -> None:
     node.gate.entrance.send_hopeless_back = lambda _now: None
 
 
-@mechanism('hold_in_spells', 'holds calls while their target is slow')
+@mechanism('hold_in_spells', 'delays calls during a slowdown of the target')
 def without_holding(node: 'DaemonNode') -> None:
     learning = node.gate.state.learning
     learning.best_start = lambda work, now: begin_now(learning, work, now)
 
 
 def begin_now(learning: 'Learning', work: float, now: float) -> Start:
-    """Return how long ``work`` takes that begins whatever the pace is."""
+    """Return the estimate for ``work`` that starts without any delay."""
     percent = learning.pace.percent(now) or PERCENT
     return Start(0.0, work * max(1.0, percent / PERCENT))
 
 
-@mechanism('ask_pace', 'asks a target for its pace before a call begins')
+@mechanism('ask_pace', 'polls the pace of a target before a call begins')
 def without_asking(node: 'DaemonNode') -> None:
     node.gate.entrance.is_pace_doubtful = lambda _call, _now: False
 
 
-@mechanism('path_lag', 'takes the time on a slow link off the time left')
+@mechanism('path_lag', 'deducts the delay of a slow link from the time left')
 def without_path_lag(node: 'DaemonNode') -> None:
     node.gate.lag_of = lambda _link, _start: 0.0
 
 
-@mechanism('pace_news', 'tells entries when a target changes its pace')
+@mechanism('pace_news', 'notifies entries when the pace of a target changes')
 def without_pace_news(node: 'DaemonNode') -> None:
     node.gate.news.is_due = lambda _pace: False
 
 
-# -- where a call goes ----------------------------------------------------
+# -- choice of target -----------------------------------------------------
 
 
 def change_services(node: 'DaemonNode', **fields: object) -> None:
-    """Give every service of every document these values."""
+    """Override fields of every service in each document applied."""
     apply = node.calls.apply_rules
 
     def apply_changed(rules) -> None:
@@ -169,41 +169,43 @@
     node.calls.apply_rules = apply_changed
 
 
-@mechanism('expected_finish', 'chooses by pace, work and calls before it')
+@mechanism(
+    'expected_finish', 'chooses the target with the earliest estimated finish'
+)
 def without_expected_finish(node: 'DaemonNode') -> None:
     change_services(node, policy='least_calls')
 
 
-@mechanism('hedges', 'asks a second target when the first is slow')
+@mechanism('hedges', 'tries a second target when the first is slow')
 def without_hedges(node: 'DaemonNode') -> None:
     change_services(node, hedge=False)
 
 
-@mechanism('ejection', 'leaves targets out that fail')
+@mechanism('ejection', 'excludes failing targets')
 def without_ejection(node: 'DaemonNode') -> None:
     change_services(node, ejection_share=0.0)
 
 
-@mechanism('slow_start', 'gives new targets less for some seconds')
+@mechanism('slow_start', 'ramps up the load of new targets')
 def without_slow_start(node: 'DaemonNode') -> None:
     change_services(node, slow_start_seconds=0.0)
 
 
-@mechanism('distance', 'keeps large bodies in their data centre')
+@mechanism('distance', 'keeps large bodies inside their data centre')
 def without_distance(node: 'DaemonNode') -> None:
     node.routing.far_kilobyte = 0.0
 
 
-@mechanism('slow_hand_back', 'sends calls back that came to a slow target')
+@mechanism('slow_hand_back', 'returns calls that reached a slow target')
 def without_slow_hand_back(node: 'DaemonNode') -> None:
     node.calls.slow_asked = 0
 
 
-@mechanism('time_used_up', 'counts the objective from the first try')
+@mechanism('time_used_up', 'measures the objective from the first try')
 def without_time_used_up(node: 'DaemonNode') -> None:
     node.calls.note_return = lambda _request: None
 
 
-@mechanism('quick_join', 'asks for the other members soon after a start')
+@mechanism('quick_join', 'requests the member list soon after a start')
 def without_quick_join(node: 'DaemonNode') -> None:
     node.membership.join_steps = ()
--- a/cyclamenlift/runtime/observing.py
+++ b/cyclamenlift/runtime/observing.py
@@ -1,4 +1,4 @@
-"""What a daemon counts: metrics and the figures of the burn report."""
+"""Metrics and burn rate statistics of a daemon."""
 
 import typing
 
@@ -17,7 +17,7 @@
 
 
 class Observer:
-    """Counts every finished call and reads the parts when asked."""
+    """Records finished calls and reads gauges when metrics are collected."""
 
     def __init__(self, node: 'DaemonNode'):
         self.node = node
@@ -28,7 +28,7 @@
         self.watch()
 
     def on_finished(self, call: Call, code: ResultCode) -> None:
-        """Count a call, unless its caller left before the answer."""
+        """Record a call, unless its caller disconnected before the answer."""
         if call.caller_gone:
             return
         now = self.node.scheduler.clock.now()
@@ -43,7 +43,7 @@
             self.burn.record(call.service, good, seconds, now)
 
     def burn_snapshot(self) -> dict[str, object]:
-        """Return the figures that ``cyclamenlift report burn`` reads."""
+        """Return the statistics for ``cyclamenlift report burn``."""
         now = self.node.scheduler.clock.now()
         return self.burn.to_snapshot(now, self.node.follower.rules)
 
--- a/cyclamenlift/runtime/peers.py
+++ b/cyclamenlift/runtime/peers.py
@@ -1,4 +1,4 @@
-"""The control instances as the settings name them."""
+"""Parsing and validation of the ``peers`` setting."""
 
 import re
 
@@ -21,9 +21,9 @@
 ) -> Result[dict[str, Address], list[Problem]]:
     """Return the peer address of each control instance by its name.
 
-    Every problem is returned at once. An instance that is not in its own
-    list, or stands there with another address than it listens on, would be
-    counted wrongly by the others.
+    All problems are returned together. An instance that is missing from its
+    own list, or listed with another port than it listens on, would be
+    counted incorrectly by the others.
     """
     peers, problems = read_list(settings.peers)
     if not problems:
@@ -34,7 +34,7 @@
 def read_list(
     texts: tuple[str, ...],
 ) -> tuple[dict[str, Address], list[Problem]]:
-    """Return the instances that could be read, and what could not."""
+    """Return the valid entries by name and a problem for each other one."""
     peers: dict[str, Address] = {}
     problems = []
     for text in texts:
@@ -47,7 +47,7 @@
             problems.append(problem(f'{text!r} is not name=host:port'))
             continue
         if name in peers:
-            problems.append(problem(f'{name!r} is named twice'))
+            problems.append(problem(f'{name!r} is listed twice'))
         peers[name] = address
     return peers, problems
 
@@ -55,7 +55,7 @@
 def check_whole(
     peers: dict[str, Address], settings: ControlSettings
 ) -> list[Problem]:
-    """Return what is wrong with a list whose parts are well formed."""
+    """Return inconsistencies of a list of well-formed entries."""
     problems = []
     own = peers.get(settings.instance)
     if own is None:
@@ -63,12 +63,12 @@
     elif own.port != Address.parse(settings.peer_listen).port:
         problems.append(
             problem(
-                f'{settings.instance!r} stands there with port {own.port}, '
+                f'{settings.instance!r} is listed with port {own.port}, '
                 f'but peer_listen is {settings.peer_listen}'
             )
         )
     if len(set(peers.values())) < len(peers):
-        problems.append(problem('two instances have one address'))
+        problems.append(problem('two instances have the same address'))
     if len(peers) > MOST_PEERS:
         problems.append(problem(f'more than {MOST_PEERS} instances'))
     return problems
--- a/cyclamenlift/runtime/status.py
+++ b/cyclamenlift/runtime/status.py
@@ -1,4 +1,4 @@
-"""What a daemon says of itself on its admin address."""
+"""Status report of a daemon, served on its admin address."""
 
 import dataclasses
 import typing
@@ -12,9 +12,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DaemonStatus:
-    """One daemon's state; ``confirmed`` speaks of the document's version.
+    """State of a daemon; sizes are in bytes.
 
-    Times are in seconds, sizes in bytes.
+    ``confirmed`` tells whether a majority read has confirmed ``version`` as
+    the newest version of the document.
     """
 
     kind: str
@@ -39,7 +40,7 @@
 
 
 def daemon_status(node: 'DaemonNode') -> DaemonStatus:
-    """Return the state of ``node`` as it is now."""
+    """Return the current state of ``node``."""
     records = node.membership.members()
     suspects = [r for r in records if r.state == MemberState.SUSPECT]
     gate = node.gate
@@ -67,7 +68,7 @@
 
 
 def state_word(node: 'DaemonNode') -> str:
-    """Return one word: stopping, entry, or the state of the target."""
+    """Return ``stopping``, ``entry`` or the lower-case target state."""
     if node.stopping:
         return 'stopping'
     if node.gate is None:
--- a/cyclamenlift/runtime/stopping.py
+++ b/cyclamenlift/runtime/stopping.py
@@ -1,9 +1,9 @@
-"""How a daemon stops without cutting off a call.
+"""Graceful shutdown of a daemon.
 
-Callers learn late that a daemon stops, and go on to use the connections
-that they have. So the entry works on for a while, then takes no new
-connections, and the process ends in a moment in which nothing is in flight
-and no connection can bring anything more.
+Callers notice a shutdown late and keep using their open connections. The
+entry therefore keeps serving for a while and then stops accepting
+connections. The process exits once no call is in flight and no connection
+can deliver another request.
 """
 
 import typing
@@ -14,16 +14,16 @@
     from cyclamenlift.runtime.daemon import DaemonNode
 
 LOG = structlog.get_logger('daemon')
-# Peers need this long to learn of a drain before the gate goes away.
+# Time for peers to learn of a drain before the gate closes.
 FAREWELL_SECONDS = 1.0
-# How often it is looked whether all is done, in seconds. It is also how
-# long the last connections have to bring what their callers had sent, and
-# the peers to hear that this instance leaves.
+# Interval of the checks for idleness, in seconds. Also the time that the
+# last connections have to deliver data that was already sent, and that peers
+# have to receive the leave message.
 IDLE_CHECK_SECONDS = 0.05
 
 
 class OrderlyStop:
-    """The steps of one daemon's stop, from the order to its end."""
+    """Runs the shutdown sequence of one daemon."""
 
     def __init__(self, node: 'DaemonNode'):
         self.node = node
@@ -31,7 +31,7 @@
         self.deadline = 0.0
 
     def begin(self) -> None:
-        """Tell callers with each answer; the gate and entry work on."""
+        """Announce the shutdown in each answer and schedule the next steps."""
         node = self.node
         settings = node.settings
         now = self.scheduler.clock.now()
@@ -39,17 +39,17 @@
         LOG.info('stop_began', open_calls=len(node.calls.open_calls))
         node.entry.begin_closing()
         farewell = max(FAREWELL_SECONDS, settings.farewell_seconds)
-        # The gate works on while callers learn of the stop: its target is
-        # out of use only from its drain until the next daemon has begun.
+        # The gate stays open while callers learn of the shutdown: its target
+        # is unused only from the drain until the next daemon has started.
         self.scheduler.after(farewell - FAREWELL_SECONDS, node.drain)
         self.scheduler.after(settings.farewell_seconds, node.entry.begin_drain)
         self.scheduler.after(farewell + IDLE_CHECK_SECONDS, self.check_idle)
 
     def check_idle(self) -> None:
-        """Leave once nothing is in flight, at the latest by the deadline.
+        """Leave the cluster once idle, or when the deadline has passed.
 
-        Idle connections are ended here and not when the process ends: a
-        request that came in between would be cut off.
+        Idle connections are closed here, not at process exit: a request that
+        arrived in between would be cut off.
         """
         now = self.scheduler.clock.now()
         if not self.is_idle() and now < self.deadline:
@@ -60,7 +60,7 @@
         self.scheduler.after(IDLE_CHECK_SECONDS, self.finish)
 
     def is_idle(self) -> bool:
-        """Tell whether no call is in flight, as entry or as gate."""
+        """Whether neither the entry nor the gate has a call in flight."""
         node = self.node
         if node.entry.busy or not node.calls.is_idle():
             return False
@@ -69,7 +69,7 @@
         return node.gate is None or node.gate.is_idle()
 
     def finish(self) -> None:
-        """Close everything and end the loop."""
+        """Close all connections and stop the event loop."""
         node = self.node
         LOG.info('stopped', open_calls=len(node.calls.open_calls))
         node.membership.stop()
--- a/tests/console/test_pages.py
+++ b/tests/console/test_pages.py
@@ -47,14 +47,14 @@
     [
         ('event', 'Not A Name', 'String should match pattern'),
         ('starts_at', 'soon', 'valid datetime'),
-        ('starts_at', '2026-12-02T06:00:00', 'give a time with its offset'),
+        ('starts_at', '2026-12-02T06:00:00', 'a time needs an offset'),
         ('services[1].deadline_ms', 'x', 'valid integer'),
         ('services[1].deadline_ms', '0', 'greater than or equal to 1'),
         ('services[0].hedge', 'perhaps', 'valid boolean'),
         ('services[0].policy', 'fastest', 'Input should be'),
         ('services[0].data_centres', 'a, B!', 'String should match'),
         ('services[0].targets', '', 'at least 1 item'),
-        ('services[0].operations[1].path', 'notes', 'starts with /'),
+        ('services[0].operations[1].path', 'notes', 'must start with /'),
         ('services[0].objective.percent', '100', 'less than 100'),
     ],
 )
--- a/tests/models/test_routes.py
+++ b/tests/models/test_routes.py
@@ -74,7 +74,10 @@
     ('changes', 'word'),
     [
         ({'shares': [{'service': 'none'}]}, 'unknown service'),
-        ({'shares': [{'service': 'fees', 'weight': 0}]}, 'add up to 0'),
+        (
+            {'shares': [{'service': 'fees', 'weight': 0}]},
+            'sum of the weights is 0',
+        ),
         ({'shares': []}, 'at least 1'),
         ({'path_prefix': '/p'}, 'slash'),
         ({'timeout_ms': 1000, 'objective_ms': 61_000}, 'far above'),
--- a/tests/runtime/test_peers.py
+++ b/tests/runtime/test_peers.py
@@ -30,11 +30,11 @@
     [
         ('', ['not in the list']),
         (B, ['not in the list']),
-        (f'{A},{A}', ['named twice']),
+        (f'{A},{A}', ['listed twice']),
         (f'{A},x:1', ['not name=host:port']),
         (f'{A},/=x:1,b=:5', ['not name=host:port', 'not name=host:port']),
         ('a=127.0.0.1:7,' + B, ['with port 7']),
-        (f'{A},c=127.0.0.1:7100', ['one address']),
+        (f'{A},c=127.0.0.1:7100', ['same address']),
         (
             ','.join([A] + [f'n{i}=127.0.0.1:{i}' for i in range(1, 8)]),
             ['more than 7'],
