--- a/tests/conf/test_settings.py
+++ b/tests/conf/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: flags over environment, every problem at once."""
+"""Settings: precedence of sources and reporting of all problems."""
 
 import pytest
 
--- a/tests/conf/test_watching.py
+++ b/tests/conf/test_watching.py
@@ -1,4 +1,4 @@
-"""A settings file that changes around the start of a process."""
+"""Detection of changes to a settings file."""
 
 import time
 
@@ -27,12 +27,12 @@
 def wait_for(root, taken: list) -> None:
     end = time.monotonic() + SECONDS
     while not taken:
-        assert time.monotonic() < end, 'the change was never noticed'
+        assert time.monotonic() < end, 'the change was not detected in time'
         root.tick(0.01)
 
 
 def test_a_change_between_the_reading_and_the_watch_is_noticed(path):
-    """Regression: the watch began with the stamp of the changed file."""
+    """Regression: the watch started with the stamp of the changed file."""
     stamp = file_stamp()
     fields = parse_fields(path.read_text())
     path.write_text(path.read_text() + 'new=1\n')
--- a/tests/models/builders.py
+++ b/tests/models/builders.py
@@ -1,4 +1,4 @@
-"""Event documents for tests."""
+"""Sample event documents."""
 
 import copy
 
@@ -19,12 +19,12 @@
 
 
 def document_value(**fields) -> dict:
-    """Return a valid document as plain values; ``fields`` replace."""
+    """Return a valid document as a dict with ``fields`` replaced."""
     return {**copy.deepcopy(DOCUMENT), **fields}
 
 
 def with_service(**fields) -> dict:
-    """Return a document whose one service has these fields."""
+    """Return a document with ``fields`` of its only service replaced."""
     value = document_value()
     value['services'][0].update(fields)
     return value
--- a/tests/models/test_document.py
+++ b/tests/models/test_document.py
@@ -1,4 +1,4 @@
-"""The event document at the border: all of it or nothing."""
+"""Validation and canonical form of the event document."""
 
 import json
 
--- a/tests/models/test_lines.py
+++ b/tests/models/test_lines.py
@@ -1,4 +1,4 @@
-"""Documents as lines: the same rules, and routes read once."""
+"""Line-based form of documents: equal rules, and reuse of routes."""
 
 import json
 
--- a/tests/models/test_routes.py
+++ b/tests/models/test_routes.py
@@ -1,4 +1,4 @@
-"""Routes of a document: which one a request takes, and what is refused."""
+"""Route lookup and validation of routes."""
 
 import pytest
 from returns.result import Failure
--- a/tests/platform/builders.py
+++ b/tests/platform/builders.py
@@ -1,4 +1,4 @@
-"""Settings files, configurations and processes of the adapter's tests."""
+"""Settings files, configurations and processes for adapter tests."""
 
 import json
 import os
@@ -12,7 +12,7 @@
 
 
 def configuration(version: int = 7, **changes) -> dict:
-    """Return a complete configuration as an operator sends it."""
+    """Return a complete configuration in the platform's format."""
     value = {
         'version': version,
         'services': [service('prices'), service('fees')],
@@ -65,12 +65,12 @@
 
 
 def own_host() -> str:
-    """Return a loopback address of our own: one port is the same on all."""
+    """Return a random loopback address, so that hosts can share a port."""
     return '127.' + '.'.join(str(random.randrange(1, 255)) for _ in range(3))
 
 
 def free_ports(host: str, count: int) -> list[int]:
-    """Return ports that nobody uses now."""
+    """Return currently unused ports."""
     socks = [socket.socket() for _ in range(count)]
     for sock in socks:
         sock.bind((host, 0))
@@ -81,7 +81,7 @@
 
 
 def settings_lines(**changes: str) -> str:
-    """Return the settings file of a daemon, with some lines changed."""
+    """Return the settings file of a daemon with some fields changed."""
     host = own_host()
     outbound, ready, control, app, inner = free_ports(host, 5)
     fields = {
@@ -105,7 +105,7 @@
 
 
 def start_program(kind: str, path: pathlib.Path) -> subprocess.Popen:
-    """Start the adapter's program with a settings file."""
+    """Start a program of the adapter with a settings file."""
     environment = {**os.environ, 'CYCLAMENLIFT_BOOT': str(path)}
     return subprocess.Popen(
         [sys.executable, '-m', 'cyclamenlift.platform', kind],
@@ -118,8 +118,8 @@
 
 
 def read_until(process: subprocess.Popen, word: str) -> str:
-    """Return the first line of output with ``word``."""
+    """Return the first line of output that contains ``word``."""
     for line in process.stdout:
         if word in line:
             return line
-    raise AssertionError(f'{word!r} was never written')
+    raise AssertionError(f'{word!r} is not in the output')
--- a/tests/platform/fleet.py
+++ b/tests/platform/fleet.py
@@ -1,4 +1,4 @@
-"""The adapter's programs as a small fleet of processes on loopback."""
+"""Harness: programs of the adapter as processes on loopback."""
 
 import http.client
 import json
@@ -17,7 +17,7 @@
 from tests.platform.builders import settings_lines
 
 WAIT_SECONDS = 30.0
-# How long an operator waits for one answer.
+# Timeout of a request from an operator.
 PATIENCE_SECONDS = 1.0
 REPLACE = '/v1/Config.Replace'
 PATCH = '/v1/Config.Patch'
@@ -25,7 +25,7 @@
 
 
 class Answer(NamedTuple):
-    """What an operator heard; status 0 for nothing in time."""
+    """An answer to an operator; status 0 stands for a timeout."""
 
     status: int
     value: dict
@@ -33,7 +33,7 @@
 
 
 class Fleet:
-    """Control instances and daemons; ``close`` ends what still runs."""
+    """Control instances and daemons; ``close`` kills those running."""
 
     def __init__(self, folder: pathlib.Path, control: int, daemons: int):
         self.folder = folder
@@ -49,7 +49,7 @@
             self.start(host, 'daemon')
 
     def settings(self, host: str) -> str:
-        """Return the settings file of the machine with this address."""
+        """Return the settings file of the instance on ``host``."""
         entry, ready, app = free_ports(host, 3)
         port = self.control_port
         seeds = [f'{seed}:{port}' for seed in self.control[:3]]
@@ -97,7 +97,7 @@
         base: int | None = None,
         seconds: float = PATIENCE_SECONDS,
     ) -> Answer:
-        """Send one order, or a read without a base; no redirect is taken."""
+        """Send an order, or a read if ``base`` is None; follow no redirect."""
         headers = {} if base is None else {'Base-Version': str(base)}
         method = 'GET' if base is None else 'POST'
         connection = http.client.HTTPConnection(
@@ -115,7 +115,7 @@
         return Answer(answer.status, value, place)
 
     def ask_until(self, host: str, path: str, body: bytes, base: int):
-        """Send an order again until it is accepted; return the seconds."""
+        """Repeat an order until it is accepted; return the seconds taken."""
         began = time.monotonic()
         while True:
             answer = self.ask(host, path, body, base)
@@ -126,7 +126,7 @@
             time.sleep(0.05)
 
     def found(self) -> str:
-        """Send the first configuration; return the leader's host."""
+        """Publish the first configuration and return the leader's host."""
         body = as_body(configuration(version=1))
         deadline = time.monotonic() + WAIT_SECONDS
         while time.monotonic() < deadline:
@@ -138,7 +138,7 @@
         raise AssertionError(self.log(self.control[0])[-2000:])
 
     def leads(self, host: str) -> bool:
-        """Tell whether an instance is the one that answers reads itself."""
+        """Whether an instance answers reads itself, without a redirect."""
         return self.ask(host, GET).status == 200
 
     def close(self) -> None:
--- a/tests/platform/test_boundary.py
+++ b/tests/platform/test_boundary.py
@@ -1,4 +1,4 @@
-"""Nothing but the adapter knows the platform's names."""
+"""The platform's names occur only in the adapter, which stays small."""
 
 import pathlib
 import re
@@ -14,7 +14,7 @@
     '|weighted_services|cold_left|Instances\\.Heartbeat|Config\\.Replace',
     re.IGNORECASE,
 )
-# The default dialect's own name for the service of a caller.
+# Name of a header field in the default dialect.
 OWN = 'cyclamenlift-caller-service'
 
 
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -1,4 +1,4 @@
-"""Operators' configurations, read and changed in parts."""
+"""Parsing of platform configurations and partial changes."""
 
 import json
 import time
@@ -143,11 +143,11 @@
     assert isinstance(edit_document(document, body), Failure)
 
 
-# The longest list of routes that a document may have.
+# Maximum number of routes in a document.
 MOST_ROUTES = 10_000
-# How long the loop of a control instance may stand, in seconds: beyond its
-# election timeout the others choose another leader, the change fails, and
-# the next leader stands as long.
+# How long the loop of a control instance may be blocked, in seconds: beyond
+# the election timeout the others elect another leader, the change fails, and
+# the next leader is blocked for as long.
 ELECTION_SECONDS = 0.5
 
 
@@ -163,13 +163,12 @@
 
 
 def test_adding_many_routes_leaves_the_leader_its_heartbeats():
-    """Large configurations got no acknowledgement in calm times.
+    """Regression: partial changes of large configurations were too slow.
 
-    Seen: a valid change was not acknowledged within 4 s though nothing was
-    disturbed. How it came about: the configuration grew by 1,400 routes at
-    a time; each route that a partial change brought was looked for in all
-    that there were. Proved by measuring that step alone: 0.6 s with 4,200
-    routes on four hosts, 5.8 s with a host for each, 16 s with 9,800.
+    Without any failure, a valid change was not acknowledged within 4 s.
+    Changes of 1,400 routes searched all existing routes for each new one:
+    0.6 s with 4,200 routes on four hosts, 5.8 s with one host per route, 16 s
+    with 9,800 routes.
     """
     value = configuration(virtual_hosts=many_hosts(0, MOST_ROUTES - 1400))
     items = {'virtual_hosts': many_hosts(MOST_ROUTES - 1400, 1400)}
@@ -182,10 +181,10 @@
 
 
 def test_a_configuration_with_the_most_routes_is_accepted():
-    """The same changes, four of them: the fifth answer was a refusal.
+    """Regression: the size limit refused documents with 5,600 routes.
 
-    With 5,600 routes the document was over its limit of bytes, though it
-    may have 10,000 routes.
+    A document may have 10,000 routes; the fifth of a series of changes was
+    refused.
     """
     hosts = many_hosts(0, MOST_ROUTES)
     document = read(configuration(virtual_hosts=hosts)).unwrap()
--- a/tests/platform/test_orders.py
+++ b/tests/platform/test_orders.py
@@ -1,4 +1,4 @@
-"""Operators' orders: each instance that takes one sees it through."""
+"""Operators' orders: every instance accepts and completes them."""
 
 import time
 
@@ -11,7 +11,7 @@
 from tests.platform.fleet import PATCH
 from tests.platform.fleet import REPLACE
 
-# The most that an order may take, from its first sending, in seconds.
+# Maximum time from the first sending of an order to its answer, in seconds.
 ACK_SECONDS = 4.0
 
 
@@ -23,14 +23,14 @@
 
 
 def added_route(version: int) -> bytes:
-    """Return an order that adds one route."""
+    """Return the body of an order that adds a route."""
     rules = [route(f'r-{version}', f'/v{version}/')]
     hosts = [{'host': 'a.example', 'path_rules': rules}]
     return as_body({'version': version, 'upsert': {'virtual_hosts': hosts}})
 
 
-# Guards against an order whose every way leads through one instance: a
-# follower that only names the leader takes two answers in a row to be heard.
+# Guards against a single point of failure: with a follower that only
+# redirects to the leader, both have to answer in turn.
 def test_a_follower_answers_orders_itself(fleet):
     leader = fleet.found()
     version = 1
@@ -44,8 +44,8 @@
         version += 2
 
 
-# Guards against an acknowledgement that is lost for good: the order comes
-# again at an instance that does not lead, which has the outcome in its log.
+# Guards against lost acknowledgements: an order is repeated at an instance
+# other than the leader, which has the outcome in its log.
 def test_an_order_that_comes_again_elsewhere_gets_its_first_answer(fleet):
     leader = fleet.found()
     order = added_route(2)
@@ -57,8 +57,9 @@
         assert fleet.ask(host, REPLACE, lost, 1).status == 412
 
 
-# Guards against few doors: with orders taken by control instances alone,
-# two dark ones of five cost an operator a second at each other visit.
+# Guards against too few endpoints: if only control instances accept orders
+# and two of five are unreachable, every other request of an operator waits a
+# second for its timeout.
 def test_a_daemon_takes_orders_for_the_leader(fleet):
     fleet.found()
     (daemon,) = fleet.daemons
@@ -68,8 +69,8 @@
     assert fleet.ask(daemon, REPLACE, b'{"version":8}', 4).status == 400
 
 
-# Guards against callers who are sent to a leader that has just frozen: they
-# wait a second for nothing, and longer before each further try.
+# Guards against redirects to a leader that has just hung: operators time out
+# after a second and back off longer before each retry.
 def test_orders_are_answered_while_the_leader_is_frozen(fleet):
     leader = fleet.found()
     fleet.ask_until(fleet.daemons[0], PATCH, added_route(2), 1)
@@ -85,8 +86,8 @@
     assert version > 8
 
 
-# Guards against callers who stay with an instance that is cut off from all
-# others and are refused there for as long as the cut lasts.
+# Guards against operators who keep using an instance that is partitioned from
+# all others and are refused there until the partition ends.
 def test_an_instance_that_reaches_nobody_names_a_daemon(fleet):
     leader = fleet.found()
     (daemon,) = fleet.daemons
--- a/tests/platform/test_programs.py
+++ b/tests/platform/test_programs.py
@@ -1,4 +1,4 @@
-"""The programs as processes: start, reload and stop."""
+"""Start, reload and shutdown of the programs as processes."""
 
 import signal
 
@@ -17,7 +17,7 @@
 
 
 def test_a_daemon_goes_on_after_a_reload_and_stops_on_request(settings_file):
-    """Regression: SIGHUP ended the process and every call in it."""
+    """Regression: SIGHUP terminated the process and all its calls."""
     process = start_program('daemon', settings_file)
     try:
         read_until(process, 'daemon_started')
--- a/tests/platform/test_targets.py
+++ b/tests/platform/test_targets.py
@@ -1,4 +1,4 @@
-"""Check-ins and farewells of the local target."""
+"""Heartbeats and deregistration of the local target."""
 
 import json
 
@@ -26,7 +26,7 @@
 
 
 class Asked:
-    """A request that keeps its answer."""
+    """A request that records the status of its answer."""
 
     method = 'POST'
     remote = Address('127.0.0.1', 9)
@@ -48,10 +48,10 @@
 
 
 class Client:
-    """A target client that has no connections."""
+    """A target client without connections."""
 
     def drop_idle(self) -> None:
-        """Drop nothing."""
+        """Do nothing."""
 
 
 @pytest.fixture
@@ -211,8 +211,8 @@
     assert asked.status == 404
 
 
-# Guards against a confirmation that nobody keeps: a target of another machine
-# whose own daemon is gone comes here, is confirmed, and its callers go on.
+# Guards against a false confirmation: a target of another machine whose
+# daemon is gone registers here and is confirmed, though no gate serves it.
 def test_targets_of_other_machines_are_not_confirmed(gate):
     gate.target_host = '127.0.0.1'
     assert beat(gate) == 200
--- a/tests/runtime/builders.py
+++ b/tests/runtime/builders.py
@@ -1,4 +1,4 @@
-"""One entry and one or more gates under one loop, with scripted targets."""
+"""Harness: an entry and gates on one loop, with scripted targets."""
 
 from collections.abc import Callable
 import contextlib
@@ -33,9 +33,9 @@
 
 Script = Callable[[socket.socket, bytes], None]
 WAIT_SECONDS = 20.0
-# How long a call that ends its target runs there.
+# How long a call runs before it terminates its target.
 END_SECONDS = 0.04
-# How long a target that ends may still take connections.
+# How long a terminating target still accepts connections.
 LISTENER_SECONDS = 0.002
 LOCAL = Address('127.0.0.1', 0)
 
@@ -60,7 +60,7 @@
 
 
 def answer(body: bytes = b'fine', status: int = 200, extra: bytes = b''):
-    """Return a script that answers with a right length."""
+    """Return a script that sends a valid answer."""
     head = f'HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n'.encode()
 
     def script(conn: socket.socket, _request: bytes) -> None:
@@ -70,7 +70,7 @@
 
 
 def raw(data: bytes, close: bool = True):
-    """Return a script that sends these bytes and may break off."""
+    """Return a script that sends bytes and optionally disconnects."""
 
     def script(conn: socket.socket, _request: bytes) -> None:
         if data:
@@ -82,7 +82,7 @@
 
 
 def late(seconds: float, then: Script) -> Script:
-    """Return a script that waits before it goes on."""
+    """Return a script that sleeps before it runs ``then``."""
 
     def script(conn: socket.socket, request: bytes) -> None:
         time.sleep(seconds)
@@ -92,9 +92,9 @@
 
 
 class ScriptedTarget:
-    """A target in a thread; request n is handled by script n, or the last.
+    """A threaded target; request n is handled by script n, or the last.
 
-    ``requests`` holds what arrived whole, in order.
+    ``requests`` lists complete requests in order of arrival.
     """
 
     def __init__(self, *scripts: Script, address: Address = LOCAL):
@@ -135,7 +135,7 @@
 
 
 class EndingTarget(ScriptedTarget):
-    """Ends, with all its connections, some time after calls of a path."""
+    """Terminates with all its connections after a call of ``path``."""
 
     def __init__(self, path: str):
         super().__init__(answer())
@@ -146,7 +146,7 @@
     def serve(self, conn: socket.socket) -> None:
         self.connections.append(conn)
         if self.ended:
-            # A process that has ended holds no connection.
+            # A terminated process has no connections.
             conn.close()
             return
         super().serve(conn)
@@ -168,7 +168,7 @@
         self.end_connections()
 
     def end_listener(self) -> None:
-        # A thread that waits for a connection would keep the port open.
+        # A thread blocked in accept would keep the port open.
         self.server.shutdown(socket.SHUT_RDWR)
         self.server.close()
 
@@ -180,7 +180,7 @@
 
 
 class SlowlyEndingTarget(EndingTarget):
-    """Ends its connections first and its listener a moment later."""
+    """Closes its connections first and its listener a moment later."""
 
     def __init__(self, path: str, listener_seconds: float = LISTENER_SECONDS):
         super().__init__(path)
@@ -195,7 +195,7 @@
 
 
 def read_message(conn: socket.socket) -> bytes:
-    """Return one request or answer, whole by its Content-Length."""
+    """Read one message with the body given by its Content-Length."""
     data = b''
     while b'\r\n\r\n' not in data:
         piece = conn.recv(65536)
@@ -216,7 +216,7 @@
 
 
 class FakeClaims:
-    """A ledger that grants every claim and remembers every message."""
+    """A ledger client that returns a fixed verdict and records messages."""
 
     def __init__(self, verdict=ClaimVerdict.GRANTED, record=None, code=0):
         self.verdict = verdict
@@ -236,7 +236,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Answer:
-    """What a caller got; status 0 means a broken connection."""
+    """An answer to a caller; status 0 stands for a broken connection."""
 
     status: int
     result: int
@@ -245,7 +245,7 @@
 
 
 class PathBed:
-    """Entry and gates over real sockets on one loop."""
+    """An entry and gates connected by real sockets on one loop."""
 
     def __init__(self, *targets, claims=None, slots=4, **fields):
         self.loop = build_root()
@@ -312,12 +312,12 @@
         )
         self.routing.note_member(record, self.loop.scheduler.clock.now())
 
-    # -- the caller -----------------------------------------------------------
+    # -- callers --------------------------------------------------------------
 
     def send(
         self, method='GET', path='/p', body=b'', host='prices', **headers
     ):
-        """Send one request on a connection of its own."""
+        """Send a request on a new connection."""
         lines = [f'{method} {path} HTTP/1.1', f'Host: {host}']
         for name, value in headers.items():
             lines.append(f'{name.replace("_", "-")}: {value}')
@@ -338,7 +338,7 @@
                 self.loop.tick(0.01)
 
     def receive(self, caller: socket.socket) -> Answer:
-        """Run the loop until the answer is whole or broken off."""
+        """Run the loop until the answer is complete or broken off."""
         data = b''
         deadline = time.monotonic() + WAIT_SECONDS
         while time.monotonic() < deadline:
@@ -364,7 +364,9 @@
         """Run the loop until ``condition`` holds."""
         deadline = time.monotonic() + WAIT_SECONDS
         while not condition():
-            assert time.monotonic() < deadline, 'the condition never held'
+            assert time.monotonic() < deadline, (
+                'timed out waiting for a condition'
+            )
             self.loop.tick(0.01)
 
     def close(self) -> None:
@@ -378,7 +380,7 @@
 
 
 def parse_answer(data: bytes) -> Answer | None:
-    """Return a whole answer, None while bytes are missing."""
+    """Parse an answer; return None while it is incomplete."""
     head, found, body = data.partition(b'\r\n\r\n')
     if not found:
         return None
@@ -394,7 +396,7 @@
 
 
 class QuietScheduler:
-    """A scheduler whose clock stands still and that runs nothing."""
+    """A scheduler with a constant clock that never runs a callback."""
 
     def __init__(self):
         self.clock = self
@@ -417,7 +419,7 @@
 
 
 def platform_like_dialect() -> Dialect:
-    """Return a dialect with proofs, incarnations and load figures."""
+    """Return a dialect with proofs, incarnations and load reports."""
     return Dialect(
         call_id='x-call',
         time_left_ms='x-left',
@@ -433,7 +435,7 @@
 def build_pace(
     percent: int, in_flight: int = 0, slots: int = 8, spell_left_ms: int = 0
 ) -> LoadFigures:
-    """Return the figures of a gate whose target has this pace."""
+    """Return load figures with the given pace of the target."""
     return LoadFigures(
         in_flight=in_flight,
         queued=0,
--- a/tests/runtime/control_builders.py
+++ b/tests/runtime/control_builders.py
@@ -1,4 +1,4 @@
-"""Control instances as real processes on loopback."""
+"""Harness: control instances as processes on the loopback interface."""
 
 import json
 import signal
@@ -25,13 +25,13 @@
 
 
 def wait_until(condition, seconds: float = WAIT_SECONDS):
-    """Return the first true value of ``condition``."""
+    """Poll ``condition`` and return its first true value."""
     deadline = time.monotonic() + seconds
     while True:
         found = condition()
         if found:
             return found
-        assert time.monotonic() < deadline, 'the condition never held'
+        assert time.monotonic() < deadline, 'timed out waiting for a condition'
         time.sleep(0.02)
 
 
@@ -40,7 +40,7 @@
 
 
 class ControlCluster:
-    """Three control processes; ``close`` ends what still runs."""
+    """Three control processes; ``close`` kills those still running."""
 
     def __init__(self, folder, **flags):
         self.folder = folder
@@ -92,12 +92,12 @@
         self.processes.pop(name).wait()
 
     def get(self, name: str, path: str) -> dict:
-        """Return what one instance answers, empty if it does not."""
+        """Return the answer of an instance, empty if there is none."""
         result = request(self.admins[name], 'GET', path)
         return result.value_or(None).value if result.value_or(None) else {}
 
     def text(self, name: str) -> str:
-        """Return the metrics page of one instance."""
+        """Return the metrics page of an instance."""
         _, _, body = ask(str(self.admins[name]), 'GET', '/metrics')
         return body.decode()
 
@@ -107,7 +107,7 @@
         return answer.code if answer else 0
 
     def leader(self) -> str:
-        """Return who leads, once one of the running confirms a read."""
+        """Wait until an instance confirms a read and return its name."""
 
         def find():
             for name, process in self.processes.items():
@@ -122,7 +122,7 @@
         return (self.folder / f'{name}.log').read_text()[-2000:]
 
     def publish(self, body: dict, seconds: float = WAIT_SECONDS) -> dict:
-        """Publish as the command line does; return the final answer."""
+        """Publish like the command line and return the final answer."""
         call = LeaderCall(self.consoles, request, Clock(), '')
         deadline = time.monotonic() + seconds
         return call.post('/api/publish', body, deadline).unwrap().value
--- a/tests/runtime/test_control.py
+++ b/tests/runtime/test_control.py
@@ -1,4 +1,4 @@
-"""Control instances as real processes: kills, cuts, races, restarts."""
+"""Control instances as processes: kills, pauses, races, restarts."""
 
 import random
 import shutil
@@ -33,7 +33,7 @@
 
 
 class DaemonSide:
-    """The parts of a daemon that talk to control, on a loop by hand."""
+    """The clients of a daemon for control, on a loop driven by the test."""
 
     def __init__(self, cluster):
         self.loop = build_root()
@@ -49,11 +49,13 @@
     def run_until(self, condition) -> None:
         deadline = time.monotonic() + WAIT_SECONDS
         while not condition():
-            assert time.monotonic() < deadline, 'the condition never held'
+            assert time.monotonic() < deadline, (
+                'timed out waiting for a condition'
+            )
             self.loop.tick(0.01)
 
     def claim(self, key: str, attempt: str, seconds=10.0):
-        """Return the answer and how long it took."""
+        """Return the answer to a claim and its duration."""
         answers = []
         request = ttypes.ClaimRequest(0, 'sale', key, attempt, 0, 0, b'f')
         began = time.monotonic()
@@ -62,13 +64,13 @@
         return answers[0], time.monotonic() - began
 
     def claim_until(self, verdict, key: str, attempt: str):
-        """Claim again, as a caller would, until ``verdict`` comes."""
+        """Repeat a claim with new attempts until it returns ``verdict``."""
         for number in range(int(WAIT_SECONDS)):
             answer, _ = self.claim(key, f'{attempt}-{number}')
             if answer.verdict == verdict:
                 return answer
             assert answer.verdict == ttypes.ClaimVerdict.NO_MAJORITY
-        raise AssertionError('no majority came back')
+        raise AssertionError('no majority was restored')
 
     def end(self, key: str, attempt: str) -> bool:
         ended = []
--- a/tests/runtime/test_control_metrics.py
+++ b/tests/runtime/test_control_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of a control instance against its parts and its page."""
+"""Metrics of a control instance and their reference page."""
 
 import pathlib
 
@@ -27,7 +27,7 @@
 
 
 def values_of(text: str) -> dict[tuple[str, ...], float]:
-    """Return each value by its name and, if any, its own attribute."""
+    """Return values by metric name and role or verdict, if any."""
     found = {}
     for family in text_string_to_metric_families(text):
         for sample in family.samples:
@@ -38,7 +38,7 @@
 
 
 def build_metrics():
-    """Return the metrics of a scripted leader with a document."""
+    """Return the claim server and metrics of a scripted leader."""
     context = control_context()
     context.replica.status = lambda: STATUS
     claims = ClaimServer(
--- a/tests/runtime/test_ending_targets.py
+++ b/tests/runtime/test_ending_targets.py
@@ -1,4 +1,4 @@
-"""A request that ends targets, through entry and gates over real sockets."""
+"""Requests that terminate targets, with entry and gates on sockets."""
 
 import json
 
@@ -14,8 +14,8 @@
 from tests.runtime.builders import SlowlyEndingTarget
 
 BAD = '/bad'
-# From the end of a target's connections to that of its listener, in seconds:
-# as its machine is busy.
+# Seconds from closing a target's connections to closing its listener on a
+# busy machine.
 SLOW_END = 0.02
 
 
@@ -64,7 +64,7 @@
 
 
 def test_a_booking_that_ends_targets_keeps_its_promises(bed):
-    """Each key's outcome is unknown until it is kept away, then not run."""
+    """Outcomes are unknown until the quarantine, then "not run"."""
     targets = [EndingTarget(BAD) for _ in range(4)]
     path = bed(*targets)
     for number in range(2):
@@ -78,14 +78,14 @@
 
 
 def test_a_target_that_ends_takes_connections_a_moment_longer(bed):
-    """A process that ends closes what it has open one after the other."""
+    """A terminating process closes its sockets one after the other."""
     path = bed(*(SlowlyEndingTarget(BAD) for _ in range(4)))
     found = path.ask('POST', BAD, b'{}', Idempotency_Key='k')
     assert found.result == ResultCode.TARGET_ENDED
 
 
 def test_a_target_that_ends_slowly_is_not_taken_for_one_that_runs(bed):
-    """Guards against a first end that is told as a mere break."""
+    """Guards against a termination reported as a mere disconnect."""
     path = bed(*(SlowlyEndingTarget(BAD, SLOW_END) for _ in range(4)))
     found = path.ask('POST', BAD, b'{}', Idempotency_Key='k')
     assert found.result == ResultCode.TARGET_ENDED
@@ -101,7 +101,7 @@
 
 
 def test_a_target_that_is_back_gets_calls_again(bed):
-    """Guards against a gate that keeps refusing after its target's return."""
+    """Guards against a gate that still refuses after its target returned."""
     target = EndingTarget('/none')
     path = bed(target)
     assert path.ask().status == 200
--- a/tests/runtime/test_late_calls.py
+++ b/tests/runtime/test_late_calls.py
@@ -1,7 +1,7 @@
-"""A gate and calls that were long on their way.
+"""A gate and calls that were delayed in transit.
 
-The load: bodies fill the link of a gate's instance, and calls behind them
-arrive when their callers have already given up.
+Bodies saturate the link of a gate's instance, so calls behind them arrive
+after their deadlines.
 """
 
 import pytest
@@ -22,7 +22,7 @@
 
 
 class IdleClient:
-    """A target connection that keeps what it was asked to send."""
+    """A target client that records requests."""
 
     def __init__(self):
         self.requests = []
@@ -34,7 +34,7 @@
     pending = 0
 
     def send_body(self, _data, _last) -> None:
-        """Take a body that never matters here."""
+        """Ignore the body."""
 
 
 @pytest.fixture
@@ -45,7 +45,7 @@
 
 
 def start(number: int, age: float, left: float, **fields) -> CallStart:
-    """Return a call that was sent ``age`` seconds ago."""
+    """Return a call sent ``age`` seconds ago with ``left`` seconds left."""
     return CallStart(
         call_id=number,
         service_name='prices',
--- a/tests/runtime/test_load_news.py
+++ b/tests/runtime/test_load_news.py
@@ -1,7 +1,7 @@
-"""A gate tells entries that its target has slowed down.
+"""A gate notifies entries of a slowdown of its target.
 
-The load: neighbours of an instance make its work several times slower for
-half a second at a time, so entries must learn of it within milliseconds.
+Other load on the machine makes a target several times slower for half a
+second at a time, so entries must be notified within milliseconds.
 """
 
 from cyclamenlift.gate.tasks import Gate
@@ -17,7 +17,7 @@
 
 
 def test_news_on_a_local_link_do_not_break_the_answer_that_brought_them():
-    """Regression: a local link had no greeting, so each call was lost."""
+    """Regression: a local link has no Hello, which failed each call."""
     gate = make_gate(platform_like_dialect())
     entry_end, gate_end = local_pair(iter(range(1, 9)))
     told = []
--- a/tests/runtime/test_machine.py
+++ b/tests/runtime/test_machine.py
@@ -1,4 +1,4 @@
-"""The state machine that the log drives on a control instance."""
+"""The replicated state machine of a control instance."""
 
 import pytest
 
--- a/tests/runtime/test_mechanisms.py
+++ b/tests/runtime/test_mechanisms.py
@@ -1,4 +1,4 @@
-"""Each mechanism of deciding can be left out, and only by its name."""
+"""Every mechanism can be disabled by its registered name."""
 
 import random
 
--- a/tests/runtime/test_path.py
+++ b/tests/runtime/test_path.py
@@ -1,4 +1,4 @@
-"""The call path over real sockets: faults of targets and of gates."""
+"""The call path over real sockets: failures of targets and gates."""
 
 import gc
 import json
@@ -129,8 +129,8 @@
 
 
 def test_call_that_waited_for_a_connection_is_not_sent_after_its_end(bed):
-    # Regression: the connection came up after the deadline, and what was
-    # told to be not run ran.
+    # Regression: the connection was established after the deadline, and a
+    # call that had been reported as not run was run.
     target = ScriptedTarget(answer())
     path = bed(target)
     started = []
@@ -157,7 +157,7 @@
 
 
 def test_error_of_a_target_is_never_told_as_not_run(bed):
-    """After a 500, a refusal elsewhere must not turn it into "not run"."""
+    """A refusal by another target after a 500 must not yield "not run"."""
     path = bed(ScriptedTarget(answer(b'boom', 500)), DEAD)
     for _ in range(4):
         found = path.ask()
@@ -228,7 +228,7 @@
 
 
 def test_a_gate_that_refuses_an_upload_is_not_sent_its_body(bed):
-    # The load: bodies are most of what fills slow links and of what costs
+    # Bodies cause most of the traffic on slow links and most of the cost
     # between data centres.
     target = ScriptedTarget(answer())
     path = bed(target)
@@ -342,7 +342,7 @@
 
 
 def test_frozen_first_target_is_hedged_before_any_answer_was_seen(bed):
-    """Too few answers to know a delay once meant no hedge at all."""
+    """Regression: no hedges before enough answers gave a hedge delay."""
     frozen = ScriptedTarget(late(5.0, answer(b'late')))
     path = bed(frozen, ScriptedTarget(answer(b'good')), hedge=True)
     assert path.routing.hedge_after('prices', 0.0) is None
@@ -350,7 +350,7 @@
 
 
 def test_early_hedges_leave_budget_to_rescue_a_call_when_it_is_late(bed):
-    """A slow spell once used up the budget; then a frozen target cost 504."""
+    """Regression: hedges used up the budget; a hung target caused a 504."""
     frozen = ScriptedTarget(late(5.0, answer(b'late')))
     path = bed(frozen, ScriptedTarget(answer(b'good')), hedge=True)
     path.routing.hedge_after = lambda service, now: 0.01
@@ -363,7 +363,7 @@
 
 
 def test_call_at_a_frozen_target_is_rescued_after_all_others_refused(bed):
-    """All tries were used up by refusals of a moment; the last one hung."""
+    """Regression: refusals used up all tries but the one that hung."""
     hold = threading.Event()
 
     def held(conn, request):
@@ -411,7 +411,7 @@
 
 
 def join_locally(path: PathBed) -> None:
-    """Let the entry reach its first gate without a socket."""
+    """Connect the entry to its first gate by a local link."""
     entry_end, gate_end = local_pair(path.network.numbers)
     gate = path.gates[0]
     path.calls.subscribe(entry_end)
@@ -424,9 +424,9 @@
 
 
 def test_caller_that_leaves_ends_its_call_at_the_local_gate_for_good(bed):
-    """Regression: the gate's word came at once and began another try.
+    """Regression: the synchronous reply of the gate began another try.
 
-    The exception that followed closed the link with all calls on it.
+    The resulting exception closed the link with all calls on it.
     """
     target = ScriptedTarget(late(3.0, answer()))
     path = bed(target)
@@ -444,9 +444,9 @@
 
 
 def test_a_large_upload_on_a_new_connection_is_not_left_without_credit(bed):
-    """Regression: what waited for the connection was never credited.
+    """Regression: data queued for the connection was never credited.
 
-    A body over the window of 256 KiB then stood still until its deadline.
+    A body larger than the window of 256 KiB stalled until its deadline.
     """
     target = ScriptedTarget(answer(b'kept'))
     path = bed(target)
@@ -466,7 +466,7 @@
 def test_what_newer_rules_may_name_is_no_final_answer(
     bed, behind, status, code
 ):
-    """Seen: 404 for a route that had been added 2 s before."""
+    """Regression: 404 for a route that had been added 2 s before."""
     made = bed(ScriptedTarget(answer()))
     made.calls.is_behind = lambda: behind
     found = made.ask(host='added-just-now')
--- a/tests/runtime/test_peers.py
+++ b/tests/runtime/test_peers.py
@@ -1,4 +1,4 @@
-"""The list of control instances in the settings."""
+"""Parsing of the ``peers`` setting."""
 
 import pytest
 from returns.result import Failure
--- a/tests/runtime/test_stopping.py
+++ b/tests/runtime/test_stopping.py
@@ -1,8 +1,7 @@
-"""A daemon stops while its callers go on to use their connections.
+"""Graceful shutdown while callers keep using their connections.
 
-The load: callers that keep connections open for many requests and learn of
-the stop only by an answer or a closed connection, so that a request may
-come at any moment until the connection ends.
+Callers with persistent connections notice a shutdown only by an answer or a
+closed connection, so a request may arrive at any time until then.
 """
 
 import heapq
@@ -22,7 +21,7 @@
 
 
 class SteppedClock:
-    """A scheduler whose time moves only when it is told to."""
+    """A scheduler whose time is advanced by the test."""
 
     def __init__(self):
         self.clock = self
@@ -45,7 +44,7 @@
 
 
 class Bed:
-    """A daemon's parts: a real entry whose calls the test answers."""
+    """Stub of a daemon with a real entry; the test answers its calls."""
 
     def __init__(self):
         self.root = build_root()
@@ -76,7 +75,7 @@
         self.loop = SimpleNamespace(stop=self.end)
 
     def drain(self) -> None:
-        """Have no gate to drain."""
+        """Do nothing: there is no gate."""
 
     def leave(self) -> None:
         self.left = True
@@ -85,7 +84,7 @@
         self.ended = True
 
     def run_until_it_leaves(self) -> None:
-        """Stop right after the look that found nothing in flight."""
+        """Run until the idle check has passed and the instance has left."""
         while not self.left:
             self.scheduler.run_until(self.scheduler.time + 0.01)
 
@@ -111,7 +110,7 @@
     bed.ask(caller)
     bed.scheduler.run_until(GRACE)
     assert bed.ended
-    # It was not read, so its caller may send it again wherever it likes.
+    # The request was not read, so its caller may retry it anywhere.
     assert bed.taken == []
     caller.settimeout(1.0)
     bed.turn()
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -1,4 +1,4 @@
-"""What a daemon may load: memory and start time are dear beside a target."""
+"""Limits the imports of a daemon, for its memory use and start time."""
 
 import pathlib
 import subprocess
@@ -8,8 +8,8 @@
 
 ROOT = pathlib.Path(__file__).parents[1]
 
-# Libraries and standard modules that cost megabytes or a tenth of a second
-# and that no call needs. They come with the first page or metric.
+# Modules that take megabytes or a tenth of a second to import and that no call
+# needs. The first request for an admin page or metrics imports them.
 UNWANTED = {
     '_hashlib',
     'asyncio',
@@ -44,7 +44,7 @@
 import cyclamenlift.platform.programs
 for name in sys.argv[1:]:
     importlib.import_module(name)
-# A module that waits for its first use has no file yet.
+# A lazy module that is not loaded yet has no file.
 for name, module in list(sys.modules.items()):
     held = getattr(module, '__dict__', {})
     if held.get('__spec__') or held.get('__file__'):
@@ -55,8 +55,8 @@
 
 
 def loaded(*modules: str) -> set[str]:
-    """Return the modules that a process with these has loaded."""
-    # -S leaves out what the packages of this machine load at each start.
+    """Return the modules loaded in a process that imports ``modules``."""
+    # -S skips modules that installed packages load at each start.
     command = [sys.executable, '-S', '-c', SCRIPT, *modules]
     path = ':'.join([str(ROOT), *(p for p in sys.path if p)])
     done = subprocess.run(
--- a/tests/test_no_fitting.py
+++ b/tests/test_no_fitting.py
@@ -1,7 +1,7 @@
-"""Nothing that decides may depend on where it runs.
+"""Decision logic must not depend on a particular deployment.
 
-Deployments, their services, data centres and days have names on the users'
-sheets. A rule that knows one of them is fitted to it.
+A rule that contains the name of a user's deployment, service, data centre or
+scenario is overfitted to it.
 """
 
 import pathlib
@@ -43,7 +43,7 @@
     'quito',
     'cumbaya',
     'carapungo',
-    # kinds of request and days
+    # request types and scenarios
     'price-lookup',
     'menu-lookup',
     'order-place',
