--- a/bench/claims.py
+++ b/bench/claims.py
@@ -21,7 +21,7 @@
 from bench.control_fleet import resident_megabytes
 from bench.control_fleet import wait_for_leader
 from cyclamenlift.ledger.records import Attempt
-from cyclamenlift.runtime.machine import ControlMachine
+from cyclamenlift.runtime.state_machine import ControlStateMachine
 from cyclamenlift.standins.fleet import ControlHandle
 from cyclamenlift.standins.fleet import Fleet
 from cyclamenlift.standins.fleet import temporary_fleet
@@ -159,7 +159,7 @@
         load.close()
 
 
-def claim_in(machine: ControlMachine, first: int, count: int) -> None:
+def claim_in(machine: ControlStateMachine, first: int, count: int) -> None:
     """Grant fresh keys in a state machine, without a log."""
     for number in range(first, first + count):
         name = f'key-{number:012d}-0123456789abcdef'
@@ -169,7 +169,7 @@
 
 def measure_snapshots() -> None:
     """Time snapshots as an instance takes them: some claims are new."""
-    machine = ControlMachine()
+    machine = ControlStateMachine()
     machine.ledger.advance(START_MS)
     held = 0
     for goal in HELD:
--- a/bench/order_times.py
+++ b/bench/order_times.py
@@ -31,7 +31,7 @@
 
 import fire
 
-from cyclamenlift.platform.operators import STATUS_OF
+from cyclamenlift.platform.operators import STATUS_BY_CODE
 
 LINE = re.compile(r'\s*(-?\d+\.\d+) (\S+) (\{.*\})\s*$')
 UNSTABLE = re.compile(r'^the core was not stable: (.+)$')
@@ -42,7 +42,7 @@
 CARRIED = 'order_carried'
 EVENTS = (TAKEN, ANSWERED, CARRIED)
 # Codes of answers after which an order is not sent again.
-CLEAR = {int(code) for code, status in STATUS_OF.items() if status < 500}
+CLEAR = {int(code) for code, status in STATUS_BY_CODE.items() if status < 500}
 # Seconds after which a caller has gone on to another instance.
 CALLER_WAITS = 1.0
 
--- a/cyclamenlift/cli/check.py
+++ b/cyclamenlift/cli/check.py
@@ -25,8 +25,8 @@
 from cyclamenlift.core.codes import ResultCode
 from cyclamenlift.core.problems import Problem
 from cyclamenlift.core.streams import Address
+from cyclamenlift.runtime.peers import parse_entries
 from cyclamenlift.runtime.peers import parse_peers
-from cyclamenlift.runtime.peers import read_list
 from cyclamenlift.wire.codec import accelerator_present
 
 PEERS_VARIABLE = PREFIX + 'PEERS'
@@ -69,7 +69,7 @@
     settings = load_settings(kind, flags)
     if isinstance(settings, Failure):
         problems.extend(settings.failure())
-        problems.extend(read_list(raw_peers(kind, flags))[1])
+        problems.extend(parse_entries(raw_peers(kind, flags))[1])
     else:
         problems.extend(check_loaded(settings.unwrap()))
     for name in unknown_environment():
--- a/cyclamenlift/conf/settings.py
+++ b/cyclamenlift/conf/settings.py
@@ -297,13 +297,13 @@
     try:
         settings = kind(**known)
     except pydantic.ValidationError as error:
-        problems.extend(problem_of(item) for item in error.errors())
+        problems.extend(problem_from_error(item) for item in error.errors())
     if problems:
         return Failure(problems)
     return Success(settings)
 
 
-def problem_of(item) -> Problem:
+def problem_from_error(item) -> Problem:
     """Convert a pydantic error to a numbered problem with a hint."""
     name = str(item['loc'][0]) if item['loc'] else 'settings'
     hint = f'Set --{name} or {PREFIX}{name.upper()}.'
--- a/cyclamenlift/conf/watching.py
+++ b/cyclamenlift/conf/settings_watcher.py
@@ -14,7 +14,7 @@
 from cyclamenlift.core.problems import Problem
 
 # Polling also detects changes without a signal and costs one system call.
-LOOK_SECONDS = 2.0
+POLL_SECONDS = 2.0
 Fields = Mapping[str, str]
 Stamp = tuple[int, int]
 LOG = structlog.get_logger('settings')
@@ -28,7 +28,7 @@
     stamp: Callable[[], Stamp]
 
 
-class SettingsWatch(BaseComponent):
+class SettingsWatcher(BaseComponent):
     """Reloads the file on SIGHUP or when its stamp has changed.
 
     ``stamp`` must be taken before ``fields`` are read, so that a change
@@ -53,8 +53,8 @@
         self.stamp = stamp
         self.register(root)
         signal.signal(signal.SIGHUP, root._signal_handler)
-        root.scheduler.after(0.0, self.look)
-        root.scheduler.every(LOOK_SECONDS, self.look)
+        root.scheduler.after(0.0, self.check_file)
+        root.scheduler.every(POLL_SECONDS, self.check_file)
 
     @handler('signal', channel='*')
     def _on_signal(self, event, number, _stack) -> None:
@@ -62,7 +62,7 @@
             event.stop()
             self.reload('signal')
 
-    def look(self) -> None:
+    def check_file(self) -> None:
         """Reload the file if its stamp has changed."""
         if self.file.stamp() != self.stamp:
             self.reload('changed file')
--- a/cyclamenlift/events/adoption.py
+++ b/cyclamenlift/events/adoption.py
@@ -25,9 +25,9 @@
 from cyclamenlift.events.history import DocumentHistory
 from cyclamenlift.models.document import document_from_bytes
 from cyclamenlift.models.document import MAX_CANONICAL_BYTES
-from cyclamenlift.models.lines import known_routes
 from cyclamenlift.models.lines import Lines
 from cyclamenlift.models.lines import lines_from_canonical
+from cyclamenlift.models.lines import rules_by_line
 from cyclamenlift.models.lines import rules_from_lines
 from cyclamenlift.models.rules import EventRules
 from cyclamenlift.wire.gen.protocol.ttypes import DocumentChange
@@ -135,7 +135,7 @@
             steps = self.steps_of(offer)
             if not steps or steps[-1].version != offer.version:
                 return Success(False)
-            known = known_routes(self.history.lines, self.rules)
+            known = rules_by_line(self.history.lines, self.rules)
             rules = rules_from_lines(steps[-1].lines, offer.version, known)
         except ValueError as error:
             detail = str(error).replace('\n', ' ')[:200]
--- a/cyclamenlift/lean.py
+++ b/cyclamenlift/lazy_imports.py
@@ -2,9 +2,9 @@
 
 Many packages import all of their modules in ``__init__``. A daemon uses few
 of them, and since one runs beside each target, its memory and start time
-matter. ``load_lean`` must be called before any other import. Without it a
-daemon on one instance took 43 MB and 0.69 s to start; docs/measurements.md
-has the current values.
+matter. ``install_lazy_imports`` must be called before any other import.
+Without it a daemon on one instance took 43 MB and 0.69 s to start;
+docs/measurements.md has the current values.
 """
 
 from collections.abc import Callable
@@ -37,7 +37,7 @@
 # Optional dependencies of libraries: for coloured logs on a terminal, which a
 # daemon does not have, and for hashes, which the interpreter's own modules
 # provide without loading OpenSSL.
-LEFT_OUT = ('colorama', 'rich', '_hashlib')
+MISSING_LIBRARIES = ('colorama', 'rich', '_hashlib')
 
 # Names exported by the packages and the modules that define them.
 CIRCUITS_NAMES = {
@@ -74,7 +74,7 @@
     'processors': 'structlog.processors',
     'reset_defaults': 'structlog._config',
 }
-PACKAGES: Mapping[str, Mapping[str, str]] = {
+PARTIAL_PACKAGES: Mapping[str, Mapping[str, str]] = {
     'circuits': CIRCUITS_NAMES,
     'circuits.core': CIRCUITS_NAMES,
     'crc32c': {'crc32c': 'crc32c._crc32c'},
@@ -87,27 +87,27 @@
 ENVIRONMENT = {'PYDANTIC_DISABLE_PLUGINS': '__all__', 'PYTHONTZPATH': ''}
 
 
-def load_lean() -> None:
+def install_lazy_imports() -> None:
     """Install lazy modules and partial packages; may be called again."""
     os.environ.update(ENVIRONMENT)
     for name in LAZY_MODULES:
-        load_lazily(name)
+        install_lazy_module(name)
     for name, functions in LAZY_FUNCTIONS.items():
-        load_lazily(name, functions)
-    for name in LEFT_OUT:
-        leave_out(name)
-    for name, offered in PACKAGES.items():
-        open_package(name, offered)
+        install_lazy_module(name, functions)
+    for name in MISSING_LIBRARIES:
+        mark_missing(name)
+    for name, exports in PARTIAL_PACKAGES.items():
+        install_partial_package(name, exports)
 
 
-def load_lazily(name: str, functions: Sequence[str] = ()) -> None:
+def install_lazy_module(name: str, functions: Sequence[str] = ()) -> None:
     """Install a module that is imported when an attribute is first read.
 
     Attributes in ``functions`` import the module only when called.
     """
     if name in sys.modules:
         return
-    waiting = types.ModuleType(name)
+    lazy_module = types.ModuleType(name)
 
     def load(attribute: str) -> object:
         if attribute.startswith('__'):
@@ -115,7 +115,7 @@
             raise AttributeError(
                 f'lazy module {name} has no attribute {attribute}'
             )
-        if sys.modules.get(name) is waiting:
+        if sys.modules.get(name) is lazy_module:
             del sys.modules[name]
         return getattr(importlib.import_module(name), attribute)
 
@@ -123,17 +123,17 @@
         return lambda *args, **named: load(attribute)(*args, **named)
 
     for function in functions:
-        setattr(waiting, function, defer(function))
-    waiting.__getattr__ = load
-    sys.modules[name] = waiting
+        setattr(lazy_module, function, defer(function))
+    lazy_module.__getattr__ = load
+    sys.modules[name] = lazy_module
 
 
-def leave_out(name: str) -> None:
+def mark_missing(name: str) -> None:
     """Make an optional dependency appear to be missing."""
     sys.modules.setdefault(name, None)
 
 
-def open_package(name: str, offered: Mapping[str, str]) -> None:
+def install_partial_package(name: str, exports: Mapping[str, str]) -> None:
     """Install a package whose modules load without its ``__init__``.
 
     ``offered`` maps exported names to ``module`` or ``module:name``, which is
@@ -148,12 +148,12 @@
     package.__file__ = str(folder / '__init__.py')
 
     def find(attribute: str) -> object:
-        place = offered.get(attribute)
-        if place is None:
+        source = exports.get(attribute)
+        if source is None:
             raise AttributeError(
                 f'partial package {name} has no attribute {attribute}'
             )
-        module, _, other_name = place.partition(':')
+        module, _, other_name = source.partition(':')
         found = importlib.import_module(module)
         if module == f'{name}.{attribute}':
             return found
--- a/cyclamenlift/models/document.py
+++ b/cyclamenlift/models/document.py
@@ -202,7 +202,7 @@
         return value
 
     @pydantic.model_validator(mode='after')
-    def check_whole(self) -> 'EventDocument':
+    def check_consistency(self) -> 'EventDocument':
         if self.ends_at <= self.starts_at:
             raise ValueError('ends_at must be later than starts_at')
         names = [service.name for service in self.services]
@@ -247,10 +247,10 @@
     try:
         return Success(EventDocument.model_validate(raw))
     except pydantic.ValidationError as error:
-        return Failure([problem_of(item) for item in error.errors()])
+        return Failure([problem_from_error(item) for item in error.errors()])
 
 
-def problem_of(item) -> Problem:
+def problem_from_error(item) -> Problem:
     """Convert a pydantic error to a problem with the path of the field."""
     path = ''
     for part in item['loc']:
--- a/cyclamenlift/models/lines.py
+++ b/cyclamenlift/models/lines.py
@@ -12,9 +12,9 @@
 from cyclamenlift.models.document import EventDocument
 from cyclamenlift.models.routes import RouteModel
 from cyclamenlift.models.rules import EventRules
-from cyclamenlift.models.rules import route_of
 from cyclamenlift.models.rules import RouteRule
 from cyclamenlift.models.rules import RouteTable
+from cyclamenlift.models.rules import rule_from_route
 from cyclamenlift.models.rules import rules_from_document
 
 Lines = tuple[bytes, ...]
@@ -44,7 +44,7 @@
     return dump(value)
 
 
-def known_routes(lines: Lines, rules: EventRules | None) -> dict:
+def rules_by_line(lines: Lines, rules: EventRules | None) -> dict:
     """Map each route line to its parsed rule."""
     if rules is None or rules.routes is None:
         return {}
@@ -71,7 +71,7 @@
 
 
 def read_route(line: bytes) -> RouteRule:
-    return route_of(RouteModel.model_validate_json(line))
+    return rule_from_route(RouteModel.model_validate_json(line))
 
 
 def check_services(route: RouteRule, rules: EventRules) -> None:
--- a/cyclamenlift/models/routes.py
+++ b/cyclamenlift/models/routes.py
@@ -9,9 +9,9 @@
 import pydantic
 
 # An objective this far above the timeout is most likely a wrong unit.
-MOST_OBJECTIVE_EXCESS_MS = 60_000
+MAX_OBJECTIVE_EXCESS_MS = 60_000
 HOST_PATTERN = r'^[A-Za-z0-9]([A-Za-z0-9.-]{0,251}[A-Za-z0-9])?$'
-MOST_MILLISECONDS = 3_600_000
+MAX_MILLISECONDS = 3_600_000
 
 Repetition = Literal['idempotent', 'once_per_attempt']
 
@@ -59,7 +59,7 @@
         description='whether a request may run more than once',
     )
     timeout_ms: float = pydantic.Field(
-        2_000, gt=0, le=MOST_MILLISECONDS, description='timeout of a request'
+        2_000, gt=0, le=MAX_MILLISECONDS, description='timeout of a request'
     )
     objective_ms: float = pydantic.Field(
         1_000,
@@ -84,10 +84,10 @@
         return value
 
     @pydantic.model_validator(mode='after')
-    def check_whole(self) -> 'RouteModel':
+    def check_consistency(self) -> 'RouteModel':
         if not sum(share.weight for share in self.shares):
             raise ValueError('the sum of the weights is 0')
-        if self.objective_ms - self.timeout_ms >= MOST_OBJECTIVE_EXCESS_MS:
+        if self.objective_ms - self.timeout_ms >= MAX_OBJECTIVE_EXCESS_MS:
             raise ValueError('objective_ms is far above timeout_ms')
         return self
 
@@ -113,6 +113,6 @@
     idle_ms: float = pydantic.Field(
         60_000,
         gt=0,
-        le=MOST_MILLISECONDS,
+        le=MAX_MILLISECONDS,
         description='timeout of an idle connection',
     )
--- a/cyclamenlift/models/rules.py
+++ b/cyclamenlift/models/rules.py
@@ -160,9 +160,9 @@
         event=document.event,
         starts_unix_ms=int(document.starts_at.timestamp() * MILLISECONDS),
         ends_unix_ms=int(document.ends_at.timestamp() * MILLISECONDS),
-        services={s.name: rule_of(s) for s in document.services},
+        services={s.name: rule_from_service(s) for s in document.services},
         routes=route_table(document.routes),
-        caller_limits=limits_of(document.caller_limits),
+        caller_limits=limits_from_model(document.caller_limits),
     )
 
 
@@ -170,10 +170,10 @@
     """Return the table of a document's routes, None without routes."""
     if not routes:
         return None
-    return RouteTable(tuple(route_of(route) for route in routes))
+    return RouteTable(tuple(rule_from_route(route) for route in routes))
 
 
-def route_of(route: RouteModel) -> RouteRule:
+def rule_from_route(route: RouteModel) -> RouteRule:
     """Convert a route to a rule."""
     return RouteRule(
         name=route.name,
@@ -188,7 +188,7 @@
     )
 
 
-def limits_of(limits: CallerLimitsModel | None) -> CallerLimits | None:
+def limits_from_model(limits: CallerLimitsModel | None) -> CallerLimits | None:
     """Convert the limits for callers."""
     if limits is None:
         return None
@@ -200,7 +200,7 @@
     )
 
 
-def rule_of(service: ServiceModel) -> ServiceRule:
+def rule_from_service(service: ServiceModel) -> ServiceRule:
     """Convert a service to a rule."""
     return ServiceRule(
         name=service.name,
--- a/cyclamenlift/platform/__main__.py
+++ b/cyclamenlift/platform/__main__.py
@@ -3,7 +3,7 @@
 import signal
 import sys
 
-from cyclamenlift.lean import load_lean
+from cyclamenlift.lazy_imports import install_lazy_imports
 
 USAGE = 'usage: cyclamenlift.platform daemon|control\n'
 
@@ -12,7 +12,7 @@
     """Run the named program; return 2 if the name is unknown."""
     # A reload requested during startup is redundant: startup reads the file.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
-    load_lean()
+    install_lazy_imports()
     from cyclamenlift.platform.programs import PROGRAMS
 
     run = PROGRAMS.get(arguments[0] if len(arguments) == 1 else '')
--- a/cyclamenlift/platform/documents.py
+++ b/cyclamenlift/platform/documents.py
@@ -11,7 +11,7 @@
 from returns.result import Result
 from returns.result import Success
 
-from cyclamenlift.conf.durations import milliseconds
+from cyclamenlift.conf.durations import to_milliseconds
 from cyclamenlift.core.codes import ResultCode
 from cyclamenlift.core.problems import brief
 from cyclamenlift.core.problems import Problem
@@ -22,12 +22,12 @@
 EVENT_NAME = 'platform'
 EVENT_STARTS = '2000-01-01T00:00:00Z'
 EVENT_ENDS = '9999-01-01T00:00:00Z'
-REPETITION_OF_KIND = {
+REPETITION_BY_KIND = {
     'idempotent': 'idempotent',
     'non_idempotent': 'once_per_attempt',
     'upload': 'once_per_attempt',
 }
-MOST_VERSION = 2**53
+VERSION_LIMIT = 2**53
 
 
 class WireModel(pydantic.BaseModel):
@@ -84,7 +84,7 @@
 class WireConfiguration(WireModel):
     """A complete configuration."""
 
-    version: int = pydantic.Field(gt=0, lt=MOST_VERSION)
+    version: int = pydantic.Field(gt=0, lt=VERSION_LIMIT)
     services: tuple[WireService, ...]
     virtual_hosts: tuple[WireHost, ...]
     limits: WireLimits
@@ -93,7 +93,7 @@
 class WirePatch(WireModel):
     """A partial change: ``upsert`` holds items, ``remove`` holds names."""
 
-    version: int = pydantic.Field(gt=0, lt=MOST_VERSION)
+    version: int = pydantic.Field(gt=0, lt=VERSION_LIMIT)
     upsert: dict = {}
     remove: dict = {}
 
@@ -107,7 +107,7 @@
     version = value.get('version') if isinstance(value, dict) else None
     if isinstance(version, bool) or not isinstance(version, int):
         return invalid('version is missing or not an integer')
-    if not 0 < version < MOST_VERSION:
+    if not 0 < version < VERSION_LIMIT:
         return invalid(f'version {version} is out of range')
     return Success(version)
 
@@ -143,8 +143,8 @@
         'caller_limits': {
             'max_header_bytes': limits.max_header_bytes,
             'max_body_bytes': limits.max_body_bytes,
-            'head_ms': milliseconds(limits.header_timeout),
-            'idle_ms': milliseconds(limits.idle_timeout),
+            'head_ms': to_milliseconds(limits.header_timeout),
+            'idle_ms': to_milliseconds(limits.idle_timeout),
         },
     }
 
@@ -160,7 +160,7 @@
 
 def route_value(host: str, route: WireRoute) -> dict:
     """Return the fields of one route; ValueError for an unknown kind."""
-    if route.kind not in REPETITION_OF_KIND:
+    if route.kind not in REPETITION_BY_KIND:
         raise ValueError(f'route {route.name!r}: unknown kind {route.kind!r}')
     shares = [
         {'service': share.service, 'weight': share.weight}
@@ -173,9 +173,9 @@
         'host': host,
         'path_prefix': route.path_prefix,
         'shares': shares,
-        'repetition': REPETITION_OF_KIND[route.kind],
-        'timeout_ms': milliseconds(route.timeout),
-        'objective_ms': milliseconds(route.target_latency),
+        'repetition': REPETITION_BY_KIND[route.kind],
+        'timeout_ms': to_milliseconds(route.timeout),
+        'objective_ms': to_milliseconds(route.target_latency),
         'max_tries': route.attempts,
         'rank': route.priority,
     }
@@ -188,7 +188,7 @@
     try:
         patch = WirePatch.model_validate_json(body)
         value = json.loads(document.source)
-        remove_named(value, patch.remove)
+        remove_by_name(value, patch.remove)
         upsert(value, patch.upsert)
         value['version'] = patch.version
     except (ValueError, TypeError, KeyError, AttributeError) as error:
@@ -196,17 +196,17 @@
     return read_configuration(json.dumps(value))
 
 
-def remove_named(value: dict, names: dict) -> None:
+def remove_by_name(value: dict, names: dict) -> None:
     """Remove services and routes by name."""
     services = set(names.get('services', ()))
     value['services'] = [
         s for s in value['services'] if s['name'] not in services
     ]
     routes = set(names.get('routes', ()))
-    value['virtual_hosts'] = without_routes(value['virtual_hosts'], routes)
+    value['virtual_hosts'] = remove_routes(value['virtual_hosts'], routes)
 
 
-def without_routes(hosts: list[dict], names: set[str]) -> list[dict]:
+def remove_routes(hosts: list[dict], names: set[str]) -> list[dict]:
     """Remove routes by name and drop hosts that have no routes left."""
     for host in hosts:
         host['path_rules'] = [
@@ -217,14 +217,14 @@
 
 def upsert(value: dict, items: dict) -> None:
     """Add items, or replace those of the same name."""
-    put_all(value['services'], items.get('services', ()))
+    merge_items(value['services'], items.get('services', ()))
     hosts = items.get('virtual_hosts', ())
-    value['virtual_hosts'] = with_routes(value['virtual_hosts'], hosts)
+    value['virtual_hosts'] = merge_routes(value['virtual_hosts'], hosts)
     if 'limits' in items:
         value['limits'] = items['limits']
 
 
-def with_routes(hosts: list[dict], added: list[dict]) -> list[dict]:
+def merge_routes(hosts: list[dict], added: list[dict]) -> list[dict]:
     """Return the hosts with the routes of ``added`` merged in.
 
     A route that another host had moves to its new host. Lookups use a dict:
@@ -234,13 +234,13 @@
     routes_of: dict[str, list[dict]] = {}
     for host in added:
         routes_of.setdefault(host['host'], []).extend(host['path_rules'])
-    home_of = {
+    host_of = {
         route['name']: name
         for name, routes in routes_of.items()
         for route in routes
     }
     for host in hosts:
-        host['path_rules'] = at_home(host['path_rules'], host['host'], home_of)
+        host['path_rules'] = unmoved(host['path_rules'], host['host'], host_of)
     known: dict[str, dict] = {}
     for host in hosts:
         known.setdefault(host['host'], host)
@@ -249,22 +249,22 @@
         if name not in known:
             known[name] = {'host': name, 'path_rules': []}
             result.append(known[name])
-        put_all(known[name]['path_rules'], at_home(routes, name, home_of))
+        merge_items(known[name]['path_rules'], unmoved(routes, name, host_of))
     return [host for host in result if host['path_rules']]
 
 
-def at_home(routes: list[dict], host: str, home_of: dict) -> list[dict]:
+def unmoved(routes: list[dict], host: str, host_of: dict) -> list[dict]:
     """Return the routes that have not moved to another host."""
-    return [r for r in routes if home_of.get(r['name'], host) == host]
+    return [r for r in routes if host_of.get(r['name'], host) == host]
 
 
-def put_all(items: list[dict], added: list[dict]) -> None:
+def merge_items(items: list[dict], added: list[dict]) -> None:
     """Replace items by name; append those with new names."""
-    places = {item['name']: place for place, item in enumerate(items)}
+    index_by_name = {item['name']: index for index, item in enumerate(items)}
     for item in added:
-        place = places.setdefault(item['name'], len(items))
-        if place < len(items):
-            items[place] = item
+        index = index_by_name.setdefault(item['name'], len(items))
+        if index < len(items):
+            items[index] = item
         else:
             items.append(item)
 
--- a/cyclamenlift/platform/operators.py
+++ b/cyclamenlift/platform/operators.py
@@ -36,8 +36,8 @@
 GET_PATH = '/v1/Config.Get'
 # A request with 1,400 routes takes 219 KB, so the maximum of 10,000 routes is
 # estimated at 1.6 MB; routes with several services need more.
-MOST_CHANGE_BYTES = 4 * 1024 * 1024
-STATUS_OF = {
+MAX_CHANGE_BYTES = 4 * 1024 * 1024
+STATUS_BY_CODE = {
     ResultCode.CHANGE_ACCEPTED: 200,
     ResultCode.VERSION_CONFLICT: 412,
     ResultCode.DOCUMENT_INVALID: 400,
@@ -45,7 +45,7 @@
     ResultCode.BAD_REQUEST: 400,
     ResultCode.CHANGE_UNKNOWN: 504,
 }
-NOT_SURE = 503
+UNAVAILABLE = 503
 LOG = structlog.get_logger('operators')
 
 
@@ -70,7 +70,7 @@
     )
 
 
-class OperatorCalls:
+class OperatorEndpoint:
     """Serves changes and reads of the configuration.
 
     Every instance accepts changes unless they are large. Large changes and
@@ -81,35 +81,35 @@
         self.orders = orders
         self.port = port
 
-    def take(self, exchange: Exchange) -> None:
+    def handle(self, exchange: Exchange) -> None:
         """Handle a request from an operator."""
         path = exchange.path.partition('?')[0]
         if (exchange.method, path) == ('GET', GET_PATH):
-            self.take_get(exchange)
+            self.on_get(exchange)
         elif exchange.method != 'POST' or path not in ORDER_KINDS.items:
             refuse(exchange, 404, Problem(ResultCode.NOT_FOUND, path[:100]))
         elif not self.orders.takes(exchange.body_length):
-            self.send_on(exchange, self.orders.place())
+            self.redirect(exchange, self.orders.place())
         else:
             read_whole(
                 exchange,
-                MOST_CHANGE_BYTES,
-                lambda body: self.take_change(exchange, path, body),
+                MAX_CHANGE_BYTES,
+                lambda body: self.on_change(exchange, path, body),
             )
 
-    def take_get(self, exchange: Exchange) -> None:
+    def on_get(self, exchange: Exchange) -> None:
         """Answer with the newest configuration, or redirect the request."""
-        if not self.orders.read(lambda report: self.give(exchange, report)):
-            self.send_on(exchange, self.orders.place())
+        if not self.orders.read(lambda report: self.reply(exchange, report)):
+            self.redirect(exchange, self.orders.place())
 
-    def give(self, exchange: Exchange, report: DocumentReport) -> None:
+    def reply(self, exchange: Exchange, report: DocumentReport) -> None:
         if not report.confirmed or not report.document:
-            self.refuse_unsure(exchange, 'the configuration may be outdated')
+            self.refuse_unavailable(exchange, 'the copy may be outdated')
             return
         source = document_from_bytes(report.document.encode()).source
         exchange.respond(200, [JSON_TYPE], source.encode())
 
-    def take_change(self, exchange: Exchange, path: str, body: bytes) -> None:
+    def on_change(self, exchange: Exchange, path: str, body: bytes) -> None:
         base = exchange.header(BASE_VERSION_FIELD) or ''
         version = read_version(body)
         if not (base.isascii() and base.isdigit() and len(base) <= 15):
@@ -126,12 +126,12 @@
             lambda report: self.finish(exchange, order, report),
         )
 
-    def refuse_unsure(self, exchange: Exchange, detail: str) -> None:
-        refuse(exchange, NOT_SURE, Problem(ResultCode.NOT_LEADER, detail))
+    def refuse_unavailable(self, exchange: Exchange, detail: str) -> None:
+        refuse(exchange, UNAVAILABLE, Problem(ResultCode.NOT_LEADER, detail))
 
     def refuse_change(self, exchange: Exchange, problem: Problem) -> None:
         LOG.info('change_refused', problem=problem.line())
-        refuse(exchange, STATUS_OF.get(problem.code, 400), problem)
+        refuse(exchange, STATUS_BY_CODE.get(problem.code, 400), problem)
 
     def finish(
         self, exchange: Exchange, order: Order, report: PublishReport
@@ -140,19 +140,19 @@
         log_answered(order, report)
         elsewhere = self.orders.elsewhere()
         if report.code in OPEN_CODES and elsewhere is not None:
-            self.send_on(exchange, elsewhere)
+            self.redirect(exchange, elsewhere)
             return
-        status = STATUS_OF.get(report.code, NOT_SURE)
+        status = STATUS_BY_CODE.get(report.code, UNAVAILABLE)
         if status == 200:
             answer(exchange, 200, {'version': report.version})
         else:
             refuse(exchange, status, Problem(report.code, report.summary()))
 
-    def send_on(self, exchange: Exchange, place: Address | None) -> None:
+    def redirect(self, exchange: Exchange, address: Address | None) -> None:
         """Redirect to another instance, or refuse if none is known."""
-        log_sent_on(exchange.path, place)
-        if place is None:
-            self.refuse_unsure(exchange, 'the leader is unknown')
+        log_sent_on(exchange.path, address)
+        if address is None:
+            self.refuse_unavailable(exchange, 'the leader is unknown')
             return
-        there = f'http://{place.host}:{self.port}{exchange.path}'
-        answer(exchange, 307, None, (('Location', there),))
+        location = f'http://{address.host}:{self.port}{exchange.path}'
+        answer(exchange, 307, None, (('Location', location),))
--- a/cyclamenlift/platform/programs.py
+++ b/cyclamenlift/platform/programs.py
@@ -8,8 +8,8 @@
 
 from cyclamenlift.conf.settings import ControlSettings
 from cyclamenlift.conf.settings import DaemonSettings
-from cyclamenlift.conf.watching import SettingsFile
-from cyclamenlift.conf.watching import SettingsWatch
+from cyclamenlift.conf.settings_watcher import SettingsFile
+from cyclamenlift.conf.settings_watcher import SettingsWatcher
 from cyclamenlift.core.logs import configure_logs
 from cyclamenlift.core.memory import keep_start_up_objects
 from cyclamenlift.core.problems import Problem
@@ -37,9 +37,9 @@
     settings: object
 
 
-def listen(root, address: str, take, channel: str) -> HttpServer:
+def listen(root, address: str, handle, channel: str) -> HttpServer:
     """Start a server for requests of the platform."""
-    server = HttpServer(root.poller, HttpLimits(), take, channel)
+    server = HttpServer(root.poller, HttpLimits(), handle, channel)
     server.register(root)
     server.listen(Address.parse(address))
     return server
@@ -47,8 +47,8 @@
 
 def run_daemon() -> int:
     """Run a daemon and return its exit status."""
-    from cyclamenlift.platform.readiness import Readiness
-    from cyclamenlift.platform.targets import TargetCheckIns
+    from cyclamenlift.platform.readiness import ReadinessEndpoint
+    from cyclamenlift.platform.targets import TargetEndpoint
     from cyclamenlift.runtime.daemon import DaemonNode
 
     prepared = prepare(DaemonSettings)
@@ -56,25 +56,25 @@
         return EXIT_SETTINGS
     fields, stamp, settings = prepared
     node = DaemonNode(settings, random.Random(), PLATFORM_DIALECT)
-    problems = node.leave_out()
+    problems = node.disable_mechanisms()
     if problems:
-        return complain(problems)
-    ready = Readiness(node.is_ready)
-    listen(node.loop, fields['listen.ready'], ready.take, 'ready')
+        return log_problems(problems)
+    readiness = ReadinessEndpoint(node.is_ready)
+    listen(node.loop, fields['listen.ready'], readiness.handle, 'ready')
     address = Address.parse(fields['listen.control'])
-    check_ins = TargetCheckIns(node.gate, settings.service)
+    target_endpoint = TargetEndpoint(node.gate, settings.service)
 
-    def take(exchange) -> None:
+    def handle(exchange) -> None:
         """Handle a request from an operator or a target."""
         if not exchange.path.startswith(OPERATOR_PATHS):
-            check_ins.take(exchange)
+            target_endpoint.handle(exchange)
             return
         # Few daemons receive such requests; the others skip the import.
-        from cyclamenlift.platform.operators import OperatorCalls
+        from cyclamenlift.platform.operators import OperatorEndpoint
 
-        OperatorCalls(node.orders, address.port).take(exchange)
+        OperatorEndpoint(node.orders, address.port).handle(exchange)
 
-    listen(node.loop, str(address), take, 'targets')
+    listen(node.loop, str(address), handle, 'targets')
     node.start_parts()
     watch_settings(node, fields, stamp)
     keep_start_up_objects()
@@ -84,25 +84,25 @@
 
 def run_control() -> int:
     """Run a control instance and return its exit status."""
-    from cyclamenlift.platform.operators import OperatorCalls
+    from cyclamenlift.platform.operators import OperatorEndpoint
     from cyclamenlift.runtime.control import ControlNode
-    from cyclamenlift.runtime.peers import read_list
+    from cyclamenlift.runtime.peers import parse_entries
 
     prepared = prepare(ControlSettings)
     if prepared is None:
         return EXIT_SETTINGS
     fields, stamp, settings = prepared
-    peers, problems = read_list(settings.peers)
+    peers, problems = parse_entries(settings.peers)
     if problems:
-        return complain(problems)
+        return log_problems(problems)
     node = ControlNode(settings, peers, random.Random())
     started = node.start_parts()
     if isinstance(started, Failure):
-        complain([started.failure()])
+        log_problems([started.failure()])
         return EXIT_FAILED
     address = Address.parse(fields['listen.control'])
-    calls = OperatorCalls(node.orders, address.port)
-    listen(node.loop, str(address), calls.take, 'operators')
+    endpoint = OperatorEndpoint(node.orders, address.port)
+    listen(node.loop, str(address), endpoint.handle, 'operators')
     watch_settings(node, fields, stamp)
     keep_start_up_objects()
     node.loop.run()
@@ -111,16 +111,16 @@
 
 def watch_settings(node, fields: Fields, stamp: tuple[int, int]) -> None:
     """Apply changes of the settings file to a running process."""
-    SettingsWatch(
+    SettingsWatcher(
         node.loop,
         SettingsFile(read_fields, file_stamp),
         fields,
         stamp,
-        lambda new: take_seeds(node.membership, new),
+        lambda new: update_seeds(node.membership, new),
     )
 
 
-def take_seeds(membership, fields: Fields) -> None:
+def update_seeds(membership, fields: Fields) -> None:
     """Pass the seeds of the settings file to membership."""
     seeds = [Address.parse(seed) for seed in gossip_seeds(fields)]
     membership.set_seeds(seeds)
@@ -131,19 +131,19 @@
     stamp = file_stamp()
     found = read_fields()
     if isinstance(found, Failure):
-        complain([found.failure()])
+        log_problems([found.failure()])
         return None
     fields = found.unwrap()
     settings = read_settings(kind, fields)
     if isinstance(settings, Failure):
-        complain(settings.failure())
+        log_problems(settings.failure())
         return None
     checked = settings.unwrap()
     configure_logs(checked.log_format, checked.log_level, checked.instance)
     return Prepared(fields, stamp, checked)
 
 
-def complain(problems: list[Problem]) -> int:
+def log_problems(problems: list[Problem]) -> int:
     """Log all problems of the settings and return the exit status."""
     for problem in problems:
         LOG.error('settings_refused', problem=problem.line())
--- a/cyclamenlift/platform/readiness.py
+++ b/cyclamenlift/platform/readiness.py
@@ -11,13 +11,13 @@
 READY_PATH = '/v1/ready'
 
 
-class Readiness:
+class ReadinessEndpoint:
     """Answers 200 while ``is_ready`` returns True, otherwise 503."""
 
     def __init__(self, is_ready: Callable[[], bool]):
         self.is_ready = is_ready
 
-    def take(self, exchange: Exchange) -> None:
+    def handle(self, exchange: Exchange) -> None:
         """Handle a request on the readiness address."""
         if exchange.path.partition('?')[0] != READY_PATH:
             problem = Problem(ResultCode.NOT_FOUND, exchange.path[:100])
--- a/cyclamenlift/platform/settings.py
+++ b/cyclamenlift/platform/settings.py
@@ -8,7 +8,7 @@
 from returns.result import Result
 from returns.result import Success
 
-from cyclamenlift.conf.durations import seconds
+from cyclamenlift.conf.durations import to_seconds
 from cyclamenlift.conf.settings import CommonSettings
 from cyclamenlift.conf.settings import ControlSettings
 from cyclamenlift.conf.settings import DaemonSettings
@@ -27,7 +27,7 @@
 READINESS_SECONDS = 2.2
 # Maximum age of a target's load report before the target is polled, in
 # seconds: a sixth of a slowdown of its machine (measured: 0.5 s).
-LOAD_SECONDS = 0.08
+LOAD_MAX_AGE_SECONDS = 0.08
 Fields = Mapping[str, str]
 
 
@@ -67,7 +67,7 @@
     return fields
 
 
-def bounds_of(fields: Fields) -> Fields:
+def parse_bounds(fields: Fields) -> Fields:
     """Return the values of ``bounds`` by name, as strings."""
     parts = fields.get('bounds', '').split(',')
     pairs = (part.partition('=') for part in parts if '=' in part)
@@ -108,8 +108,8 @@
 
 def daemon_values(fields: Fields) -> dict[str, object]:
     """Return the settings of a daemon beside its target."""
-    bounds = bounds_of(fields)
-    grace = seconds(bounds.get('grace', '6s'))
+    bounds = parse_bounds(fields)
+    grace = to_seconds(bounds.get('grace', '6s'))
     values = common_values(fields)
     return {
         **values,
@@ -118,12 +118,12 @@
         'service': fields.get('service', ''),
         'target': fields.get('app_addr', ''),
         'warm_connections': 0,
-        'health_seconds': LOAD_SECONDS,
+        'health_seconds': LOAD_MAX_AGE_SECONDS,
         'link_mbps': fields.get('limits.link_mbps', '0'),
         'drain_seconds': max(0.5, grace - GRACE_MARGIN_SECONDS),
         'retry_share': bounds.get('retry_budget_ratio', '0.2'),
         'retry_slack': bounds.get('budget_slack', '0'),
-        'retry_window_seconds': seconds(bounds.get('budget_window', '10s')),
+        'retry_window_seconds': to_seconds(bounds.get('budget_window', '10s')),
         'farewell_seconds': min(READINESS_SECONDS, grace / 2),
     }
 
--- a/cyclamenlift/platform/targets.py
+++ b/cyclamenlift/platform/targets.py
@@ -8,7 +8,7 @@
 from returns.result import Success
 import structlog
 
-from cyclamenlift.conf.durations import seconds
+from cyclamenlift.conf.durations import to_seconds
 from cyclamenlift.core.codes import ResultCode
 from cyclamenlift.core.problems import brief
 from cyclamenlift.core.problems import Problem
@@ -21,19 +21,19 @@
 from cyclamenlift.http.json_requests import read_whole
 from cyclamenlift.http.json_requests import refuse
 
-BEAT_PATH = '/v1/Instances.Heartbeat/'
-LEAVE_PATH = '/v1/Instances.Deregister/'
+HEARTBEAT_PATH = '/v1/Instances.Heartbeat/'
+DEREGISTER_PATH = '/v1/Instances.Deregister/'
 # A heartbeat takes about 200 bytes; far larger bodies are invalid.
-MOST_BEAT_BYTES = 16 * 1024
+MAX_HEARTBEAT_BYTES = 16 * 1024
 # Largest valid number: that of a signed 64-bit integer.
-MOST_NUMBER = 2**63 - 1
+MAX_INTEGER = 2**63 - 1
 # Maximum characters of a refused heartbeat in a log line.
-MOST_DETAIL = 200
-MOST_NAME = 60
+MAX_DETAIL_LENGTH = 200
+MAX_LOGGED_NAME_LENGTH = 60
 LOG = structlog.get_logger('targets')
 
 
-class WireTold(pydantic.BaseModel):
+class WireTargetMessage(pydantic.BaseModel):
     """Fields common to all messages of a target.
 
     Types are strict: a value of another type was not written by a target.
@@ -45,10 +45,10 @@
 
     # Start time of the target; with the name it identifies an incarnation.
     # Targets on older platforms do not send it.
-    born: int = pydantic.Field(UNKNOWN_START, gt=0, le=MOST_NUMBER)
+    born: int = pydantic.Field(UNKNOWN_START, gt=0, le=MAX_INTEGER)
 
 
-class WireBeat(WireTold):
+class WireHeartbeat(WireTargetMessage):
     """A heartbeat; the name of the incarnation is part of the path."""
 
     service: str = pydantic.Field(min_length=1)
@@ -59,88 +59,88 @@
     slots: int = pydantic.Field(ge=1, le=10_000)
     state: Literal['ready', 'draining']
     cold_left: str
-    seq: int = pydantic.Field(ge=0, le=MOST_NUMBER)
+    seq: int = pydantic.Field(ge=0, le=MAX_INTEGER)
 
     @pydantic.field_validator('address')
     @classmethod
-    def address_is_one(cls, value: str) -> str:
+    def check_address(cls, value: str) -> str:
         Address.parse(value)
         return value
 
 
-def read_beat(incarnation: str, body: bytes) -> Result[Announcement, Problem]:
+def parse_heartbeat(name: str, body: bytes) -> Result[Announcement, Problem]:
     """Parse a heartbeat to an announcement."""
     try:
-        beat = WireBeat.model_validate_json(body)
-        warm_up = seconds(beat.cold_left)
+        heartbeat = WireHeartbeat.model_validate_json(body)
+        warm_up = to_seconds(heartbeat.cold_left)
     except ValueError as error:
         return Failure(bad_request(error))
     return Success(
         Announcement(
-            incarnation=incarnation,
-            service=beat.service,
-            slots=beat.slots,
-            draining=beat.state == 'draining',
+            incarnation=name,
+            service=heartbeat.service,
+            slots=heartbeat.slots,
+            draining=heartbeat.state == 'draining',
             warm_up_seconds=warm_up,
-            sequence=beat.seq,
-            version=beat.version,
-            born_ms=beat.born,
-            address=beat.address,
+            sequence=heartbeat.seq,
+            version=heartbeat.version,
+            born_ms=heartbeat.born,
+            address=heartbeat.address,
         )
     )
 
 
-def read_farewell(body: bytes) -> Result[int, Problem]:
+def parse_deregistration(body: bytes) -> Result[int, Problem]:
     """Return the start time in a deregistration; the body may be empty."""
     if not body:
         return Success(UNKNOWN_START)
     try:
-        return Success(WireTold.model_validate_json(body).born)
+        return Success(WireTargetMessage.model_validate_json(body).born)
     except ValueError as error:
         return Failure(bad_request(error))
 
 
 def bad_request(error: object) -> Problem:
     """Return a numbered problem with a truncated detail."""
-    return Problem(ResultCode.BAD_REQUEST, brief(error, MOST_DETAIL))
+    return Problem(ResultCode.BAD_REQUEST, brief(error, MAX_DETAIL_LENGTH))
 
 
-class TargetCheckIns:
+class TargetEndpoint:
     """Handles heartbeats and deregistration of the local target."""
 
     def __init__(self, gate: Gate, service: str):
         self.gate = gate
         self.service = service
 
-    def take(self, exchange: Exchange) -> None:
+    def handle(self, exchange: Exchange) -> None:
         """Handle a request from a target."""
         path = exchange.path.partition('?')[0]
-        if exchange.method == 'POST' and path.startswith(BEAT_PATH):
-            name = path.removeprefix(BEAT_PATH)
+        if exchange.method == 'POST' and path.startswith(HEARTBEAT_PATH):
+            name = path.removeprefix(HEARTBEAT_PATH)
             read_whole(
                 exchange,
-                MOST_BEAT_BYTES,
-                lambda body: self.take_beat(exchange, name, body),
+                MAX_HEARTBEAT_BYTES,
+                lambda body: self.on_heartbeat(exchange, name, body),
             )
-        elif exchange.method == 'POST' and path.startswith(LEAVE_PATH):
-            name = path.removeprefix(LEAVE_PATH)
+        elif exchange.method == 'POST' and path.startswith(DEREGISTER_PATH):
+            name = path.removeprefix(DEREGISTER_PATH)
             read_whole(
                 exchange,
-                MOST_BEAT_BYTES,
-                lambda body: self.take_leave(exchange, name, body),
+                MAX_HEARTBEAT_BYTES,
+                lambda body: self.on_leave(exchange, name, body),
             )
         else:
             refuse(exchange, 404, Problem(ResultCode.NOT_FOUND, path[:100]))
 
-    def take_beat(self, exchange: Exchange, name: str, body: bytes) -> None:
-        found = read_beat(name, body)
+    def on_heartbeat(self, exchange: Exchange, name: str, body: bytes) -> None:
+        found = parse_heartbeat(name, body)
         if isinstance(found, Failure):
-            self.refuse_told(exchange, name, found.failure())
+            self.refuse_invalid(exchange, name, found.failure())
             return
         announcement = found.unwrap()
         if not name or announcement.service != self.service:
             detail = f'{name!r} of service {announcement.service[:60]!r}'
-            self.refuse_told(exchange, name, bad_request(detail))
+            self.refuse_invalid(exchange, name, bad_request(detail))
             return
         if self.gate.is_foreign(name, announcement.address):
             refuse(exchange, 503, Problem(ResultCode.NO_TARGET))
@@ -148,10 +148,10 @@
         self.gate.announce(announcement)
         answer(exchange, 200)
 
-    def take_leave(self, exchange: Exchange, name: str, body: bytes) -> None:
-        found = read_farewell(body)
+    def on_leave(self, exchange: Exchange, name: str, body: bytes) -> None:
+        found = parse_deregistration(body)
         if isinstance(found, Failure):
-            self.refuse_told(exchange, name, found.failure())
+            self.refuse_invalid(exchange, name, found.failure())
             return
         if self.gate.is_foreign(name, str(exchange.remote)):
             refuse(exchange, 503, Problem(ResultCode.NO_TARGET))
@@ -159,13 +159,13 @@
         self.gate.target_leaves(name, found.unwrap())
         answer(exchange, 200)
 
-    def refuse_told(
+    def refuse_invalid(
         self, exchange: Exchange, name: str, problem: Problem
     ) -> None:
         """Log and refuse an invalid message, which has no effect."""
         LOG.warning(
             'check_in_refused',
-            incarnation=name[:MOST_NAME],
+            incarnation=name[:MAX_LOGGED_NAME_LENGTH],
             problem=problem.line(),
         )
         refuse(exchange, 400, problem)
--- a/cyclamenlift/runtime/admin.py
+++ b/cyclamenlift/runtime/admin.py
@@ -64,12 +64,14 @@
     @expose('metrics')
     def metrics(self) -> WebAnswer:
         return WebAnswer(
-            self.node.observer.metrics.render_prometheus(), 200, METRICS_TYPE
+            self.node.call_metrics.metrics.render_prometheus(),
+            200,
+            METRICS_TYPE,
         )
 
     @expose('burn')
     def burn(self) -> WebAnswer:
-        return json_answer(self.node.observer.burn_snapshot())
+        return json_answer(self.node.call_metrics.burn_snapshot())
 
     @expose('drain')
     def drain(self) -> WebAnswer:
--- a/cyclamenlift/runtime/observing.py
+++ b/cyclamenlift/runtime/call_metrics.py
@@ -16,7 +16,7 @@
 SERVER_ERROR = 500
 
 
-class Observer:
+class CallMetrics:
     """Records finished calls and reads gauges when metrics are collected."""
 
     def __init__(self, node: 'DaemonNode'):
--- a/cyclamenlift/runtime/control.py
+++ b/cyclamenlift/runtime/control.py
@@ -32,8 +32,8 @@
 from cyclamenlift.replication.settings import ReplicaSettings
 from cyclamenlift.replication.tasks import Replica
 from cyclamenlift.runtime.control_metrics import ControlMetrics
-from cyclamenlift.runtime.machine import ControlMachine
 from cyclamenlift.runtime.peers import parse_peers
+from cyclamenlift.runtime.state_machine import ControlStateMachine
 from cyclamenlift.wire.gen.protocol.ttypes import MemberRecord
 from cyclamenlift.wire.gen.protocol.ttypes import MemberRole
 from cyclamenlift.wire.gen.protocol.ttypes import MemberState
@@ -64,7 +64,7 @@
         self.rng = rng
         self.loop = build_root()
         self.register(self.loop)
-        self.machine = ControlMachine()
+        self.machine = ControlStateMachine()
         self.network = self.make_network()
         self.replica = self.make_replica(peers)
         self.claims = self.make_claim_server()
--- a/cyclamenlift/runtime/daemon.py
+++ b/cyclamenlift/runtime/daemon.py
@@ -43,9 +43,9 @@
 from cyclamenlift.models.rules import EventRules
 from cyclamenlift.quarantine.tasks import Quarantine
 from cyclamenlift.routing.state import RoutingState
-from cyclamenlift.runtime.local import local_pair
-from cyclamenlift.runtime.observing import Observer
-from cyclamenlift.runtime.stopping import OrderlyStop
+from cyclamenlift.runtime.call_metrics import CallMetrics
+from cyclamenlift.runtime.graceful_shutdown import GracefulShutdown
+from cyclamenlift.runtime.local_link import local_link_pair
 from cyclamenlift.wire.gen.protocol.ttypes import BodyChunk
 from cyclamenlift.wire.gen.protocol.ttypes import CallStart
 from cyclamenlift.wire.gen.protocol.ttypes import Credit
@@ -81,7 +81,7 @@
         self.scheduler = self.loop.scheduler
         self.stopping = False
         self.network = self.make_network()
-        self.control = self.first_control()
+        self.control = self.configured_control()
         self.routing = RoutingState(settings.data_centre, rng)
         self.routing.instance = settings.instance
         self.routing.link_rate = settings.link_mbps * BYTES_OF_MEGABIT
@@ -93,7 +93,7 @@
         self.quarantine = Quarantine(self.scheduler, settings.instance, rng)
         self.calls = self.make_calls()
         self.gate = self.make_gate() if settings.target else None
-        self.join_gate_and_calls()
+        self.connect_gate_and_calls()
         self.follower = ConfigFollower(
             self.loop, self.network, self.control, rng
         )
@@ -108,7 +108,7 @@
             Address.parse(settings.peer_listen)
         )
         self.membership = self.make_membership()
-        self.observer = Observer(self)
+        self.call_metrics = CallMetrics(self)
         self.admin = LazyWebServer(
             self.loop,
             Address.parse(settings.admin_listen),
@@ -117,7 +117,7 @@
 
     # -- parts ------------------------------------------------------------
 
-    def first_control(self) -> list[Address]:
+    def configured_control(self) -> list[Address]:
         """Return the configured control addresses except this instance's."""
         settings = self.settings
         own = settings.advertise_peer or settings.peer_listen
@@ -234,9 +234,9 @@
             self.rng,
         )
 
-    def join_gate_and_calls(self) -> None:
+    def connect_gate_and_calls(self) -> None:
         """Subscribe calls and gate to peer links and to the local link."""
-        self.entry_end, gate_end = local_pair(self.network.numbers)
+        self.entry_end, gate_end = local_link_pair(self.network.numbers)
         self.calls.subscribe(self.network)
         self.calls.subscribe(self.entry_end)
         self.entry_end.subscribe(BodyChunk, self.calls.on_body_chunk)
@@ -287,18 +287,18 @@
 
     # -- startup and updates ------------------------------------------------
 
-    def leave_out(self) -> list[Problem]:
+    def disable_mechanisms(self) -> list[Problem]:
         """Disable the configured mechanisms; return any unknown names."""
         names = self.settings.without
         if not names:
             return []
         # Only benchmark runs disable mechanisms; others skip the import.
-        from cyclamenlift.runtime.mechanisms import switch_off
+        from cyclamenlift.runtime.mechanisms import disable
         from cyclamenlift.runtime.mechanisms import unknown_mechanisms
 
         problems = unknown_mechanisms(names)
         if not problems:
-            switch_off(self, names)
+            disable(self, names)
         return problems
 
     def start_parts(self) -> None:
@@ -324,7 +324,7 @@
     def on_rules(self, rules: EventRules) -> None:
         self.calls.apply_rules(rules)
         if rules.caller_limits is not None:
-            self.entry.limits = limit_callers(
+            self.entry.limits = apply_caller_limits(
                 self.entry.limits, rules.caller_limits
             )
         if self.gate is not None:
@@ -344,14 +344,14 @@
 
         The configured control addresses may be seeds that run a daemon.
         """
-        address = parse_place(record.peer_address)
+        address = parse_member_address(record.peer_address)
         if address is not None:
             self.follower.note_other(address)
             self.claims.finder.note_other(address)
 
     def on_control_instance(self, record: MemberRecord) -> None:
         """Add a live control instance or remove one that is gone."""
-        address = parse_place(record.peer_address)
+        address = parse_member_address(record.peer_address)
         if address is None:
             return
         live = is_live(record)
@@ -382,7 +382,7 @@
         if self.stopping:
             return
         self.stopping = True
-        OrderlyStop(self).begin()
+        GracefulShutdown(self).begin()
 
     @handler('signal', channel='*')
     def _on_signal(self, event, number, _stack) -> None:
@@ -391,7 +391,7 @@
             self.begin_stop()
 
 
-def parse_place(text: str) -> Address | None:
+def parse_member_address(text: str) -> Address | None:
     """Return the address announced by a member, None if it is invalid."""
     try:
         return Address.parse(text)
@@ -399,7 +399,9 @@
         return None
 
 
-def limit_callers(limits: HttpLimits, wanted: CallerLimits) -> HttpLimits:
+def apply_caller_limits(
+    limits: HttpLimits, wanted: CallerLimits
+) -> HttpLimits:
     """Return the HTTP limits overridden by those of the document."""
     return dataclasses.replace(
         limits,
@@ -414,7 +416,7 @@
     """Run a daemon until it is stopped; return the exit status."""
     configure_logs(settings.log_format, settings.log_level, settings.instance)
     node = DaemonNode(settings, random.Random())
-    problems = node.leave_out()
+    problems = node.disable_mechanisms()
     for problem in problems:
         LOG.error('settings_refused', problem=problem.line())
     if problems:
--- a/cyclamenlift/runtime/stopping.py
+++ b/cyclamenlift/runtime/graceful_shutdown.py
@@ -15,14 +15,14 @@
 
 LOG = structlog.get_logger('daemon')
 # Time for peers to learn of a drain before the gate closes.
-FAREWELL_SECONDS = 1.0
+DRAIN_NOTICE_SECONDS = 1.0
 # Interval of the checks for idleness, in seconds. Also the time that the
 # last connections have to deliver data that was already sent, and that peers
 # have to receive the leave message.
 IDLE_CHECK_SECONDS = 0.05
 
 
-class OrderlyStop:
+class GracefulShutdown:
     """Runs the shutdown sequence of one daemon."""
 
     def __init__(self, node: 'DaemonNode'):
@@ -38,12 +38,14 @@
         self.deadline = now + settings.drain_seconds
         LOG.info('stop_began', open_calls=len(node.calls.open_calls))
         node.entry.begin_closing()
-        farewell = max(FAREWELL_SECONDS, settings.farewell_seconds)
+        gate_seconds = max(DRAIN_NOTICE_SECONDS, settings.farewell_seconds)
         # The gate stays open while callers learn of the shutdown: its target
         # is unused only from the drain until the next daemon has started.
-        self.scheduler.after(farewell - FAREWELL_SECONDS, node.drain)
+        self.scheduler.after(gate_seconds - DRAIN_NOTICE_SECONDS, node.drain)
         self.scheduler.after(settings.farewell_seconds, node.entry.begin_drain)
-        self.scheduler.after(farewell + IDLE_CHECK_SECONDS, self.check_idle)
+        self.scheduler.after(
+            gate_seconds + IDLE_CHECK_SECONDS, self.check_idle
+        )
 
     def check_idle(self) -> None:
         """Leave the cluster once idle, or when the deadline has passed.
--- a/cyclamenlift/runtime/local.py
+++ b/cyclamenlift/runtime/local_link.py
@@ -50,7 +50,7 @@
         """Do nothing: a local link ends only with its process."""
 
 
-def local_pair(numbers) -> tuple[LocalLink, LocalLink]:
+def local_link_pair(numbers) -> tuple[LocalLink, LocalLink]:
     """Return the entry's end and the gate's end of a new local link."""
     entry = LocalLink(next(numbers), outgoing=True)
     gate = LocalLink(next(numbers), outgoing=False)
--- a/cyclamenlift/runtime/mechanisms.py
+++ b/cyclamenlift/runtime/mechanisms.py
@@ -24,26 +24,26 @@
 
 LOG = structlog.get_logger('mechanisms')
 # A load, as a share of the slots, that is never reached.
-NEVER_CROWDED = 1000.0
+UNREACHABLE_SHARE = 1000.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Mechanism:
     """A mechanism: its benefit in one line and how to disable it."""
 
-    buys: str
-    switch_off: Callable[['DaemonNode'], None]
+    benefit: str
+    disable: Callable[['DaemonNode'], None]
 
 
 MECHANISMS: Registry[Mechanism] = Registry('mechanism')
 
 
-def mechanism(name: str, buys: str):
+def mechanism(name: str, benefit: str):
     """Return a decorator registering the function that disables one."""
 
-    def decorate(switch_off: Callable[['DaemonNode'], None]):
-        MECHANISMS.register(name)(Mechanism(buys, switch_off))
-        return switch_off
+    def decorate(disable: Callable[['DaemonNode'], None]):
+        MECHANISMS.register(name)(Mechanism(benefit, disable))
+        return disable
 
     return decorate
 
@@ -63,17 +63,17 @@
     ]
 
 
-def switch_off(node: 'DaemonNode', names: tuple[str, ...]) -> None:
+def disable(node: 'DaemonNode', names: tuple[str, ...]) -> None:
     """Disable mechanisms of a daemon; every name must be registered."""
     for name in names:
-        MECHANISMS.get(name).switch_off(node)
+        MECHANISMS.get(name).disable(node)
         LOG.warning('mechanism_off', mechanism=name)
 
 
 # -- admission to a target ------------------------------------------------
 
 
-def change_admission(node: 'DaemonNode', **figures: float) -> None:
+def override_admission_rules(node: 'DaemonNode', **figures: float) -> None:
     state = node.gate.state
     state.rules = dataclasses.replace(state.rules, **figures)
 
@@ -87,22 +87,22 @@
 
 @mechanism('refuse_the_late', 'refuses late calls when a target is busy')
 def without_refusing_the_late(node: 'DaemonNode') -> None:
-    change_admission(node, crowded_share=NEVER_CROWDED)
+    override_admission_rules(node, crowded_share=UNREACHABLE_SHARE)
 
 
 @mechanism('margin_by_spread', 'queues only calls likely to be in time')
 def without_margin_by_spread(node: 'DaemonNode') -> None:
-    change_admission(node, crowded_spreads=0.0, wait_spreads=0.0)
+    override_admission_rules(node, crowded_spreads=0.0, wait_spreads=0.0)
 
 
 @mechanism('reserved_slot', 'keeps a slot free for more urgent calls')
 def without_reserved_slot(node: 'DaemonNode') -> None:
-    change_admission(node, reserved_slots=0)
+    override_admission_rules(node, reserved_slots=0)
 
 
 @mechanism('repeat_share', 'limits the slots that retries may use')
 def without_repeat_share(node: 'DaemonNode') -> None:
-    change_admission(node, repeat_share=1.0)
+    override_admission_rules(node, repeat_share=1.0)
 
 
 @mechanism('nested_first', 'prioritises calls nested in running calls')
@@ -128,10 +128,14 @@
 @mechanism('hold_in_spells', 'delays calls during a slowdown of the target')
 def without_holding(node: 'DaemonNode') -> None:
     learning = node.gate.state.learning
-    learning.best_start = lambda work, now: begin_now(learning, work, now)
+    learning.best_start = lambda work, now: estimate_without_delay(
+        learning, work, now
+    )
 
 
-def begin_now(learning: 'Learning', work: float, now: float) -> Start:
+def estimate_without_delay(
+    learning: 'Learning', work: float, now: float
+) -> Start:
     """Return the estimate for ``work`` that starts without any delay."""
     percent = learning.pace.percent(now) or PERCENT
     return Start(0.0, work * max(1.0, percent / PERCENT))
@@ -155,40 +159,40 @@
 # -- choice of target -----------------------------------------------------
 
 
-def change_services(node: 'DaemonNode', **fields: object) -> None:
+def override_services(node: 'DaemonNode', **fields: object) -> None:
     """Override fields of every service in each document applied."""
     apply = node.calls.apply_rules
 
-    def apply_changed(rules) -> None:
+    def apply_overridden(rules) -> None:
         services = {
             name: dataclasses.replace(rule, **fields)
             for name, rule in rules.services.items()
         }
         apply(dataclasses.replace(rules, services=services))
 
-    node.calls.apply_rules = apply_changed
+    node.calls.apply_rules = apply_overridden
 
 
 @mechanism(
     'expected_finish', 'chooses the target with the earliest estimated finish'
 )
 def without_expected_finish(node: 'DaemonNode') -> None:
-    change_services(node, policy='least_calls')
+    override_services(node, policy='least_calls')
 
 
 @mechanism('hedges', 'tries a second target when the first is slow')
 def without_hedges(node: 'DaemonNode') -> None:
-    change_services(node, hedge=False)
+    override_services(node, hedge=False)
 
 
 @mechanism('ejection', 'excludes failing targets')
 def without_ejection(node: 'DaemonNode') -> None:
-    change_services(node, ejection_share=0.0)
+    override_services(node, ejection_share=0.0)
 
 
 @mechanism('slow_start', 'ramps up the load of new targets')
 def without_slow_start(node: 'DaemonNode') -> None:
-    change_services(node, slow_start_seconds=0.0)
+    override_services(node, slow_start_seconds=0.0)
 
 
 @mechanism('distance', 'keeps large bodies inside their data centre')
--- a/cyclamenlift/runtime/peers.py
+++ b/cyclamenlift/runtime/peers.py
@@ -12,7 +12,7 @@
 from cyclamenlift.core.problems import Problem
 from cyclamenlift.core.streams import Address
 
-MOST_PEERS = 7
+MAX_PEERS = 7
 HINT = 'Write name=host:port for every control instance, this one too.'
 
 
@@ -25,22 +25,22 @@
     own list, or listed with another port than it listens on, would be
     counted incorrectly by the others.
     """
-    peers, problems = read_list(settings.peers)
+    peers, problems = parse_entries(settings.peers)
     if not problems:
-        problems.extend(check_whole(peers, settings))
+        problems.extend(check_consistency(peers, settings))
     return Failure(problems) if problems else Success(peers)
 
 
-def read_list(
+def parse_entries(
     texts: tuple[str, ...],
 ) -> tuple[dict[str, Address], list[Problem]]:
     """Return the valid entries by name and a problem for each other one."""
     peers: dict[str, Address] = {}
     problems = []
     for text in texts:
-        name, _, place = text.partition('=')
+        name, _, address_text = text.partition('=')
         try:
-            address = Address.parse(place)
+            address = Address.parse(address_text)
         except ValueError:
             address = None
         if address is None or not re.match(NAME_PATTERN, name):
@@ -52,7 +52,7 @@
     return peers, problems
 
 
-def check_whole(
+def check_consistency(
     peers: dict[str, Address], settings: ControlSettings
 ) -> list[Problem]:
     """Return inconsistencies of a list of well-formed entries."""
@@ -69,8 +69,8 @@
         )
     if len(set(peers.values())) < len(peers):
         problems.append(problem('two instances have the same address'))
-    if len(peers) > MOST_PEERS:
-        problems.append(problem(f'more than {MOST_PEERS} instances'))
+    if len(peers) > MAX_PEERS:
+        problems.append(problem(f'more than {MAX_PEERS} instances'))
     return problems
 
 
--- a/cyclamenlift/runtime/machine.py
+++ b/cyclamenlift/runtime/state_machine.py
@@ -35,7 +35,7 @@
 SNAPSHOT = pydantic.TypeAdapter(ControlSnapshot)
 
 
-class ControlMachine:
+class ControlStateMachine:
     """Applies committed commands to the event documents and the ledger.
 
     Storage replacements are handled by the replica and ignored here, as are
@@ -80,16 +80,16 @@
         outcome = self.events.publish(
             command.change_id or '',
             command.base_version or 0,
-            document_of(command),
+            unpack_document(command),
             command.operator_name or '',
             stamp_unix_ms,
             command.chosen_version or 0,
         )
         if self.events.version != before:
-            self.tell_version()
+            self.run_version_hooks()
         return outcome.to_json()
 
-    def tell_version(self) -> None:
+    def run_version_hooks(self) -> None:
         for hook in self.version_hooks:
             hook(self.events.version)
 
@@ -104,10 +104,10 @@
         state = SNAPSHOT.validate_json(data)
         self.events.restore(state.events)
         self.ledger.restore(state.ledger)
-        self.tell_version()
+        self.run_version_hooks()
 
 
-def document_of(command: PublishCommand) -> bytes:
+def unpack_document(command: PublishCommand) -> bytes:
     """Return the document of a change; ValueError if unpacking fails."""
     if command.packed_document:
         return unpack(command.packed_document, MAX_CANONICAL_BYTES)
--- a/cyclamenlift/runtime/status.py
+++ b/cyclamenlift/runtime/status.py
@@ -49,7 +49,7 @@
         instance=node.settings.instance,
         data_centre=node.settings.data_centre,
         service=node.settings.service,
-        state=state_word(node),
+        state=state_name(node),
         version=node.follower.version,
         confirmed=node.follower.confirmed,
         config_version=node.follower.version,
@@ -67,7 +67,7 @@
     )
 
 
-def state_word(node: 'DaemonNode') -> str:
+def state_name(node: 'DaemonNode') -> str:
     """Return ``stopping``, ``entry`` or the lower-case target state."""
     if node.stopping:
         return 'stopping'
--- a/tests/conf/test_watching.py
+++ b/tests/conf/test_settings_watcher.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from cyclamenlift.conf.watching import SettingsFile
-from cyclamenlift.conf.watching import SettingsWatch
+from cyclamenlift.conf.settings_watcher import SettingsFile
+from cyclamenlift.conf.settings_watcher import SettingsWatcher
 from cyclamenlift.core.tasks import build_root
 from cyclamenlift.platform.settings import file_stamp
 from cyclamenlift.platform.settings import parse_fields
@@ -39,7 +39,7 @@
     root = build_root()
     root._running = True
     taken = []
-    SettingsWatch(root, FILE, fields, stamp, taken.append)
+    SettingsWatcher(root, FILE, fields, stamp, taken.append)
     wait_for(root, taken)
     assert taken[0]['new'] == '1'
 
@@ -50,10 +50,10 @@
     root = build_root()
     root._running = True
     taken = []
-    watch = SettingsWatch(root, FILE, fields, stamp, taken.append)
+    watch = SettingsWatcher(root, FILE, fields, stamp, taken.append)
     path.unlink()
-    watch.look()
+    watch.check_file()
     assert taken == []
     path.write_text(settings_lines(service='fees'))
-    watch.look()
+    watch.check_file()
     assert taken[0]['service'] == 'fees'
--- a/tests/events/builders.py
+++ b/tests/events/builders.py
@@ -15,7 +15,7 @@
 from cyclamenlift.events.tasks import ConfigFollower
 from cyclamenlift.models.document import document_to_bytes
 from cyclamenlift.models.document import EventDocument
-from cyclamenlift.runtime.machine import ControlMachine
+from cyclamenlift.runtime.state_machine import ControlStateMachine
 from cyclamenlift.wire.gen.protocol.ttypes import DocumentAnswer
 from cyclamenlift.wire.gen.protocol.ttypes import DocumentRequest
 from tests.ledger.builders import CONTROL
@@ -81,7 +81,7 @@
 
 def control_context(leader='a') -> ControlContext:
     """Return an instance called ``a`` over a scripted replica."""
-    machine = ControlMachine()
+    machine = ControlStateMachine()
     replica = FakeReplica(machine, leader)
     return ControlContext('a', 'bole', replica, machine.events, machine.ledger)
 
--- a/tests/events/test_control_side.py
+++ b/tests/events/test_control_side.py
@@ -18,7 +18,7 @@
 from cyclamenlift.events.server import DocumentServer
 from cyclamenlift.events.server import LINKS_TOLD
 from cyclamenlift.events.server import MOST_TOLD_BYTES
-from cyclamenlift.runtime.machine import ControlMachine
+from cyclamenlift.runtime.state_machine import ControlStateMachine
 from cyclamenlift.wire.gen.protocol.ttypes import DocumentRequest
 from tests.events.builders import control_context
 from tests.events.builders import document
@@ -283,5 +283,5 @@
     run(publish, context, publication())
     server = server_of(context)
     assert server.newest().version == 1
-    context.replica.machine.restore(ControlMachine().snapshot())
+    context.replica.machine.restore(ControlStateMachine().snapshot())
     assert server.newest().version == 0
--- a/tests/gate/builders.py
+++ b/tests/gate/builders.py
@@ -3,7 +3,7 @@
 from cyclamenlift.gate.admission import Asking
 from cyclamenlift.gate.registration import Announcement
 from cyclamenlift.gate.tasks import Gate
-from cyclamenlift.runtime.local import local_pair
+from cyclamenlift.runtime.local_link import local_link_pair
 from cyclamenlift.wire.gen.protocol.ttypes import AnswerStart
 from cyclamenlift.wire.gen.protocol.ttypes import Broken
 from cyclamenlift.wire.gen.protocol.ttypes import CallStart
@@ -74,7 +74,7 @@
         self.gate.announce(Announcement('i-1', 'prices', 8))
         self.gate.set_target_state(TargetState.READY)
         self.gate.questions.ask = self.ask
-        self.entry_end, self.gate_end = local_pair(iter(range(1, 9)))
+        self.entry_end, self.gate_end = local_link_pair(iter(range(1, 9)))
         self.told = []
         for kind in (Refused, Cancelled, Broken, AnswerStart):
             self.entry_end.subscribe(
--- a/tests/models/test_lines.py
+++ b/tests/models/test_lines.py
@@ -8,8 +8,8 @@
 from cyclamenlift.models.document import document_to_bytes
 from cyclamenlift.models.document import EventDocument
 from cyclamenlift.models.lines import canonical_from_lines
-from cyclamenlift.models.lines import known_routes
 from cyclamenlift.models.lines import lines_from_canonical
+from cyclamenlift.models.lines import rules_by_line
 from cyclamenlift.models.lines import rules_from_lines
 from cyclamenlift.models.rules import rules_from_document
 from tests.models.builders import document_value
@@ -52,7 +52,7 @@
     before = rules_from_lines(lines, 1, {})
     more = [*ROUTES, {**ROUTES[0], 'name': 'new', 'path_prefix': '/new/'}]
     newer = lines_from_canonical(canonical(more))
-    after = rules_from_lines(newer, 2, known_routes(lines, before))
+    after = rules_from_lines(newer, 2, rules_by_line(lines, before))
     assert all(
         one is two
         for one, two in zip(
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -13,7 +13,7 @@
 from cyclamenlift.platform.documents import edit_document
 from cyclamenlift.platform.documents import read_configuration
 from cyclamenlift.platform.documents import read_version
-from cyclamenlift.platform.documents import remove_named
+from cyclamenlift.platform.documents import remove_by_name
 from cyclamenlift.platform.documents import upsert
 from tests.events.builders import control_context
 from tests.platform.builders import as_body
@@ -174,7 +174,7 @@
     items = {'virtual_hosts': many_hosts(MOST_ROUTES - 1400, 1400)}
     names = {'routes': [f'r{number}' for number in range(700)]}
     began = time.process_time()
-    remove_named(value, names)
+    remove_by_name(value, names)
     upsert(value, items)
     assert time.process_time() - began <= ELECTION_SECONDS
     assert len(value['virtual_hosts']) == MOST_ROUTES - 700
--- a/tests/platform/test_targets.py
+++ b/tests/platform/test_targets.py
@@ -8,7 +8,7 @@
 
 from cyclamenlift.core.streams import Address
 from cyclamenlift.gate.tasks import Gate
-from cyclamenlift.platform.targets import TargetCheckIns
+from cyclamenlift.platform.targets import TargetEndpoint
 from cyclamenlift.wire.gen.protocol.ttypes import TargetState
 from tests.runtime.builders import platform_like_dialect
 from tests.runtime.builders import quiet_scheduler
@@ -64,13 +64,13 @@
 def beat(gate: Gate, name: str = 'i-1', **changes) -> int:
     body = json.dumps({**BEAT, **changes}).encode()
     asked = Asked(f'/v1/Instances.Heartbeat/{name}', body)
-    TargetCheckIns(gate, 'prices').take(asked)
+    TargetEndpoint(gate, 'prices').handle(asked)
     return asked.status
 
 
 def leave(gate: Gate, name: str, body: bytes = b'') -> int:
     asked = Asked(f'/v1/Instances.Deregister/{name}', body)
-    TargetCheckIns(gate, 'prices').take(asked)
+    TargetEndpoint(gate, 'prices').handle(asked)
     return asked.status
 
 
@@ -147,7 +147,7 @@
 def test_a_check_in_without_one_of_its_fields_names_no_target(gate, missing):
     body = json.dumps({k: v for k, v in BEAT.items() if k != missing})
     asked = Asked('/v1/Instances.Heartbeat/i-1', body.encode())
-    TargetCheckIns(gate, 'prices').take(asked)
+    TargetEndpoint(gate, 'prices').handle(asked)
     assert asked.status == 400
     assert gate.is_unknown()
 
@@ -191,7 +191,7 @@
     body = json.dumps({**BEAT, 'born': 1000, 'seq': 9}).encode()
     body = body[:place] + wrong + body[place + len(wrong) :]
     asked = Asked('/v1/Instances.Heartbeat/i-1', body)
-    TargetCheckIns(gate, 'prices').take(asked)
+    TargetEndpoint(gate, 'prices').handle(asked)
     assert asked.status in (200, 400)
     assert gate.registration.incarnation == 'i-1'
     if asked.status == 400:
@@ -201,13 +201,13 @@
 @pytest.mark.parametrize('body', [b'', b'[]', b'{', b'\xff', b'null'])
 def test_an_unreadable_check_in_is_refused(gate, body):
     asked = Asked('/v1/Instances.Heartbeat/i-1', body)
-    TargetCheckIns(gate, 'prices').take(asked)
+    TargetEndpoint(gate, 'prices').handle(asked)
     assert asked.status == 400
 
 
 def test_another_path_is_no_check_in(gate):
     asked = Asked('/v1/Something/else', b'{}')
-    TargetCheckIns(gate, 'prices').take(asked)
+    TargetEndpoint(gate, 'prices').handle(asked)
     assert asked.status == 404
 
 
@@ -218,10 +218,10 @@
     assert beat(gate) == 200
     assert beat(gate, 'i-9', address='127.0.0.9:80', seq=9) == 503
     assert gate.registration.incarnation == 'i-1'
-    checks = TargetCheckIns(gate, 'prices')
+    endpoint = TargetEndpoint(gate, 'prices')
     asked = Asked('/v1/Instances.Deregister/i-9', b'')
     asked.remote = Address('127.0.0.9', 1)
-    checks.take(asked)
+    endpoint.handle(asked)
     assert asked.status == 503
     assert gate.state.target_state == TargetState.READY
     assert leave(gate, 'i-1') == 200
--- a/tests/runtime/test_stopping.py
+++ b/tests/runtime/test_graceful_shutdown.py
@@ -13,8 +13,8 @@
 from cyclamenlift.core.tasks import build_root
 from cyclamenlift.http.limits import HttpLimits
 from cyclamenlift.http.server import HttpServer
-from cyclamenlift.runtime.stopping import IDLE_CHECK_SECONDS
-from cyclamenlift.runtime.stopping import OrderlyStop
+from cyclamenlift.runtime.graceful_shutdown import GracefulShutdown
+from cyclamenlift.runtime.graceful_shutdown import IDLE_CHECK_SECONDS
 
 FAREWELL = 2.2
 GRACE = 5.3
@@ -105,7 +105,7 @@
 def test_no_request_is_taken_between_the_last_look_and_the_end():
     bed = Bed()
     caller = bed.connect()
-    OrderlyStop(bed).begin()
+    GracefulShutdown(bed).begin()
     bed.run_until_it_leaves()
     bed.ask(caller)
     bed.scheduler.run_until(GRACE)
@@ -120,7 +120,7 @@
 def test_a_request_on_a_kept_connection_is_answered_before_the_end():
     bed = Bed()
     caller = bed.connect()
-    OrderlyStop(bed).begin()
+    GracefulShutdown(bed).begin()
     bed.scheduler.run_until(FAREWELL + 0.5 * IDLE_CHECK_SECONDS)
     bed.ask(caller)
     bed.scheduler.run_until(FAREWELL + 1.0)
@@ -135,7 +135,7 @@
 def test_a_call_that_never_ends_does_not_outlast_the_grace_time():
     bed = Bed()
     caller = bed.connect()
-    OrderlyStop(bed).begin()
+    GracefulShutdown(bed).begin()
     bed.ask(caller)
     bed.scheduler.run_until(GRACE - 0.1)
     assert not bed.ended
--- a/tests/runtime/test_late_calls.py
+++ b/tests/runtime/test_late_calls.py
@@ -9,7 +9,7 @@
 from cyclamenlift.core.clock import machine_seconds
 from cyclamenlift.core.codes import ResultCode
 from cyclamenlift.gate.tasks import Gate
-from cyclamenlift.runtime.local import local_pair
+from cyclamenlift.runtime.local_link import local_link_pair
 from cyclamenlift.wire.gen.protocol.ttypes import BodyChunk
 from cyclamenlift.wire.gen.protocol.ttypes import CallStart
 from cyclamenlift.wire.gen.protocol.ttypes import Credit
@@ -63,7 +63,7 @@
 
 
 def test_a_call_that_comes_after_its_deadline_is_not_run(gate):
-    entry_end, gate_end = local_pair(iter(range(1, 9)))
+    entry_end, gate_end = local_link_pair(iter(range(1, 9)))
     refused = []
     entry_end.subscribe(
         Refused, lambda _link, message: refused.append(message)
@@ -77,7 +77,7 @@
 
 
 def test_a_target_is_told_the_time_that_is_left_after_the_way(gate):
-    _entry_end, gate_end = local_pair(iter(range(1, 9)))
+    _entry_end, gate_end = local_link_pair(iter(range(1, 9)))
     gate.on_call_start(gate_end, start(1, age=0.0, left=5.0))
     gate.on_call_start(gate_end, start(2, age=2.0, left=5.0))
     told = [
@@ -88,7 +88,7 @@
 
 
 def test_a_gate_tells_how_long_the_bodies_on_their_way_take(gate):
-    entry_end, gate_end = local_pair(iter(range(1, 9)))
+    entry_end, gate_end = local_link_pair(iter(range(1, 9)))
     entry_end.subscribe(Credit, lambda _link, _message: None)
     gate.link_rate = 500_000.0
     upload = start(1, age=0.0, left=5.0)
--- a/tests/runtime/test_load_news.py
+++ b/tests/runtime/test_load_news.py
@@ -5,7 +5,7 @@
 """
 
 from cyclamenlift.gate.tasks import Gate
-from cyclamenlift.runtime.local import local_pair
+from cyclamenlift.runtime.local_link import local_link_pair
 from cyclamenlift.wire.gen.protocol.ttypes import CallStart
 from cyclamenlift.wire.gen.protocol.ttypes import LoadNews
 from tests.runtime.builders import platform_like_dialect
@@ -19,7 +19,7 @@
 def test_news_on_a_local_link_do_not_break_the_answer_that_brought_them():
     """Regression: a local link has no Hello, which failed each call."""
     gate = make_gate(platform_like_dialect())
-    entry_end, gate_end = local_pair(iter(range(1, 9)))
+    entry_end, gate_end = local_link_pair(iter(range(1, 9)))
     told = []
     entry_end.subscribe(LoadNews, lambda link, news: told.append(link.hello))
     gate.news.note_call(gate_end, 0.0)
@@ -29,7 +29,7 @@
 
 def test_only_a_change_of_pace_is_told():
     gate = make_gate(platform_like_dialect())
-    entry_end, gate_end = local_pair(iter(range(1, 9)))
+    entry_end, gate_end = local_link_pair(iter(range(1, 9)))
     told = []
     entry_end.subscribe(
         LoadNews, lambda link, news: told.append(news.load.pace_percent)
--- a/tests/runtime/test_mechanisms.py
+++ b/tests/runtime/test_mechanisms.py
@@ -46,32 +46,32 @@
 @pytest.mark.parametrize('name', sorted(MECHANISMS))
 def test_a_daemon_starts_without_any_of_them(made, name):
     one = made(name)
-    assert one.leave_out() == []
+    assert one.disable_mechanisms() == []
     one.on_rules(rules())
-    assert MECHANISMS.get(name).buys
+    assert MECHANISMS.get(name).benefit
 
 
 def test_an_unknown_name_is_a_numbered_problem(made):
-    problems = made('hedges', 'luck').leave_out()
+    problems = made('hedges', 'luck').disable_mechanisms()
     assert [p.code for p in problems] == [ResultCode.SETTING_INVALID]
     assert 'luck' in problems[0].line()
     assert 'hedges' in problems[0].hint
 
 
 def test_nothing_is_left_out_where_nothing_is_named(made):
-    assert made().leave_out() == []
+    assert made().disable_mechanisms() == []
     assert unknown_mechanisms(()) == []
 
 
 def test_slots_are_not_learned_without_crowding(made):
     one = made('slots_by_crowding')
-    one.leave_out()
+    one.disable_mechanisms()
     one.gate.set_slots(15)
     assert one.gate.state.room == 15
 
 
 def test_hedges_are_off_in_every_document(made):
     one = made('hedges')
-    one.leave_out()
+    one.disable_mechanisms()
     one.on_rules(rules(hedge=True))
     assert not one.calls.rules.services['prices'].hedge
--- a/tests/runtime/test_path.py
+++ b/tests/runtime/test_path.py
@@ -14,7 +14,7 @@
 from cyclamenlift.gate.running import GateCall
 from cyclamenlift.http.exchange import Exchange
 from cyclamenlift.http.target_call import TargetCall
-from cyclamenlift.runtime.local import local_pair
+from cyclamenlift.runtime.local_link import local_link_pair
 from cyclamenlift.wire.gen.protocol.ttypes import BodyChunk
 from cyclamenlift.wire.gen.protocol.ttypes import CallStart
 from cyclamenlift.wire.gen.protocol.ttypes import ClaimEnding
@@ -412,7 +412,7 @@
 
 def join_locally(path: PathBed) -> None:
     """Connect the entry to its first gate by a local link."""
-    entry_end, gate_end = local_pair(path.network.numbers)
+    entry_end, gate_end = local_link_pair(path.network.numbers)
     gate = path.gates[0]
     path.calls.subscribe(entry_end)
     entry_end.subscribe(BodyChunk, path.calls.on_body_chunk)
--- a/tests/runtime/test_machine.py
+++ b/tests/runtime/test_state_machine.py
@@ -4,7 +4,7 @@
 
 from cyclamenlift.core.codes import ResultCode
 from cyclamenlift.events.state import PublishOutcome
-from cyclamenlift.runtime.machine import ControlMachine
+from cyclamenlift.runtime.state_machine import ControlStateMachine
 from cyclamenlift.wire.codec import decode_struct
 from cyclamenlift.wire.codec import encode_struct
 from cyclamenlift.wire.gen.protocol import ttypes
@@ -24,12 +24,12 @@
 )
 
 
-def run(machine: ControlMachine, command: ttypes.Command) -> bytes:
+def run(machine: ControlStateMachine, command: ttypes.Command) -> bytes:
     return machine.apply(1, START, encode_struct(command))
 
 
 def test_a_claim_is_judged_by_the_document_before_it():
-    machine = ControlMachine()
+    machine = ControlStateMachine()
     before = decode_struct(ttypes.ClaimAnswer, run(machine, CLAIM))
     assert before.code == ResultCode.NO_CONFIGURATION
     outcome = PublishOutcome.from_json(run(machine, PUBLISH))
@@ -44,11 +44,11 @@
 
 
 def test_a_restart_brings_back_both_parts():
-    machine = ControlMachine()
+    machine = ControlStateMachine()
     run(machine, PUBLISH)
     run(machine, CLAIM)
     run(machine, END)
-    fresh = ControlMachine()
+    fresh = ControlStateMachine()
     versions = []
     fresh.subscribe_version(versions.append)
     fresh.restore(machine.snapshot())
@@ -73,7 +73,7 @@
     ],
 )
 def test_commands_that_mean_nothing_here_change_nothing(command):
-    machine = ControlMachine()
+    machine = ControlStateMachine()
     run(machine, PUBLISH)
     before = machine.snapshot()
     assert machine.apply(2, START, command) == b''
@@ -81,7 +81,7 @@
 
 
 def test_empty_messages_are_refused_not_fatal():
-    machine = ControlMachine()
+    machine = ControlStateMachine()
     claim = run(machine, ttypes.Command(claim=ttypes.ClaimRequest()))
     assert (
         decode_struct(ttypes.ClaimAnswer, claim).verdict
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -39,8 +39,8 @@
 }
 SCRIPT = """
 import importlib, sys
-from cyclamenlift.lean import load_lean
-load_lean()
+from cyclamenlift.lazy_imports import install_lazy_imports
+install_lazy_imports()
 import cyclamenlift.platform.programs
 for name in sys.argv[1:]:
     importlib.import_module(name)
@@ -79,8 +79,8 @@
 
 def test_a_lazy_function_works_when_it_is_called():
     script = (
-        'from cyclamenlift.lean import load_lean\n'
-        'load_lean()\n'
+        'from cyclamenlift.lazy_imports import install_lazy_imports\n'
+        'install_lazy_imports()\n'
         'from pickle import PicklingError\n'
         'from importlib.metadata import version\n'
         'print(type(PicklingError()).__module__, version("pydantic"))\n'
--- a/tools/mutants_calls.py
+++ b/tools/mutants_calls.py
@@ -89,7 +89,7 @@
     ),
     Mutant(
         'a stop does not wait for calls',
-        'cyclamenlift/runtime/stopping.py',
+        'cyclamenlift/runtime/graceful_shutdown.py',
         'if not self.is_idle() and now < self.deadline:',
         'if False:',
         SYSTEM + '::test_graceful_stops_cut_off_no_upload',
@@ -132,7 +132,7 @@
     ),
     Mutant(
         'a stop leaves at once, under load',
-        'cyclamenlift/runtime/stopping.py',
+        'cyclamenlift/runtime/graceful_shutdown.py',
         'if not self.is_idle() and now < self.deadline:',
         'if False:',
         'tests/system/test_under_load.py::'
@@ -140,10 +140,10 @@
     ),
     Mutant(
         'a stop ends with connections open',
-        'cyclamenlift/runtime/stopping.py',
+        'cyclamenlift/runtime/graceful_shutdown.py',
         'self.node.entry.end_idle()',
         'pass',
-        'tests/runtime/test_stopping.py',
+        'tests/runtime/test_graceful_shutdown.py',
     ),
     Mutant(
         'a target is known by its name alone',
