--- a/cyclamenlift/standins/fleet.py
+++ b/cyclamenlift/standins/fleet.py
@@ -36,7 +36,7 @@
     """A process did not start, or a condition did not come true."""
 
 
-def own_host() -> str:
+def random_host() -> str:
     """Return a loopback number that belongs to this process alone."""
     pid = os.getpid()
     return f'127.{100 + (pid >> 16) % 100}.{(pid >> 8) & 255}.{pid & 255}'
@@ -50,7 +50,7 @@
     on our host number have those and must not take it meanwhile.
     """
     for port in FIXED_PORTS:
-        address = Address(own_host(), port)
+        address = Address(random_host(), port)
         with socket.socket(socket.AF_INET, kind) as probe:
             try:
                 probe.bind(tuple(address))
@@ -220,7 +220,7 @@
         """Start a stand-in target and wait until it listens."""
         arguments = [
             'cyclamenlift.standins.target',
-            f'--host={own_host()}',
+            f'--host={random_host()}',
             f'--name={name}',
             f'--slots={slots}',
         ]
--- a/tests/calls/test_tasks.py
+++ b/tests/calls/test_tasks.py
@@ -8,8 +8,8 @@
 from cyclamenlift.wire.gen.protocol.ttypes import Cancelled
 from cyclamenlift.wire.gen.protocol.ttypes import Refused
 from tests.runtime.builders import answer
-from tests.runtime.builders import late
-from tests.runtime.builders import PathBed
+from tests.runtime.builders import CallPathHarness
+from tests.runtime.builders import delayed
 from tests.runtime.builders import ScriptedTarget
 
 FOREIGN = b'the answer of somebody else'
@@ -35,8 +35,8 @@
     handler, make, own_link
 ):
     """A wrong number on the right link, the right number on a wrong one."""
-    target = ScriptedTarget(late(0.2, answer(b'mine')))
-    bed = PathBed(target.address)
+    target = ScriptedTarget(delayed(0.2, answer(b'mine')))
+    bed = CallPathHarness(target.address)
     try:
         caller = bed.send()
         bed.run_until(lambda: target.requests)
@@ -52,8 +52,8 @@
 
 
 def test_answer_that_comes_after_the_deadline_reaches_nobody():
-    slow = ScriptedTarget(late(0.4, answer(b'late')), answer(b'next'))
-    bed = PathBed(slow.address, deadline_ms=200, max_tries=1)
+    slow = ScriptedTarget(delayed(0.4, answer(b'late')), answer(b'next'))
+    bed = CallPathHarness(slow.address, deadline_ms=200, max_tries=1)
     try:
         assert bed.ask().status == 504
         assert bed.ask().body == b'next'
--- a/tests/conf/test_settings.py
+++ b/tests/conf/test_settings.py
@@ -17,7 +17,7 @@
         monkeypatch.delenv(name)
 
 
-def test_flag_wins_over_environment_and_both_over_default(monkeypatch):
+def test_flag_overrides_environment_and_both_override_default(monkeypatch):
     monkeypatch.setenv('CYCLAMENLIFT_SLOTS', '6')
     monkeypatch.setenv('CYCLAMENLIFT_CLUSTER', 'dundee')
     found = load_settings(DaemonSettings, {**NAMES, 'slots': 9}).unwrap()
@@ -25,7 +25,7 @@
     assert found.log_format == 'json'
 
 
-def test_every_wrong_setting_is_listed_at_once():
+def test_all_invalid_settings_are_reported_together():
     flags = {
         'data_centre': 'b c',
         'slots': 0,
@@ -42,7 +42,7 @@
 
 
 @pytest.mark.parametrize('value', ['a:1,b:2', ('a:1', 'b:2')])
-def test_addresses_come_with_commas_or_as_a_sequence(value):
+def test_address_list_accepts_commas_or_a_sequence(value):
     found = load_settings(DaemonSettings, {**NAMES, 'seeds': value}).unwrap()
     assert found.seeds == ('a:1', 'b:2')
 
@@ -56,7 +56,7 @@
     ],
 )
 @pytest.mark.parametrize('from_environment', [False, True])
-def test_each_wrong_address_is_listed_once(
+def test_each_invalid_address_is_reported_once(
     monkeypatch, value, wrong, from_environment
 ):
     flags = {**NAMES, 'seeds': value}
@@ -71,7 +71,7 @@
         assert 'CYCLAMENLIFT_SEEDS' in problem.advice()
 
 
-def test_addresses_in_the_environment_stand_between_commas(monkeypatch):
+def test_environment_separates_addresses_by_commas(monkeypatch):
     monkeypatch.setenv('CYCLAMENLIFT_SEEDS', 'a:1, b:2')
     found = load_settings(DaemonSettings, NAMES).unwrap()
     assert found.seeds == ('a:1', 'b:2')
@@ -80,15 +80,15 @@
 @pytest.mark.parametrize(
     'flags', [{'service': 'prices'}, {'target': '127.0.0.1:1'}]
 )
-def test_service_and_target_go_together(flags):
+def test_service_and_target_require_each_other(flags):
     assert load_settings(DaemonSettings, {**NAMES, **flags}).failure()
 
 
-def test_control_needs_its_data_folder():
+def test_control_requires_a_data_folder():
     (problem,) = load_settings(ControlSettings, NAMES).failure()
     assert problem.where == 'data'
 
 
-def test_misspelt_variable_is_noticed(monkeypatch):
+def test_misspelt_variable_is_reported(monkeypatch):
     monkeypatch.setenv('CYCLAMENLIFT_SLOTZ', '6')
     assert unknown_environment() == ['CYCLAMENLIFT_SLOTZ']
--- a/tests/conf/test_settings_watcher.py
+++ b/tests/conf/test_settings_watcher.py
@@ -12,7 +12,7 @@
 from cyclamenlift.platform.settings import read_fields
 from tests.platform.builders import settings_lines
 
-SECONDS = 10.0
+TIMEOUT_SECONDS = 10.0
 FILE = SettingsFile(read_fields, file_stamp)
 
 
@@ -25,13 +25,13 @@
 
 
 def wait_for(root, taken: list) -> None:
-    end = time.monotonic() + SECONDS
+    end = time.monotonic() + TIMEOUT_SECONDS
     while not taken:
         assert time.monotonic() < end, 'the change was not detected in time'
         root.tick(0.01)
 
 
-def test_a_change_between_the_reading_and_the_watch_is_noticed(path):
+def test_change_between_reading_and_watching_is_detected(path):
     """Regression: the watch started with the stamp of the changed file."""
     stamp = file_stamp()
     fields = parse_fields(path.read_text())
@@ -44,7 +44,7 @@
     assert taken[0]['new'] == '1'
 
 
-def test_a_file_that_is_gone_changes_nothing(path):
+def test_missing_file_changes_nothing(path):
     stamp = file_stamp()
     fields = parse_fields(path.read_text())
     root = build_root()
--- a/tests/gate/builders.py
+++ b/tests/gate/builders.py
@@ -12,8 +12,8 @@
 from cyclamenlift.wire.gen.protocol.ttypes import LoadNews
 from cyclamenlift.wire.gen.protocol.ttypes import Refused
 from cyclamenlift.wire.gen.protocol.ttypes import TargetState
+from tests.runtime.builders import null_scheduler
 from tests.runtime.builders import platform_like_dialect
-from tests.runtime.builders import quiet_scheduler
 
 SECOND = 1_000_000
 
@@ -65,7 +65,7 @@
         self.can_ask = can_ask
         self.target = SilentTarget()
         self.gate = Gate(
-            quiet_scheduler(),
+            null_scheduler(),
             self.target,
             'prices',
             8,
--- a/tests/gate/test_health.py
+++ b/tests/gate/test_health.py
@@ -5,12 +5,12 @@
 from cyclamenlift.gate.tasks import Gate
 from cyclamenlift.wire.gen.protocol.ttypes import TargetState
 from tests.gate.builders import NoTimer
+from tests.runtime.builders import null_scheduler
 from tests.runtime.builders import platform_like_dialect
-from tests.runtime.builders import quiet_scheduler
 
 
 def checked() -> tuple[Gate, HealthCheck]:
-    gate = Gate(quiet_scheduler(), None, 'prices', 6, platform_like_dialect())
+    gate = Gate(null_scheduler(), None, 'prices', 6, platform_like_dialect())
     gate.registration.announce(Announcement('i-1', 'prices', 6), 0.0)
     gate.set_target_state(TargetState.READY)
     health = HealthCheck(gate, None, None)
--- a/tests/models/test_document.py
+++ b/tests/models/test_document.py
@@ -34,7 +34,7 @@
 
 
 @pytest.mark.parametrize(('value', 'where'), BAD)
-def test_wrong_field_is_named_by_its_path(value, where):
+def test_invalid_field_is_reported_with_its_path(value, where):
     problems = document_from_text(json.dumps(value)).failure()
     assert where in [p.where for p in problems]
 
@@ -42,7 +42,7 @@
 @pytest.mark.parametrize(
     'text', ['', '[1, 2', 'a: b: c', '\0', '[]', '&a [*a]', 'x' * 2**21]
 )
-def test_text_that_is_no_document_is_refused(text):
+def test_unparsable_text_is_refused(text):
     assert document_from_text(text).failure()
 
 
@@ -53,7 +53,7 @@
     assert 'prices' in problem.detail
 
 
-def test_canonical_form_comes_back_unchanged():
+def test_canonical_form_round_trips():
     document = document_from_text(json.dumps(document_value())).unwrap()
     data = document_to_bytes(document)
     assert document_from_bytes(data) == document
@@ -87,7 +87,7 @@
         (['*'], ['yeka'], 'p-1', False),
     ],
 )
-def test_which_targets_may_carry_a_service(targets, centres, name, allowed):
+def test_which_targets_may_serve_a_service(targets, centres, name, allowed):
     value = with_service(targets=targets, data_centres=centres)
     document = document_from_text(json.dumps(value)).unwrap()
     rule = rules_from_document(document, 1).services['prices']
--- a/tests/models/test_lines.py
+++ b/tests/models/test_lines.py
@@ -39,7 +39,7 @@
     assert (found.version, found.event) == (7, expected.event)
 
 
-def test_lines_leave_the_source_out_and_lead_back_to_the_document():
+def test_lines_omit_the_source_and_convert_back_to_the_document():
     lines = lines_from_canonical(canonical())
     assert not any(b'as it was sent' in line for line in lines)
     assert lines_from_canonical(canonical_from_lines(lines)) == lines
@@ -47,7 +47,7 @@
     assert document.routes == document_from_bytes(canonical()).routes
 
 
-def test_routes_that_are_known_are_not_read_again():
+def test_known_routes_are_not_parsed_again():
     lines = lines_from_canonical(canonical())
     before = rules_from_lines(lines, 1, {})
     more = [*ROUTES, {**ROUTES[0], 'name': 'new', 'path_prefix': '/new/'}]
@@ -75,16 +75,19 @@
         lambda lines: lines[1:],
         lambda lines: (*lines, b'{'),
         lambda lines: (*lines, b'{}'),
-        lambda lines: (*lines, json.dumps(stranger()).encode()),
+        lambda lines: (
+            *lines,
+            json.dumps(route_with_unknown_service()).encode(),
+        ),
     ],
     ids=['none', 'no head', 'no JSON', 'no route', 'an unknown service'],
 )
-def test_lines_that_are_no_document_are_refused(break_lines):
+def test_invalid_lines_are_refused(break_lines):
     lines = lines_from_canonical(canonical())
     with pytest.raises(ValueError):
         rules_from_lines(break_lines(lines), 1, {})
 
 
-def stranger() -> dict:
+def route_with_unknown_service() -> dict:
     value = json.loads(lines_from_canonical(canonical())[1])
     return {**value, 'shares': [{'service': 'nobody', 'weight': 1}]}
--- a/tests/models/test_routes.py
+++ b/tests/models/test_routes.py
@@ -50,7 +50,7 @@
         ('', None),
     ],
 )
-def test_the_longest_prefix_counts(path, name):
+def test_longest_prefix_wins(path, name):
     routes = table(
         route(name='short'), route(name='long', path_prefix='/p/q/')
     )
@@ -58,13 +58,13 @@
     assert (found.name if found else None) == name
 
 
-def test_another_host_has_routes_of_its_own():
+def test_routes_are_separate_per_host():
     routes = table(route(name='a'), route(name='b', host='B.example'))
     assert routes.find('b.example', '/p/x').name == 'b'
     assert routes.find('c.example', '/p/x') is None
 
 
-def test_a_prefix_of_a_single_slash_takes_the_rest():
+def test_root_prefix_matches_the_remaining_paths():
     routes = table(route(name='all', path_prefix='/'), route(name='p'))
     assert routes.find('a.example', '/x').name == 'all'
     assert routes.find('a.example', '/p/x').name == 'p'
@@ -87,12 +87,12 @@
         ({'surprise': 1}, 'not permitted'),
     ],
 )
-def test_a_wrong_route_is_refused_with_its_reason(changes, word):
+def test_invalid_route_is_refused_with_a_reason(changes, word):
     found = document_from_value(document(route(**changes)))
     assert isinstance(found, Failure)
     text = ' '.join(problem.detail for problem in found.failure())
     assert word in text
 
 
-def test_an_objective_just_below_the_limit_is_taken():
+def test_objective_just_below_the_limit_is_accepted():
     table(route(timeout_ms=1000, objective_ms=60_999))
--- a/tests/platform/builders.py
+++ b/tests/platform/builders.py
@@ -64,7 +64,7 @@
     return json.dumps(value).encode()
 
 
-def own_host() -> str:
+def random_host() -> str:
     """Return a random loopback address, so that hosts can share a port."""
     return '127.' + '.'.join(str(random.randrange(1, 255)) for _ in range(3))
 
@@ -82,7 +82,7 @@
 
 def settings_lines(**changes: str) -> str:
     """Return the settings file of a daemon with some fields changed."""
-    host = own_host()
+    host = random_host()
     outbound, ready, control, app, inner = free_ports(host, 5)
     fields = {
         'node': 'side-1',
--- a/tests/platform/fleet.py
+++ b/tests/platform/fleet.py
@@ -12,13 +12,13 @@
 from tests.platform.builders import as_body
 from tests.platform.builders import configuration
 from tests.platform.builders import free_ports
-from tests.platform.builders import own_host
+from tests.platform.builders import random_host
 from tests.platform.builders import ROOT
 from tests.platform.builders import settings_lines
 
 WAIT_SECONDS = 30.0
 # Timeout of a request from an operator.
-PATIENCE_SECONDS = 1.0
+REQUEST_TIMEOUT_SECONDS = 1.0
 REPLACE = '/v1/Config.Replace'
 PATCH = '/v1/Config.Patch'
 GET = '/v1/Config.Get'
@@ -37,11 +37,11 @@
 
     def __init__(self, folder: pathlib.Path, control: int, daemons: int):
         self.folder = folder
-        host = own_host()
+        host = random_host()
         self.control_port, inner = free_ports(host, 2)
         self.inner = f'{inner},{inner + 1}'
-        self.control = [own_host() for _ in range(control)]
-        self.daemons = [own_host() for _ in range(daemons)]
+        self.control = [random_host() for _ in range(control)]
+        self.daemons = [random_host() for _ in range(daemons)]
         self.processes: dict[str, subprocess.Popen] = {}
         for host in self.control:
             self.start(host, 'control')
@@ -95,7 +95,7 @@
         path: str,
         body: bytes = b'',
         base: int | None = None,
-        seconds: float = PATIENCE_SECONDS,
+        seconds: float = REQUEST_TIMEOUT_SECONDS,
     ) -> Answer:
         """Send an order, or a read if ``base`` is None; follow no redirect."""
         headers = {} if base is None else {'Base-Version': str(base)}
@@ -125,19 +125,19 @@
             assert seconds < WAIT_SECONDS, self.log(host)[-2000:]
             time.sleep(0.05)
 
-    def found(self) -> str:
+    def publish_first(self) -> str:
         """Publish the first configuration and return the leader's host."""
         body = as_body(configuration(version=1))
         deadline = time.monotonic() + WAIT_SECONDS
         while time.monotonic() < deadline:
             for host in self.control:
                 answer = self.ask(host, REPLACE, body, 0)
-                if answer.status == 200 and self.leads(host):
+                if answer.status == 200 and self.is_leader(host):
                     return host
             time.sleep(0.05)
         raise AssertionError(self.log(self.control[0])[-2000:])
 
-    def leads(self, host: str) -> bool:
+    def is_leader(self, host: str) -> bool:
         """Whether an instance answers reads itself, without a redirect."""
         return self.ask(host, GET).status == 200
 
--- a/tests/platform/test_boundary.py
+++ b/tests/platform/test_boundary.py
@@ -22,7 +22,7 @@
     return [p for p in folder.rglob('*.py') if 'gen' not in p.parts]
 
 
-def test_the_platforms_names_stand_in_the_adapter_alone():
+def test_platform_names_occur_only_in_the_adapter():
     found = [
         f'{path.relative_to(ROOT)}: {match.group()}'
         for path in sources(PACKAGE)
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -26,7 +26,7 @@
     return read_configuration(as_body(value))
 
 
-def test_a_configuration_becomes_a_document_and_keeps_its_text():
+def test_configuration_is_converted_and_keeps_its_text():
     body = as_body(configuration())
     document = read_configuration(body).unwrap()
     assert document.source.encode() == body
@@ -40,7 +40,7 @@
 
 
 @pytest.mark.parametrize('kind', ['non_idempotent', 'upload'])
-def test_what_may_not_repeat_runs_once_for_each_attempt(kind):
+def test_non_idempotent_routes_run_once_per_attempt(kind):
     hosts = [{'host': 'a.example', 'path_rules': [route('r', '/p/', kind)]}]
     document = read(configuration(virtual_hosts=hosts)).unwrap()
     assert document.routes[0].repetition == 'once_per_attempt'
@@ -75,19 +75,19 @@
 
 
 @pytest.mark.parametrize('cut', [1, 40, 400])
-def test_a_configuration_that_was_cut_short_is_refused(cut):
+def test_truncated_configuration_is_refused(cut):
     body = as_body(configuration())[:-cut]
     assert isinstance(read_version(body), Failure)
     assert isinstance(read_configuration(body), Failure)
 
 
 @pytest.mark.parametrize('version', [0, -1, 'x', 1.5, None, True, 2**60])
-def test_a_version_is_a_positive_number(version):
+def test_version_must_be_a_positive_integer(version):
     body = as_body({'version': version})
     assert isinstance(read_version(body), Failure)
 
 
-def edited(patch: dict) -> dict:
+def apply_change(patch: dict) -> dict:
     document = read(configuration()).unwrap()
     result = edit_document(document, as_body({'version': 9, **patch}))
     assert isinstance(result, Success), result
@@ -104,7 +104,7 @@
 def test_a_partial_change_adds_replaces_and_removes_by_name():
     changed = route('r-1', '/p/', timeout='900ms')
     added = route('r-3', '/n/')
-    value = edited(
+    value = apply_change(
         {
             'upsert': {
                 'services': [service('new')],
@@ -121,9 +121,9 @@
     assert value['version'] == 9
 
 
-def test_a_route_that_moves_leaves_its_host():
+def test_moved_route_is_removed_from_its_old_host():
     moved = {'host': 'c.example', 'path_rules': [route('r-1', '/p/')]}
-    value = edited({'upsert': {'virtual_hosts': [moved]}})
+    value = apply_change({'upsert': {'virtual_hosts': [moved]}})
     assert names(value) == {'b.example': ['r-2'], 'c.example': ['r-1']}
 
 
@@ -137,7 +137,7 @@
         {'remove': {'routes': 3}},
     ],
 )
-def test_a_partial_change_that_makes_no_document_is_refused(patch):
+def test_partial_change_with_an_invalid_result_is_refused(patch):
     document = read(configuration()).unwrap()
     body = as_body({'version': 9, **patch})
     assert isinstance(edit_document(document, body), Failure)
@@ -162,7 +162,7 @@
     ]
 
 
-def test_adding_many_routes_leaves_the_leader_its_heartbeats():
+def test_adding_many_routes_does_not_block_heartbeats():
     """Regression: partial changes of large configurations were too slow.
 
     Without any failure, a valid change was not acknowledged within 4 s.
@@ -180,7 +180,7 @@
     assert len(value['virtual_hosts']) == MOST_ROUTES - 700
 
 
-def test_a_configuration_with_the_most_routes_is_accepted():
+def test_configuration_with_the_maximum_of_routes_is_accepted():
     """Regression: the size limit refused documents with 5,600 routes.
 
     A document may have 10,000 routes; the fifth of a series of changes was
@@ -236,7 +236,7 @@
     ],
     ids=['same host', 'moved', 'new host twice', 'named at two', 'twice'],
 )
-def test_routes_of_a_change_stand_under_the_host_named_last(added, expected):
+def test_changed_routes_belong_to_the_host_named_last(added, expected):
     value = configuration()
     hosts = [
         {'host': name, 'path_rules': [route(n, f'/{n}/') for n in names]}
--- a/tests/platform/test_orders.py
+++ b/tests/platform/test_orders.py
@@ -32,7 +32,7 @@
 # Guards against a single point of failure: with a follower that only
 # redirects to the leader, both have to answer in turn.
 def test_a_follower_answers_orders_itself(fleet):
-    leader = fleet.found()
+    leader = fleet.publish_first()
     version = 1
     for host in fleet.control:
         if host == leader:
@@ -46,8 +46,8 @@
 
 # Guards against lost acknowledgements: an order is repeated at an instance
 # other than the leader, which has the outcome in its log.
-def test_an_order_that_comes_again_elsewhere_gets_its_first_answer(fleet):
-    leader = fleet.found()
+def test_order_repeated_elsewhere_gets_its_first_answer(fleet):
+    leader = fleet.publish_first()
     order = added_route(2)
     assert fleet.ask(leader, PATCH, order, 1).status == 200
     lost = as_body(configuration(version=9))
@@ -60,8 +60,8 @@
 # Guards against too few endpoints: if only control instances accept orders
 # and two of five are unreachable, every other request of an operator waits a
 # second for its timeout.
-def test_a_daemon_takes_orders_for_the_leader(fleet):
-    fleet.found()
+def test_daemon_forwards_orders_to_the_leader(fleet):
+    fleet.publish_first()
     (daemon,) = fleet.daemons
     fleet.ask_until(daemon, PATCH, added_route(2), 1)
     assert fleet.ask(daemon, PATCH, added_route(4), 2).status == 200
@@ -72,7 +72,7 @@
 # Guards against redirects to a leader that has just hung: operators time out
 # after a second and back off longer before each retry.
 def test_orders_are_answered_while_the_leader_is_frozen(fleet):
-    leader = fleet.found()
+    leader = fleet.publish_first()
     fleet.ask_until(fleet.daemons[0], PATCH, added_route(2), 1)
     fleet.freeze(leader)
     frozen_at = time.monotonic()
@@ -88,8 +88,8 @@
 
 # Guards against operators who keep using an instance that is partitioned from
 # all others and are refused there until the partition ends.
-def test_an_instance_that_reaches_nobody_names_a_daemon(fleet):
-    leader = fleet.found()
+def test_partitioned_instance_redirects_to_a_daemon(fleet):
+    leader = fleet.publish_first()
     (daemon,) = fleet.daemons
     fleet.ask_until(daemon, PATCH, added_route(2), 1)
     alone = next(host for host in fleet.control if host != leader)
--- a/tests/platform/test_programs.py
+++ b/tests/platform/test_programs.py
@@ -16,7 +16,7 @@
     return path
 
 
-def test_a_daemon_goes_on_after_a_reload_and_stops_on_request(settings_file):
+def test_daemon_survives_a_reload_and_stops_on_request(settings_file):
     """Regression: SIGHUP terminated the process and all its calls."""
     process = start_program('daemon', settings_file)
     try:
@@ -34,7 +34,7 @@
         process.stdout.close()
 
 
-def test_a_file_that_changes_without_a_signal_is_read(settings_file):
+def test_file_changed_without_a_signal_is_reloaded(settings_file):
     process = start_program('daemon', settings_file)
     try:
         read_until(process, 'daemon_started')
@@ -47,7 +47,7 @@
 
 
 @pytest.mark.parametrize('kind', ['daemon', 'control'])
-def test_wrong_settings_are_all_told_before_anything_starts(kind, tmp_path):
+def test_all_invalid_settings_are_logged_before_startup(kind, tmp_path):
     path = tmp_path / 'local.conf'
     path.write_text('node=x\n')
     process = start_program(kind, path)
--- a/tests/platform/test_targets.py
+++ b/tests/platform/test_targets.py
@@ -10,10 +10,10 @@
 from cyclamenlift.gate.tasks import Gate
 from cyclamenlift.platform.targets import TargetEndpoint
 from cyclamenlift.wire.gen.protocol.ttypes import TargetState
+from tests.runtime.builders import null_scheduler
 from tests.runtime.builders import platform_like_dialect
-from tests.runtime.builders import quiet_scheduler
 
-BEAT = {
+HEARTBEAT = {
     'service': 'prices',
     'address': '127.0.0.1:80',
     'zone': 'here',
@@ -25,7 +25,7 @@
 }
 
 
-class Asked:
+class FakeExchange:
     """A request that records the status of its answer."""
 
     method = 'POST'
@@ -47,7 +47,7 @@
         self.status = 400
 
 
-class Client:
+class FakeClient:
     """A target client without connections."""
 
     def drop_idle(self) -> None:
@@ -57,53 +57,53 @@
 @pytest.fixture
 def gate():
     return Gate(
-        quiet_scheduler(), Client(), 'prices', 20, platform_like_dialect()
+        null_scheduler(), FakeClient(), 'prices', 20, platform_like_dialect()
     )
 
 
-def beat(gate: Gate, name: str = 'i-1', **changes) -> int:
-    body = json.dumps({**BEAT, **changes}).encode()
-    asked = Asked(f'/v1/Instances.Heartbeat/{name}', body)
-    TargetEndpoint(gate, 'prices').handle(asked)
-    return asked.status
+def send_heartbeat(gate: Gate, name: str = 'i-1', **changes) -> int:
+    body = json.dumps({**HEARTBEAT, **changes}).encode()
+    exchange = FakeExchange(f'/v1/Instances.Heartbeat/{name}', body)
+    TargetEndpoint(gate, 'prices').handle(exchange)
+    return exchange.status
 
 
-def leave(gate: Gate, name: str, body: bytes = b'') -> int:
-    asked = Asked(f'/v1/Instances.Deregister/{name}', body)
-    TargetEndpoint(gate, 'prices').handle(asked)
-    return asked.status
+def deregister(gate: Gate, name: str, body: bytes = b'') -> int:
+    exchange = FakeExchange(f'/v1/Instances.Deregister/{name}', body)
+    TargetEndpoint(gate, 'prices').handle(exchange)
+    return exchange.status
 
 
-def test_a_check_in_opens_the_gate_with_the_targets_slots(gate):
+def test_heartbeat_opens_the_gate_with_the_slots_of_the_target(gate):
     assert gate.is_unknown()
-    assert beat(gate) == 200
+    assert send_heartbeat(gate) == 200
     assert gate.state.slots == 6
     assert gate.state.target_state == TargetState.READY
 
 
 def test_a_drain_is_acknowledged_with_the_gate_closed(gate):
-    beat(gate)
-    assert beat(gate, state='draining', seq=5) == 200
+    send_heartbeat(gate)
+    assert send_heartbeat(gate, state='draining', seq=5) == 200
     assert gate.state.target_state == TargetState.DRAINING
 
 
-def test_a_farewell_without_a_drain_closes_the_gate(gate):
-    beat(gate)
-    assert leave(gate, 'i-1') == 200
+def test_deregistration_without_a_drain_closes_the_gate(gate):
+    send_heartbeat(gate)
+    assert deregister(gate, 'i-1') == 200
     assert gate.state.target_state == TargetState.DRAINING
 
 
 def test_a_new_incarnation_opens_the_gate_again(gate):
-    beat(gate)
-    leave(gate, 'i-1')
-    assert beat(gate, 'i-2', seq=1) == 200
+    send_heartbeat(gate)
+    deregister(gate, 'i-1')
+    assert send_heartbeat(gate, 'i-2', seq=1) == 200
     assert gate.state.target_state == TargetState.READY
 
 
-def test_a_late_check_in_of_the_old_one_changes_nothing(gate):
-    beat(gate)
-    beat(gate, 'i-2', seq=1)
-    assert beat(gate, 'i-1', seq=5, state='draining') == 200
+def test_late_heartbeat_of_the_old_incarnation_changes_nothing(gate):
+    send_heartbeat(gate)
+    send_heartbeat(gate, 'i-2', seq=1)
+    assert send_heartbeat(gate, 'i-1', seq=5, state='draining') == 200
     assert gate.state.target_state == TargetState.READY
     assert gate.registration.incarnation == 'i-2'
 
@@ -138,41 +138,41 @@
         {'state': ['ready']},
     ],
 )
-def test_a_wrong_check_in_is_refused_and_changes_nothing(gate, changes):
-    assert beat(gate, **changes) == 400
+def test_invalid_heartbeat_is_refused_and_changes_nothing(gate, changes):
+    assert send_heartbeat(gate, **changes) == 400
     assert gate.is_unknown()
 
 
-@pytest.mark.parametrize('missing', sorted(BEAT))
-def test_a_check_in_without_one_of_its_fields_names_no_target(gate, missing):
-    body = json.dumps({k: v for k, v in BEAT.items() if k != missing})
-    asked = Asked('/v1/Instances.Heartbeat/i-1', body.encode())
-    TargetEndpoint(gate, 'prices').handle(asked)
-    assert asked.status == 400
+@pytest.mark.parametrize('missing', sorted(HEARTBEAT))
+def test_heartbeat_with_a_missing_field_is_refused(gate, missing):
+    body = json.dumps({k: v for k, v in HEARTBEAT.items() if k != missing})
+    exchange = FakeExchange('/v1/Instances.Heartbeat/i-1', body.encode())
+    TargetEndpoint(gate, 'prices').handle(exchange)
+    assert exchange.status == 400
     assert gate.is_unknown()
 
 
 def test_a_restart_under_the_same_name_opens_a_draining_gate(gate):
-    beat(gate, born=1000)
-    beat(gate, born=1000, state='draining', seq=5)
-    assert beat(gate, born=2000, seq=1) == 200
+    send_heartbeat(gate, born=1000)
+    send_heartbeat(gate, born=1000, state='draining', seq=5)
+    assert send_heartbeat(gate, born=2000, seq=1) == 200
     assert gate.state.target_state == TargetState.READY
 
 
-def test_a_farewell_of_the_life_before_leaves_the_gate_open(gate):
-    beat(gate, born=2000, seq=1)
-    assert leave(gate, 'i-1', b'{"born":1000}') == 200
+def test_deregistration_of_an_earlier_start_leaves_the_gate_open(gate):
+    send_heartbeat(gate, born=2000, seq=1)
+    assert deregister(gate, 'i-1', b'{"born":1000}') == 200
     assert gate.state.target_state == TargetState.READY
-    assert leave(gate, 'i-1', b'{"born":2000}') == 200
+    assert deregister(gate, 'i-1', b'{"born":2000}') == 200
     assert gate.state.target_state == TargetState.DRAINING
 
 
 @pytest.mark.parametrize(
     'body', [b'{', b'[]', b'\xff\xfe', b'{"born":"1"}', b'{"born":null}']
 )
-def test_a_farewell_that_cannot_be_read_changes_nothing(gate, body):
-    beat(gate)
-    assert leave(gate, 'i-1', body) == 400
+def test_unparsable_deregistration_changes_nothing(gate, body):
+    send_heartbeat(gate)
+    assert deregister(gate, 'i-1', body) == 400
     assert gate.state.target_state == TargetState.READY
 
 
@@ -183,45 +183,45 @@
     place=st.integers(0, 200),
     wrong=st.one_of(st.binary(max_size=40), st.just(NESTED)),
 )
-def test_bytes_of_another_writer_never_change_who_counts(place, wrong):
+def test_corrupt_heartbeat_never_changes_the_incarnation(place, wrong):
     gate = Gate(
-        quiet_scheduler(), Client(), 'prices', 20, platform_like_dialect()
+        null_scheduler(), FakeClient(), 'prices', 20, platform_like_dialect()
     )
-    beat(gate, born=1000)
-    body = json.dumps({**BEAT, 'born': 1000, 'seq': 9}).encode()
+    send_heartbeat(gate, born=1000)
+    body = json.dumps({**HEARTBEAT, 'born': 1000, 'seq': 9}).encode()
     body = body[:place] + wrong + body[place + len(wrong) :]
-    asked = Asked('/v1/Instances.Heartbeat/i-1', body)
-    TargetEndpoint(gate, 'prices').handle(asked)
-    assert asked.status in (200, 400)
+    exchange = FakeExchange('/v1/Instances.Heartbeat/i-1', body)
+    TargetEndpoint(gate, 'prices').handle(exchange)
+    assert exchange.status in (200, 400)
     assert gate.registration.incarnation == 'i-1'
-    if asked.status == 400:
-        assert gate.registration.current.sequence == BEAT['seq']
+    if exchange.status == 400:
+        assert gate.registration.current.sequence == HEARTBEAT['seq']
 
 
 @pytest.mark.parametrize('body', [b'', b'[]', b'{', b'\xff', b'null'])
-def test_an_unreadable_check_in_is_refused(gate, body):
-    asked = Asked('/v1/Instances.Heartbeat/i-1', body)
-    TargetEndpoint(gate, 'prices').handle(asked)
-    assert asked.status == 400
+def test_unparsable_heartbeat_is_refused(gate, body):
+    exchange = FakeExchange('/v1/Instances.Heartbeat/i-1', body)
+    TargetEndpoint(gate, 'prices').handle(exchange)
+    assert exchange.status == 400
 
 
-def test_another_path_is_no_check_in(gate):
-    asked = Asked('/v1/Something/else', b'{}')
-    TargetEndpoint(gate, 'prices').handle(asked)
-    assert asked.status == 404
+def test_unknown_path_is_not_found(gate):
+    exchange = FakeExchange('/v1/Something/else', b'{}')
+    TargetEndpoint(gate, 'prices').handle(exchange)
+    assert exchange.status == 404
 
 
 # Guards against a false confirmation: a target of another machine whose
 # daemon is gone registers here and is confirmed, though no gate serves it.
 def test_targets_of_other_machines_are_not_confirmed(gate):
     gate.target_host = '127.0.0.1'
-    assert beat(gate) == 200
-    assert beat(gate, 'i-9', address='127.0.0.9:80', seq=9) == 503
+    assert send_heartbeat(gate) == 200
+    assert send_heartbeat(gate, 'i-9', address='127.0.0.9:80', seq=9) == 503
     assert gate.registration.incarnation == 'i-1'
     endpoint = TargetEndpoint(gate, 'prices')
-    asked = Asked('/v1/Instances.Deregister/i-9', b'')
-    asked.remote = Address('127.0.0.9', 1)
-    endpoint.handle(asked)
-    assert asked.status == 503
+    exchange = FakeExchange('/v1/Instances.Deregister/i-9', b'')
+    exchange.remote = Address('127.0.0.9', 1)
+    endpoint.handle(exchange)
+    assert exchange.status == 503
     assert gate.state.target_state == TargetState.READY
-    assert leave(gate, 'i-1') == 200
+    assert deregister(gate, 'i-1') == 200
--- a/tests/runtime/builders.py
+++ b/tests/runtime/builders.py
@@ -81,7 +81,7 @@
     return script
 
 
-def late(seconds: float, then: Script) -> Script:
+def delayed(seconds: float, then: Script) -> Script:
     """Return a script that sleeps before it runs ``then``."""
 
     def script(conn: socket.socket, request: bytes) -> None:
@@ -134,7 +134,7 @@
         self.server.close()
 
 
-class EndingTarget(ScriptedTarget):
+class TerminatingTarget(ScriptedTarget):
     """Terminates with all its connections after a call of ``path``."""
 
     def __init__(self, path: str):
@@ -179,7 +179,7 @@
             conn.close()
 
 
-class SlowlyEndingTarget(EndingTarget):
+class SlowlyTerminatingTarget(TerminatingTarget):
     """Closes its connections first and its listener a moment later."""
 
     def __init__(self, path: str, listener_seconds: float = LISTENER_SECONDS):
@@ -244,7 +244,7 @@
     body: bytes
 
 
-class PathBed:
+class CallPathHarness:
     """An entry and gates connected by real sockets on one loop."""
 
     def __init__(self, *targets, claims=None, slots=4, **fields):
@@ -293,10 +293,10 @@
         gate.apply_rules(self.rules)
         gate.set_target_state(TargetState.READY)
         gate.network = network
-        self.note(name, network.listen(LOCAL))
+        self.add_member(name, network.listen(LOCAL))
         return gate
 
-    def note(self, name: str, address: Address, state=MemberState.ALIVE):
+    def add_member(self, name: str, address: Address, state=MemberState.ALIVE):
         record = MemberRecord(
             instance=name,
             incarnation=1,
@@ -395,7 +395,7 @@
     return Answer(int(lines[0].split()[1]), result, headers, body)
 
 
-class QuietScheduler:
+class NullScheduler:
     """A scheduler with a constant clock that never runs a callback."""
 
     def __init__(self):
@@ -414,8 +414,8 @@
         """Run nothing."""
 
 
-def quiet_scheduler() -> QuietScheduler:
-    return QuietScheduler()
+def null_scheduler() -> NullScheduler:
+    return NullScheduler()
 
 
 def platform_like_dialect() -> Dialect:
--- a/tests/runtime/test_control.py
+++ b/tests/runtime/test_control.py
@@ -32,7 +32,7 @@
     started.close()
 
 
-class DaemonSide:
+class ControlClients:
     """The clients of a daemon for control, on a loop driven by the test."""
 
     def __init__(self, cluster):
@@ -84,7 +84,7 @@
         return ended[0]
 
 
-def test_of_two_publishers_one_wins_and_resends_get_first_answers(cluster):
+def test_one_of_two_publishers_wins_and_repeats_get_first_answers(cluster):
     cluster.leader()
     bodies = [change(f'p{number}', 0) for number in range(2)]
     answers = [{}, {}]
@@ -106,7 +106,7 @@
     assert again == codes
 
 
-def test_all_come_back_to_the_current_state_after_500_changes(cluster):
+def test_all_instances_recover_the_current_state_after_500_changes(cluster):
     cluster.leader()
     for number in range(CHANGES):
         made = cluster.publish(change(f'c{number}', number))
@@ -121,22 +121,22 @@
     first = cluster.publish(change('c0', 0))
     assert (first['code'], first['version']) == (ACCEPTED, 1)
     assert cluster.publish(change('new', 0))['code'] == CONFLICT
-    side = DaemonSide(cluster)
-    side.follower.start()
-    side.run_until(lambda: side.follower.confirmed)
-    assert side.follower.version == CHANGES
+    clients = ControlClients(cluster)
+    clients.follower.start()
+    clients.run_until(lambda: clients.follower.confirmed)
+    assert clients.follower.version == CHANGES
 
 
 def test_a_leader_without_its_majority_accepts_and_confirms_nothing(cluster):
     leader = cluster.leader()
     cluster.publish(change('x', 0))
-    side = DaemonSide(cluster)
-    granted, _ = side.claim('k', 'a')
+    clients = ControlClients(cluster)
+    granted, _ = clients.claim('k', 'a')
     assert granted.verdict == ttypes.ClaimVerdict.GRANTED
     others = [name for name in NAMES if name != leader]
     for name in others:
         cluster.signal(name, signal.SIGSTOP)
-    refused, seconds = side.claim('other', 'a', seconds=60.0)
+    refused, seconds = clients.claim('other', 'a', seconds=60.0)
     assert refused.verdict == ttypes.ClaimVerdict.NO_MAJORITY
     assert refused.retry_after_ms > 0
     assert seconds < 60.0 / 4
@@ -148,23 +148,23 @@
     cluster.leader()
     late = cluster.publish(change('y', 1))
     assert late['version'] == 2
-    answer = side.claim_until(ttypes.ClaimVerdict.IN_PROGRESS, 'k', 'b')
+    answer = clients.claim_until(ttypes.ClaimVerdict.IN_PROGRESS, 'k', 'b')
     assert answer.retry_after_ms > 0
 
 
-def test_a_claim_survives_the_death_of_its_leader(cluster):
+def test_claim_survives_a_crash_of_the_leader(cluster):
     leader = cluster.leader()
     cluster.publish(change('x', 0))
-    side = DaemonSide(cluster)
-    answer, _ = side.claim('k', 'a')
+    clients = ControlClients(cluster)
+    answer, _ = clients.claim('k', 'a')
     assert answer.verdict == ttypes.ClaimVerdict.GRANTED
     cluster.kill(leader)
-    assert side.end('k', 'a')
-    recorded = side.claim_until(ttypes.ClaimVerdict.RECORDED, 'k', 'b')
+    assert clients.end('k', 'a')
+    recorded = clients.claim_until(ttypes.ClaimVerdict.RECORDED, 'k', 'b')
     assert recorded.answer.body == b'booked'
 
 
-def test_a_thawed_leader_does_not_speak_for_a_majority(cluster):
+def test_resumed_leader_does_not_confirm_without_a_majority(cluster):
     leader = cluster.leader()
     cluster.publish(change('x', 0))
     cluster.signal(leader, signal.SIGSTOP)
@@ -177,7 +177,7 @@
     assert shown['version'] == 2 or not shown['confirmed']
 
 
-def test_a_lost_disk_is_repaired_and_then_another_may_be_lost(cluster):
+def test_second_disk_may_be_lost_after_the_first_is_replaced(cluster):
     leader = cluster.leader()
     assert cluster.publish(change('x', 0))['code'] == ACCEPTED
     lost = next(name for name in NAMES if name != leader)
--- a/tests/runtime/test_control_metrics.py
+++ b/tests/runtime/test_control_metrics.py
@@ -51,7 +51,7 @@
     return claims, ControlMetrics(context, claims)
 
 
-def test_values_are_those_of_the_parts():
+def test_values_match_the_state_of_the_parts():
     claims, metrics = build_metrics()
     for attempt in ('a1', 'a2', ''):
         request = ClaimRequest(1, 'sale', 'k', attempt, 9, 0, b'f')
--- a/tests/runtime/test_ending_targets.py
+++ b/tests/runtime/test_ending_targets.py
@@ -7,29 +7,29 @@
 from cyclamenlift.core.codes import ResultCode
 from cyclamenlift.wire.gen.protocol.ttypes import ClaimEnding
 from tests.runtime.builders import answer
-from tests.runtime.builders import EndingTarget
-from tests.runtime.builders import PathBed
+from tests.runtime.builders import CallPathHarness
 from tests.runtime.builders import raw
 from tests.runtime.builders import ScriptedTarget
-from tests.runtime.builders import SlowlyEndingTarget
+from tests.runtime.builders import SlowlyTerminatingTarget
+from tests.runtime.builders import TerminatingTarget
 
 BAD = '/bad'
 # Seconds from closing a target's connections to closing its listener on a
 # busy machine.
-SLOW_END = 0.02
+LISTENER_DELAY = 0.02
 
 
 @pytest.fixture
-def bed():
-    beds = []
+def make_path():
+    created = []
 
     def make(*targets, **fields):
         addresses = [target.address for target in targets]
-        beds.append(PathBed(*addresses, **fields))
-        return beds[-1]
+        created.append(CallPathHarness(*addresses, **fields))
+        return created[-1]
 
     yield make
-    for each in beds:
+    for each in created:
         each.close()
 
 
@@ -37,18 +37,18 @@
     return sum(target.ended for target in targets)
 
 
-def test_one_attempt_ends_two_targets_at_most(bed):
-    targets = [EndingTarget(BAD) for _ in range(4)]
-    path = bed(*targets, max_tries=4)
+def test_one_attempt_terminates_at_most_two_targets(make_path):
+    targets = [TerminatingTarget(BAD) for _ in range(4)]
+    path = make_path(*targets, max_tries=4)
     found = path.ask(path=BAD)
     assert found.status == 502
     assert json.loads(found.body)['run'] == 'unknown'
     assert ended(targets) <= 2
 
 
-def test_what_is_kept_away_is_refused_at_once_and_others_are_served(bed):
-    targets = [EndingTarget(BAD) for _ in range(4)]
-    path = bed(*targets, max_tries=4)
+def test_quarantined_request_is_refused_and_others_are_served(make_path):
+    targets = [TerminatingTarget(BAD) for _ in range(4)]
+    path = make_path(*targets, max_tries=4)
     path.ask(path=BAD)
     path.ask(path=BAD)
     before = ended(targets)
@@ -63,10 +63,10 @@
     assert path.ask(path=BAD, authorization='another').status == 502
 
 
-def test_a_booking_that_ends_targets_keeps_its_promises(bed):
+def test_booking_that_terminates_targets_reports_its_outcomes(make_path):
     """Outcomes are unknown until the quarantine, then "not run"."""
-    targets = [EndingTarget(BAD) for _ in range(4)]
-    path = bed(*targets)
+    targets = [TerminatingTarget(BAD) for _ in range(4)]
+    path = make_path(*targets)
     for number in range(2):
         found = path.ask('POST', BAD, b'{}', Idempotency_Key=f'k{number}')
         assert found.result == ResultCode.TARGET_ENDED
@@ -77,33 +77,35 @@
     assert endings == [ClaimEnding.UNKNOWN] * 2 + [ClaimEnding.RELEASED]
 
 
-def test_a_target_that_ends_takes_connections_a_moment_longer(bed):
+def test_terminating_target_still_accepts_connections(make_path):
     """A terminating process closes its sockets one after the other."""
-    path = bed(*(SlowlyEndingTarget(BAD) for _ in range(4)))
+    path = make_path(*(SlowlyTerminatingTarget(BAD) for _ in range(4)))
     found = path.ask('POST', BAD, b'{}', Idempotency_Key='k')
     assert found.result == ResultCode.TARGET_ENDED
 
 
-def test_a_target_that_ends_slowly_is_not_taken_for_one_that_runs(bed):
+def test_slowly_terminating_target_is_not_considered_running(make_path):
     """Guards against a termination reported as a mere disconnect."""
-    path = bed(*(SlowlyEndingTarget(BAD, SLOW_END) for _ in range(4)))
+    path = make_path(
+        *(SlowlyTerminatingTarget(BAD, LISTENER_DELAY) for _ in range(4))
+    )
     found = path.ask('POST', BAD, b'{}', Idempotency_Key='k')
     assert found.result == ResultCode.TARGET_ENDED
 
 
-def test_a_target_that_only_breaks_off_accuses_nobody(bed):
+def test_disconnect_alone_is_no_evidence_for_quarantine(make_path):
     targets = [ScriptedTarget(raw(b'')) for _ in range(3)]
-    path = bed(*targets)
+    path = make_path(*targets)
     for _ in range(4):
         found = path.ask(path=BAD)
         assert found.result == ResultCode.TARGET_BROKE_OFF
     assert path.calls.quarantine.evidence.reports == {}
 
 
-def test_a_target_that_is_back_gets_calls_again(bed):
+def test_restarted_target_gets_calls_again(make_path):
     """Guards against a gate that still refuses after its target returned."""
-    target = EndingTarget('/none')
-    path = bed(target)
+    target = TerminatingTarget('/none')
+    path = make_path(target)
     assert path.ask().status == 200
     target.end()
     gate = path.gates[0]
--- a/tests/runtime/test_graceful_shutdown.py
+++ b/tests/runtime/test_graceful_shutdown.py
@@ -20,7 +20,7 @@
 GRACE = 5.3
 
 
-class SteppedClock:
+class ManualScheduler:
     """A scheduler whose time is advanced by the test."""
 
     def __init__(self):
@@ -43,7 +43,7 @@
         self.time = instant
 
 
-class Bed:
+class DaemonStub:
     """Stub of a daemon with a real entry; the test answers its calls."""
 
     def __init__(self):
@@ -54,7 +54,7 @@
             self.root.poller, HttpLimits(), self.taken.append, 'entry'
         ).register(self.root)
         self.address = self.server.listen(Address('127.0.0.1', 0))
-        self.scheduler = SteppedClock()
+        self.scheduler = ManualScheduler()
         self.ended = False
         self.left = False
         idle = SimpleNamespace(is_idle=lambda: True, open_calls=())
@@ -83,61 +83,61 @@
     def end(self) -> None:
         self.ended = True
 
-    def run_until_it_leaves(self) -> None:
+    def run_until_left(self) -> None:
         """Run until the idle check has passed and the instance has left."""
         while not self.left:
             self.scheduler.run_until(self.scheduler.time + 0.01)
 
     def connect(self) -> socket.socket:
         caller = socket.create_connection(tuple(self.address))
-        self.turn()
+        self.run_loop()
         return caller
 
-    def turn(self) -> None:
+    def run_loop(self) -> None:
         for _ in range(5):
             self.root.tick(0.01)
 
     def ask(self, caller: socket.socket) -> None:
         caller.sendall(b'GET /p HTTP/1.1\r\nHost: prices\r\n\r\n')
-        self.turn()
+        self.run_loop()
 
 
-def test_no_request_is_taken_between_the_last_look_and_the_end():
-    bed = Bed()
-    caller = bed.connect()
-    GracefulShutdown(bed).begin()
-    bed.run_until_it_leaves()
-    bed.ask(caller)
-    bed.scheduler.run_until(GRACE)
-    assert bed.ended
+def test_no_request_is_accepted_between_the_idle_check_and_the_end():
+    daemon = DaemonStub()
+    caller = daemon.connect()
+    GracefulShutdown(daemon).begin()
+    daemon.run_until_left()
+    daemon.ask(caller)
+    daemon.scheduler.run_until(GRACE)
+    assert daemon.ended
     # The request was not read, so its caller may retry it anywhere.
-    assert bed.taken == []
+    assert daemon.taken == []
     caller.settimeout(1.0)
-    bed.turn()
+    daemon.run_loop()
     assert caller.recv(100) == b''
 
 
-def test_a_request_on_a_kept_connection_is_answered_before_the_end():
-    bed = Bed()
-    caller = bed.connect()
-    GracefulShutdown(bed).begin()
-    bed.scheduler.run_until(FAREWELL + 0.5 * IDLE_CHECK_SECONDS)
-    bed.ask(caller)
-    bed.scheduler.run_until(FAREWELL + 1.0)
-    assert not bed.ended
-    bed.taken[0].respond(200, [], b'fine')
-    bed.turn()
-    bed.scheduler.run_until(FAREWELL + 2.0)
-    assert bed.ended
+def test_request_on_a_persistent_connection_is_answered():
+    daemon = DaemonStub()
+    caller = daemon.connect()
+    GracefulShutdown(daemon).begin()
+    daemon.scheduler.run_until(FAREWELL + 0.5 * IDLE_CHECK_SECONDS)
+    daemon.ask(caller)
+    daemon.scheduler.run_until(FAREWELL + 1.0)
+    assert not daemon.ended
+    daemon.taken[0].respond(200, [], b'fine')
+    daemon.run_loop()
+    daemon.scheduler.run_until(FAREWELL + 2.0)
+    assert daemon.ended
     assert b'fine' in caller.recv(1000)
 
 
-def test_a_call_that_never_ends_does_not_outlast_the_grace_time():
-    bed = Bed()
-    caller = bed.connect()
-    GracefulShutdown(bed).begin()
-    bed.ask(caller)
-    bed.scheduler.run_until(GRACE - 0.1)
-    assert not bed.ended
-    bed.scheduler.run_until(GRACE + 3 * IDLE_CHECK_SECONDS)
-    assert bed.ended
+def test_hanging_call_does_not_exceed_the_grace_time():
+    daemon = DaemonStub()
+    caller = daemon.connect()
+    GracefulShutdown(daemon).begin()
+    daemon.ask(caller)
+    daemon.scheduler.run_until(GRACE - 0.1)
+    assert not daemon.ended
+    daemon.scheduler.run_until(GRACE + 3 * IDLE_CHECK_SECONDS)
+    assert daemon.ended
--- a/tests/runtime/test_late_calls.py
+++ b/tests/runtime/test_late_calls.py
@@ -16,12 +16,12 @@
 from cyclamenlift.wire.gen.protocol.ttypes import Hello
 from cyclamenlift.wire.gen.protocol.ttypes import Refused
 from cyclamenlift.wire.gen.protocol.ttypes import TargetState
-from tests.runtime.builders import quiet_scheduler
+from tests.runtime.builders import null_scheduler
 
 MICROSECONDS = 1_000_000
 
 
-class IdleClient:
+class RecordingClient:
     """A target client that records requests."""
 
     def __init__(self):
@@ -39,7 +39,7 @@
 
 @pytest.fixture
 def gate():
-    made = Gate(quiet_scheduler(), IdleClient(), 'prices', 4)
+    made = Gate(null_scheduler(), RecordingClient(), 'prices', 4)
     made.set_target_state(TargetState.READY)
     return made
 
@@ -62,7 +62,7 @@
     )
 
 
-def test_a_call_that_comes_after_its_deadline_is_not_run(gate):
+def test_call_arriving_after_its_deadline_is_not_run(gate):
     entry_end, gate_end = local_link_pair(iter(range(1, 9)))
     refused = []
     entry_end.subscribe(
@@ -76,7 +76,7 @@
     assert len(gate.client.requests) == 1
 
 
-def test_a_target_is_told_the_time_that_is_left_after_the_way(gate):
+def test_time_sent_to_the_target_excludes_the_transit(gate):
     _entry_end, gate_end = local_link_pair(iter(range(1, 9)))
     gate.on_call_start(gate_end, start(1, age=0.0, left=5.0))
     gate.on_call_start(gate_end, start(2, age=2.0, left=5.0))
@@ -87,7 +87,7 @@
     assert told == pytest.approx([5000, 3000], abs=100)
 
 
-def test_a_gate_tells_how_long_the_bodies_on_their_way_take(gate):
+def test_gate_reports_the_transfer_time_of_pending_bodies(gate):
     entry_end, gate_end = local_link_pair(iter(range(1, 9)))
     entry_end.subscribe(Credit, lambda _link, _message: None)
     gate.link_rate = 500_000.0
--- a/tests/runtime/test_load_news.py
+++ b/tests/runtime/test_load_news.py
@@ -8,15 +8,15 @@
 from cyclamenlift.runtime.local_link import local_link_pair
 from cyclamenlift.wire.gen.protocol.ttypes import CallStart
 from cyclamenlift.wire.gen.protocol.ttypes import LoadNews
+from tests.runtime.builders import null_scheduler
 from tests.runtime.builders import platform_like_dialect
-from tests.runtime.builders import quiet_scheduler
 
 
 def make_gate(dialect) -> Gate:
-    return Gate(quiet_scheduler(), None, 'prices', 4, dialect)
+    return Gate(null_scheduler(), None, 'prices', 4, dialect)
 
 
-def test_news_on_a_local_link_do_not_break_the_answer_that_brought_them():
+def test_pace_notification_on_a_local_link_keeps_the_answer():
     """Regression: a local link has no Hello, which failed each call."""
     gate = make_gate(platform_like_dialect())
     entry_end, gate_end = local_link_pair(iter(range(1, 9)))
@@ -27,7 +27,7 @@
     assert told == [None]
 
 
-def test_only_a_change_of_pace_is_told():
+def test_only_changes_of_pace_are_sent():
     gate = make_gate(platform_like_dialect())
     entry_end, gate_end = local_link_pair(iter(range(1, 9)))
     told = []
@@ -40,7 +40,7 @@
     assert told == [100, 700, 100]
 
 
-def test_a_slow_gate_sends_a_call_back_that_may_go_elsewhere():
+def test_slow_gate_returns_a_call_that_limits_the_pace():
     gate = make_gate(platform_like_dialect())
     gate.note_answer_head([('x-load', '1,0,4,700')])
     wary = CallStart(call_id=1, most_pace_percent=200)
--- a/tests/runtime/test_mechanisms.py
+++ b/tests/runtime/test_mechanisms.py
@@ -13,7 +13,7 @@
 from tests.runtime.builders import rules
 
 
-def node(*without: str) -> DaemonNode:
+def make_node(*without: str) -> DaemonNode:
     settings = DaemonSettings(
         instance='one',
         data_centre='here',
@@ -30,48 +30,48 @@
 
 
 @pytest.fixture
-def made():
+def make_daemon():
     nodes = []
 
     def make(*without: str) -> DaemonNode:
-        nodes.append(node(*without))
+        nodes.append(make_node(*without))
         return nodes[-1]
 
     yield make
-    for one in nodes:
-        one.entry.close_all()
-        one.network.close_all()
+    for daemon in nodes:
+        daemon.entry.close_all()
+        daemon.network.close_all()
 
 
 @pytest.mark.parametrize('name', sorted(MECHANISMS))
-def test_a_daemon_starts_without_any_of_them(made, name):
-    one = made(name)
-    assert one.disable_mechanisms() == []
-    one.on_rules(rules())
+def test_daemon_starts_without_any_one_mechanism(make_daemon, name):
+    daemon = make_daemon(name)
+    assert daemon.disable_mechanisms() == []
+    daemon.on_rules(rules())
     assert MECHANISMS.get(name).benefit
 
 
-def test_an_unknown_name_is_a_numbered_problem(made):
-    problems = made('hedges', 'luck').disable_mechanisms()
+def test_an_unknown_name_is_a_numbered_problem(make_daemon):
+    problems = make_daemon('hedges', 'luck').disable_mechanisms()
     assert [p.code for p in problems] == [ResultCode.SETTING_INVALID]
     assert 'luck' in problems[0].line()
     assert 'hedges' in problems[0].hint
 
 
-def test_nothing_is_left_out_where_nothing_is_named(made):
-    assert made().disable_mechanisms() == []
+def test_no_mechanism_is_disabled_by_default(make_daemon):
+    assert make_daemon().disable_mechanisms() == []
     assert unknown_mechanisms(()) == []
 
 
-def test_slots_are_not_learned_without_crowding(made):
-    one = made('slots_by_crowding')
-    one.disable_mechanisms()
-    one.gate.set_slots(15)
-    assert one.gate.state.room == 15
+def test_slots_are_not_learned_without_crowding(make_daemon):
+    daemon = make_daemon('slots_by_crowding')
+    daemon.disable_mechanisms()
+    daemon.gate.set_slots(15)
+    assert daemon.gate.state.room == 15
 
 
-def test_hedges_are_off_in_every_document(made):
-    one = made('hedges')
-    one.disable_mechanisms()
-    one.on_rules(rules(hedge=True))
-    assert not one.calls.rules.services['prices'].hedge
+def test_hedges_are_off_in_every_document(make_daemon):
+    daemon = make_daemon('hedges')
+    daemon.disable_mechanisms()
+    daemon.on_rules(rules(hedge=True))
+    assert not daemon.calls.rules.services['prices'].hedge
--- a/tests/runtime/test_path.py
+++ b/tests/runtime/test_path.py
@@ -23,34 +23,34 @@
 from cyclamenlift.wire.gen.protocol.ttypes import Header
 from cyclamenlift.wire.gen.protocol.ttypes import RecordedAnswer
 from tests.runtime.builders import answer
+from tests.runtime.builders import CallPathHarness
+from tests.runtime.builders import delayed
 from tests.runtime.builders import FakeClaims
-from tests.runtime.builders import late
-from tests.runtime.builders import PathBed
 from tests.runtime.builders import raw
 from tests.runtime.builders import ScriptedTarget
 
-OF_A_CALL = (Call, Tries, GateCall, Exchange, TargetCall)
+CALL_CLASSES = (Call, Tries, GateCall, Exchange, TargetCall)
 BROKEN = raw(b'HTTP/1.1 200 X\r\nContent-Length: 10\r\n\r\nabc')
-DEAD = Address('127.0.0.1', 1)
+UNREACHABLE = Address('127.0.0.1', 1)
 
 
 @pytest.fixture
-def bed():
-    beds = []
+def make_path():
+    created = []
 
     def make(*targets, **fields):
         addresses = [getattr(t, 'address', t) for t in targets]
-        beds.append(PathBed(*addresses, **fields))
-        return beds[-1]
+        created.append(CallPathHarness(*addresses, **fields))
+        return created[-1]
 
     yield make
-    for each in beds:
+    for each in created:
         each.close()
 
 
-def test_answer_is_whole_and_carries_its_result(bed):
+def test_answer_is_complete_and_has_a_result_code(make_path):
     target = ScriptedTarget(answer(b'x' * 5000, extra=b'X-A: b\r\n'))
-    found = bed(target).ask()
+    found = make_path(target).ask()
     assert (found.status, found.result) == (200, ResultCode.ANSWERED)
     assert found.body == b'x' * 5000
     assert found.headers['x-a'] == 'b'
@@ -62,14 +62,14 @@
     [answer(), answer(b'x' * 400_000), BROKEN, raw(b'')],
     ids=['whole', 'streamed', 'cut', 'closed'],
 )
-def test_a_call_leaves_nothing_for_the_cyclic_collector(bed, script):
-    path = bed(ScriptedTarget(script))
+def test_a_call_leaves_nothing_for_the_cyclic_collector(make_path, script):
+    path = make_path(ScriptedTarget(script))
     gc.collect()
     gc.disable()
     try:
         path.ask()
         path.run_until(lambda: not path.gates[0].calls)
-        kept = [o for o in gc.get_objects() if isinstance(o, OF_A_CALL)]
+        kept = [o for o in gc.get_objects() if isinstance(o, CALL_CLASSES)]
     finally:
         gc.enable()
     assert kept == []
@@ -82,13 +82,13 @@
         (BROKEN, ResultCode.TARGET_BROKE_OFF),
         (raw(b'HTTP/1.1 200 X\r\nContent-'), ResultCode.TARGET_BROKE_OFF),
         (raw(b'garbage\r\n\r\n'), ResultCode.TARGET_BROKE_OFF),
-        (late(1.0, answer()), ResultCode.DEADLINE_UNKNOWN),
+        (delayed(1.0, answer()), ResultCode.DEADLINE_UNKNOWN),
     ],
     ids=['closed', 'body cut', 'head cut', 'garbage', 'late'],
 )
-def test_broken_booking_is_unknown_and_runs_once(bed, script, code):
+def test_broken_booking_is_unknown_and_runs_once(make_path, script, code):
     targets = [ScriptedTarget(script), ScriptedTarget(script)]
-    path = bed(*targets, deadline_ms=400)
+    path = make_path(*targets, deadline_ms=400)
     found = path.ask('POST', '/book', b'{}', Idempotency_Key='k')
     assert found.result == code
     assert json.loads(found.body)['run'] == 'unknown'
@@ -97,42 +97,42 @@
 
 
 @pytest.mark.parametrize('script', [raw(b''), BROKEN, answer(status=500)])
-def test_broken_look_up_is_tried_at_the_other_target(bed, script):
+def test_broken_look_up_is_retried_at_the_other_target(make_path, script):
     bad, good = ScriptedTarget(script), ScriptedTarget(answer(b'good'))
-    path = bed(bad, good)
+    path = make_path(bad, good)
     found = [path.ask() for _ in range(6)]
     assert {f.body for f in found} == {b'good'}
 
 
-def test_unreachable_target_is_not_run_and_its_key_is_released(bed):
-    path = bed(DEAD)
+def test_unreachable_target_is_not_run_and_its_key_is_released(make_path):
+    path = make_path(UNREACHABLE)
     found = path.ask('POST', '/book', b'{}', Idempotency_Key='k')
     assert found.result == ResultCode.TARGET_UNREACHABLE
     assert found.headers['retry-after'] == '1'
     assert [e.ending for e in path.claims.ends] == [ClaimEnding.RELEASED]
 
 
-def test_booking_moves_from_an_unreachable_target_to_a_good_one(bed):
+def test_booking_moves_from_an_unreachable_target_to_a_good_one(make_path):
     good = ScriptedTarget()
-    path = bed(DEAD, good)
+    path = make_path(UNREACHABLE, good)
     for number in range(4):
         found = path.ask('POST', '/book', b'{}', Idempotency_Key=f'k{number}')
         assert found.status == 200
     assert len(good.requests) == 4
 
 
-def test_peer_that_never_comes_up_is_not_run(bed):
-    path = bed()
-    path.note('gone', DEAD)
+def test_call_to_an_unreachable_peer_is_not_run(make_path):
+    path = make_path()
+    path.add_member('gone', UNREACHABLE)
     found = path.ask('POST', '/book', b'{}', Idempotency_Key='k')
     assert found.result == ResultCode.TARGET_UNREACHABLE
 
 
-def test_call_that_waited_for_a_connection_is_not_sent_after_its_end(bed):
+def test_call_queued_for_a_connection_is_not_sent_after_its_end(make_path):
     # Regression: the connection was established after the deadline, and a
     # call that had been reported as not run was run.
     target = ScriptedTarget(answer())
-    path = bed(target)
+    path = make_path(target)
     started = []
     path.gates[0].network.subscribe(CallStart, lambda _, m: started.append(m))
     finish_connect = path.network.finish_connect
@@ -146,9 +146,9 @@
     assert started == []
 
 
-def test_gate_lost_after_the_frame_is_unknown(bed):
-    target = ScriptedTarget(late(1.0, answer()))
-    path = bed(target)
+def test_gate_lost_after_the_frame_is_unknown(make_path):
+    target = ScriptedTarget(delayed(1.0, answer()))
+    path = make_path(target)
     caller = path.send('POST', '/book', b'{}', Idempotency_Key='k')
     path.run_until(lambda: target.requests)
     path.gates[0].network.close_all()
@@ -156,25 +156,25 @@
     assert found.result == ResultCode.PEER_LOST
 
 
-def test_error_of_a_target_is_never_told_as_not_run(bed):
+def test_target_error_is_never_reported_as_not_run(make_path):
     """A refusal by another target after a 500 must not yield "not run"."""
-    path = bed(ScriptedTarget(answer(b'boom', 500)), DEAD)
+    path = make_path(ScriptedTarget(answer(b'boom', 500)), UNREACHABLE)
     for _ in range(4):
         found = path.ask()
         assert (found.status, found.result) == (500, ResultCode.ANSWERED)
 
 
-def test_overload_from_deeper_in_the_chain_is_passed_up_once(bed):
+def test_overload_from_deeper_in_the_chain_is_passed_up_once(make_path):
     script = answer(b'busy', 503, b'Cyclamenlift-Overloaded: here\r\n')
     targets = [ScriptedTarget(script), ScriptedTarget(script)]
-    path = bed(*targets)
+    path = make_path(*targets)
     found = path.ask()
     assert found.status == 503
     assert found.headers['cyclamenlift-overloaded'] == 'here'
     assert sum(len(t.requests) for t in targets) == 1
 
 
-def test_queued_call_is_refused_by_a_drain_and_runs_elsewhere(bed):
+def test_queued_call_is_refused_by_a_drain_and_runs_elsewhere(make_path):
     hold = threading.Event()
 
     def held(conn, request):
@@ -182,7 +182,7 @@
         answer(b'held')(conn, request)
 
     slow, other = ScriptedTarget(held), ScriptedTarget(answer(b'other'))
-    path = bed(slow, slots=1)
+    path = make_path(slow, slots=1)
     running = path.send()
     path.run_until(lambda: slow.requests)
     queued = path.send()
@@ -195,9 +195,9 @@
     assert len(slow.requests) == 1
 
 
-def test_full_gate_says_when_to_come_back(bed):
-    target = ScriptedTarget(late(0.5, answer()))
-    path = bed(target, slots=1, queue_limit=0)
+def test_full_gate_sends_a_retry_delay(make_path):
+    target = ScriptedTarget(delayed(0.5, answer()))
+    path = make_path(target, slots=1, queue_limit=0)
     path.send()
     path.run_until(lambda: target.requests)
     found = path.ask()
@@ -207,17 +207,17 @@
 
 
 @pytest.mark.parametrize('size', [70_000, 900_000])
-def test_upload_reaches_the_target_whole(bed, size):
+def test_upload_reaches_the_target_complete(make_path, size):
     target = ScriptedTarget()
     body = bytes(range(256)) * (size // 256)
-    found = bed(target).ask('PUT', '/safe', body)
+    found = make_path(target).ask('PUT', '/safe', body)
     assert found.status == 200
     assert target.requests[0].endswith(b'\r\n\r\n' + body)
 
 
-def test_upload_moves_when_its_first_target_refuses(bed):
+def test_upload_moves_when_its_first_target_refuses(make_path):
     good = ScriptedTarget()
-    path = bed(DEAD, good)
+    path = make_path(UNREACHABLE, good)
     body = b'u' * 300_000
     for number in range(3):
         key = f'k{number}'
@@ -227,11 +227,11 @@
     assert path.calls.body_budget.used == 0
 
 
-def test_a_gate_that_refuses_an_upload_is_not_sent_its_body(bed):
+def test_a_gate_that_refuses_an_upload_is_not_sent_its_body(make_path):
     # Bodies cause most of the traffic on slow links and most of the cost
     # between data centres.
     target = ScriptedTarget(answer())
-    path = bed(target)
+    path = make_path(target)
     gate = path.gates[0]
     gate.drain()
     sizes = []
@@ -248,8 +248,8 @@
     assert sizes == [0]
 
 
-def test_upload_beyond_the_budget_is_refused_before_it_is_read(bed):
-    path = bed(ScriptedTarget())
+def test_upload_beyond_the_budget_is_refused_before_it_is_read(make_path):
+    path = make_path(ScriptedTarget())
     caller = path.send(
         'POST', '/up', Idempotency_Key='k', Content_Length=2_000_000
     )
@@ -258,16 +258,16 @@
     assert not path.claims.claims
 
 
-def test_large_answer_streams_whole(bed):
+def test_large_answer_is_streamed_completely(make_path):
     body = b'0123456789abcdef' * 100_000
-    path = bed(ScriptedTarget(answer(body)), whole_answer_bytes=1000)
+    path = make_path(ScriptedTarget(answer(body)), whole_answer_bytes=1000)
     assert path.ask().body == body
 
 
-def test_large_answer_that_breaks_closes_the_connection(bed):
+def test_large_answer_that_breaks_closes_the_connection(make_path):
     head = b'HTTP/1.1 200 X\r\nContent-Length: 900000\r\n\r\n'
     target = ScriptedTarget(raw(head + b'x' * 500_000))
-    path = bed(target, whole_answer_bytes=1000)
+    path = make_path(target, whole_answer_bytes=1000)
     found = path.ask()
     assert found.status == 0
     assert len(found.body) < 900_000
@@ -286,26 +286,28 @@
         ),
     ],
 )
-def test_claim_that_is_not_granted_runs_nothing(bed, verdict, code, result):
+def test_claim_that_is_not_granted_runs_nothing(
+    make_path, verdict, code, result
+):
     target = ScriptedTarget()
-    path = bed(target, claims=FakeClaims(verdict, code=code))
+    path = make_path(target, claims=FakeClaims(verdict, code=code))
     found = path.ask('POST', '/book', b'{}', Idempotency_Key='k')
     assert found.result == result
     assert not target.requests
 
 
-def test_recorded_answer_is_given_without_running(bed):
+def test_recorded_answer_is_returned_without_running(make_path):
     record = RecordedAnswer(201, [Header('x-a', 'b')], b'done', True)
     target = ScriptedTarget()
-    path = bed(target, claims=FakeClaims(ClaimVerdict.RECORDED, record))
+    path = make_path(target, claims=FakeClaims(ClaimVerdict.RECORDED, record))
     found = path.ask('POST', '/book', b'{}', Idempotency_Key='k')
     assert (found.status, found.body) == (201, b'done')
     assert found.result == ResultCode.ANSWERED_FROM_RECORD
     assert not target.requests
 
 
-def test_answer_of_a_booking_is_recorded(bed):
-    path = bed(ScriptedTarget(answer(b'booked', 201)))
+def test_answer_of_a_booking_is_recorded(make_path):
+    path = make_path(ScriptedTarget(answer(b'booked', 201)))
     path.ask('POST', '/book', b'{}', Idempotency_Key='k')
     (end,) = path.claims.ends
     assert (end.ending, end.answer.status) == (ClaimEnding.ANSWERED, 201)
@@ -324,35 +326,35 @@
         ('POST', {'Idempotency_Key': 'k' * 300}, ResultCode.KEY_REQUIRED),
     ],
 )
-def test_wrong_requests_get_their_code(bed, method, headers, code):
+def test_invalid_requests_get_their_code(make_path, method, headers, code):
     target = ScriptedTarget()
-    found = bed(target).ask(method, **headers)
+    found = make_path(target).ask(method, **headers)
     assert found.result == code
     assert not target.requests
 
 
-def test_hedge_wins_over_a_straggler_and_the_loser_is_cancelled(bed):
-    slow = ScriptedTarget(late(3.0, answer(b'slow')))
+def test_hedge_wins_over_a_straggler_and_the_loser_is_cancelled(make_path):
+    slow = ScriptedTarget(delayed(3.0, answer(b'slow')))
     fast = ScriptedTarget(answer(b'fast'))
-    path = bed(slow, fast, hedge=True, policy='round_robin')
+    path = make_path(slow, fast, hedge=True, policy='round_robin')
     path.routing.hedge_after = lambda service, now: 0.02
     found = [path.ask().body for _ in range(2)]
     assert found == [b'fast', b'fast']
     path.run_until(lambda: all(g.is_idle() for g in path.gates))
 
 
-def test_frozen_first_target_is_hedged_before_any_answer_was_seen(bed):
+def test_frozen_first_target_is_hedged_before_any_answer_was_seen(make_path):
     """Regression: no hedges before enough answers gave a hedge delay."""
-    frozen = ScriptedTarget(late(5.0, answer(b'late')))
-    path = bed(frozen, ScriptedTarget(answer(b'good')), hedge=True)
+    frozen = ScriptedTarget(delayed(5.0, answer(b'late')))
+    path = make_path(frozen, ScriptedTarget(answer(b'good')), hedge=True)
     assert path.routing.hedge_after('prices', 0.0) is None
     assert {path.ask().body for _ in range(4)} == {b'good'}
 
 
-def test_early_hedges_leave_budget_to_rescue_a_call_when_it_is_late(bed):
+def test_early_hedges_leave_retry_budget_for_late_calls(make_path):
     """Regression: hedges used up the budget; a hung target caused a 504."""
-    frozen = ScriptedTarget(late(5.0, answer(b'late')))
-    path = bed(frozen, ScriptedTarget(answer(b'good')), hedge=True)
+    frozen = ScriptedTarget(delayed(5.0, answer(b'late')))
+    path = make_path(frozen, ScriptedTarget(answer(b'good')), hedge=True)
     path.routing.hedge_after = lambda service, now: 0.01
     budget = path.calls.retry_budget(path.rules.services['prices'])
     budget.balance = 5.0
@@ -362,7 +364,7 @@
     assert path.loop.scheduler.clock.now() - began >= 0.4
 
 
-def test_call_at_a_frozen_target_is_rescued_after_all_others_refused(bed):
+def test_call_at_a_frozen_target_is_hedged_after_refusals(make_path):
     """Regression: refusals used up all tries but the one that hung."""
     hold = threading.Event()
 
@@ -370,9 +372,11 @@
         hold.wait(10)
         answer(b'good')(conn, request)
 
-    frozen = ScriptedTarget(late(8.0, answer(b'late')))
+    frozen = ScriptedTarget(delayed(8.0, answer(b'late')))
     busy = ScriptedTarget(held, answer(b'good'))
-    path = bed(frozen, busy, hedge=True, max_tries=2, queue_limit=0, slots=1)
+    path = make_path(
+        frozen, busy, hedge=True, max_tries=2, queue_limit=0, slots=1
+    )
     path.routing.hedge_after = lambda service, now: 0.01
     choose = path.routing.choose
 
@@ -390,9 +394,9 @@
     assert path.receive(running).body == b'good'
 
 
-def test_caller_that_leaves_frees_the_slot(bed):
-    target = ScriptedTarget(late(3.0, answer()))
-    path = bed(target)
+def test_caller_that_leaves_frees_the_slot(make_path):
+    target = ScriptedTarget(delayed(3.0, answer()))
+    path = make_path(target)
     caller = path.send()
     path.run_until(lambda: target.requests)
     caller.close()
@@ -400,9 +404,9 @@
     assert not path.calls.open_calls
 
 
-def test_booking_runs_on_when_its_caller_leaves(bed):
-    target = ScriptedTarget(late(0.2, answer(b'booked')))
-    path = bed(target)
+def test_booking_continues_when_its_caller_leaves(make_path):
+    target = ScriptedTarget(delayed(0.2, answer(b'booked')))
+    path = make_path(target)
     caller = path.send('POST', '/book', b'{}', Idempotency_Key='k')
     path.run_until(lambda: target.requests)
     caller.close()
@@ -410,7 +414,7 @@
     assert path.claims.ends[0].answer.body == b'booked'
 
 
-def join_locally(path: PathBed) -> None:
+def connect_locally(path: CallPathHarness) -> None:
     """Connect the entry to its first gate by a local link."""
     entry_end, gate_end = local_link_pair(path.network.numbers)
     gate = path.gates[0]
@@ -423,14 +427,14 @@
     path.calls.link_to = lambda _choice: entry_end
 
 
-def test_caller_that_leaves_ends_its_call_at_the_local_gate_for_good(bed):
+def test_caller_that_leaves_cancels_its_call_at_the_local_gate(make_path):
     """Regression: the synchronous reply of the gate began another try.
 
     The resulting exception closed the link with all calls on it.
     """
-    target = ScriptedTarget(late(3.0, answer()))
-    path = bed(target)
-    join_locally(path)
+    target = ScriptedTarget(delayed(3.0, answer()))
+    path = make_path(target)
+    connect_locally(path)
     caller = path.send()
     path.run_until(lambda: target.requests)
     with structlog.testing.capture_logs() as logs:
@@ -443,14 +447,14 @@
     assert len(target.requests) == 1
 
 
-def test_a_large_upload_on_a_new_connection_is_not_left_without_credit(bed):
+def test_large_upload_on_a_new_connection_gets_credit(make_path):
     """Regression: data queued for the connection was never credited.
 
     A body larger than the window of 256 KiB stalled until its deadline.
     """
     target = ScriptedTarget(answer(b'kept'))
-    path = bed(target)
-    join_locally(path)
+    path = make_path(target)
+    connect_locally(path)
     body = b'x' * 900_000
     caller = path.send('PUT', '/safe', body)
     assert path.receive(caller).body == b'kept'
@@ -463,11 +467,11 @@
         (True, 503, ResultCode.RULES_BEHIND),
     ],
 )
-def test_what_newer_rules_may_name_is_no_final_answer(
-    bed, behind, status, code
+def test_unknown_service_is_temporary_while_rules_are_behind(
+    make_path, behind, status, code
 ):
     """Regression: 404 for a route that had been added 2 s before."""
-    made = bed(ScriptedTarget(answer()))
+    made = make_path(ScriptedTarget(answer()))
     made.calls.is_behind = lambda: behind
     found = made.ask(host='added-just-now')
     assert (found.status, found.result) == (status, code)
--- a/tests/runtime/test_state_machine.py
+++ b/tests/runtime/test_state_machine.py
@@ -28,7 +28,7 @@
     return machine.apply(1, START, encode_struct(command))
 
 
-def test_a_claim_is_judged_by_the_document_before_it():
+def test_claim_is_evaluated_against_the_preceding_document():
     machine = ControlStateMachine()
     before = decode_struct(ttypes.ClaimAnswer, run(machine, CLAIM))
     assert before.code == ResultCode.NO_CONFIGURATION
@@ -43,7 +43,7 @@
     assert ended.committed
 
 
-def test_a_restart_brings_back_both_parts():
+def test_snapshot_restores_documents_and_ledger():
     machine = ControlStateMachine()
     run(machine, PUBLISH)
     run(machine, CLAIM)
@@ -72,7 +72,7 @@
         ),
     ],
 )
-def test_commands_that_mean_nothing_here_change_nothing(command):
+def test_unknown_commands_change_nothing(command):
     machine = ControlStateMachine()
     run(machine, PUBLISH)
     before = machine.snapshot()
@@ -80,7 +80,7 @@
     assert machine.snapshot() == before
 
 
-def test_empty_messages_are_refused_not_fatal():
+def test_empty_messages_are_refused():
     machine = ControlStateMachine()
     claim = run(machine, ttypes.Command(claim=ttypes.ClaimRequest()))
     assert (
--- a/tests/system/partitions.py
+++ b/tests/system/partitions.py
@@ -12,7 +12,7 @@
 from cyclamenlift.core.codes import ResultCode
 from cyclamenlift.standins.fleet import ask_json
 from cyclamenlift.standins.fleet import Fleet
-from cyclamenlift.standins.fleet import own_host
+from cyclamenlift.standins.fleet import random_host
 from cyclamenlift.standins.fleet import wait_until
 from cyclamenlift.standins.paths import RelayPaths
 from tests.system.builders import call
@@ -28,7 +28,7 @@
 @contextlib.contextmanager
 def relayed_fleet():
     """Give a fleet whose processes reach each other through relays."""
-    paths = RelayPaths(own_host())
+    paths = RelayPaths(random_host())
     with tempfile.TemporaryDirectory(prefix='cyclamenlift-') as name:
         fleet = Fleet(pathlib.Path(name), paths=paths)
         try:
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -54,7 +54,7 @@
 CONTROL = ('cyclamenlift.runtime.control', 'cyclamenlift.platform.operators')
 
 
-def loaded(*modules: str) -> set[str]:
+def loaded_modules(*modules: str) -> set[str]:
     """Return the modules loaded in a process that imports ``modules``."""
     # -S skips modules that installed packages load at each start.
     command = [sys.executable, '-S', '-c', SCRIPT, *modules]
@@ -69,12 +69,12 @@
     return set(done.stdout.split())
 
 
-def test_a_daemon_loads_nothing_that_it_does_not_use():
-    assert not UNWANTED & loaded(*DAEMON)
+def test_daemon_imports_no_unwanted_module():
+    assert not UNWANTED & loaded_modules(*DAEMON)
 
 
-def test_a_control_instance_loads_nothing_that_it_does_not_use():
-    assert not UNWANTED & loaded(*CONTROL)
+def test_control_instance_imports_no_unwanted_module():
+    assert not UNWANTED & loaded_modules(*CONTROL)
 
 
 def test_a_lazy_function_works_when_it_is_called():
@@ -97,6 +97,6 @@
     assert found == pydantic.VERSION
 
 
-def test_the_lean_packages_still_offer_their_names():
-    found = loaded('circuits.web.controllers')
+def test_partial_packages_still_export_their_names():
+    found = loaded_modules('circuits.web.controllers')
     assert 'circuits.web.controllers' in found
--- a/tests/test_no_fitting.py
+++ b/tests/test_no_fitting.py
@@ -63,5 +63,5 @@
 @pytest.mark.parametrize(
     'path', sources(), ids=lambda path: str(path.relative_to(PACKAGE))
 )
-def test_no_rule_names_a_deployment_or_what_is_in_it(path):
+def test_no_rule_contains_a_name_from_a_deployment(path):
     assert NAME.findall(path.read_text()) == []
