--- a/cyclamenlift/conf/settings.py
+++ b/cyclamenlift/conf/settings.py
@@ -316,9 +316,9 @@
 
 def environment_values(kind: type[CommonSettings]) -> dict[str, object]:
     """Return the settings found in the environment, as strings."""
-    given = {name.upper(): text for name, text in os.environ.items()}
+    variables = {name.upper(): text for name, text in os.environ.items()}
     names = {name: PREFIX + name.upper() for name in kind.model_fields}
-    return {n: given[v] for n, v in names.items() if v in given}
+    return {n: variables[v] for n, v in names.items() if v in variables}
 
 
 def environment_names(kind: type[CommonSettings]) -> list[str]:
@@ -330,5 +330,5 @@
     """Return variables with the prefix that match no setting."""
     known = set(environment_names(DaemonSettings))
     known.update(environment_names(ControlSettings))
-    given = [name for name in os.environ if name.startswith(PREFIX)]
-    return sorted(set(given) - known)
+    variables = [name for name in os.environ if name.startswith(PREFIX)]
+    return sorted(set(variables) - known)
--- a/cyclamenlift/lazy_imports.py
+++ b/cyclamenlift/lazy_imports.py
@@ -3,8 +3,8 @@
 Many packages import all of their modules in ``__init__``. A daemon uses few
 of them, and since one runs beside each target, its memory and start time
 matter. ``install_lazy_imports`` must be called before any other import.
-Without it a daemon on one instance took 43 MB and 0.69 s to start;
-docs/measurements.md has the current values.
+Without it a daemon, measured on one instance, used 43 MB and took 0.69 s to
+start; docs/measurements.md has the current values.
 """
 
 from collections.abc import Callable
--- a/cyclamenlift/runtime/admin.py
+++ b/cyclamenlift/runtime/admin.py
@@ -45,8 +45,8 @@
                 return problem_answer(order.failure())
             names = order.unwrap().fingerprints
             self.node.quarantine.lift([bytes.fromhex(n) for n in names])
-        kept = self.node.quarantine
-        found = rows(kept.evidence, kept.now())
+        state = self.node.quarantine
+        found = rows(state.evidence, state.now())
         return json_answer(
             {'requests': [dataclasses.asdict(row) for row in found]}
         )
--- a/cyclamenlift/runtime/call_metrics.py
+++ b/cyclamenlift/runtime/call_metrics.py
@@ -62,10 +62,10 @@
         )
         watch('cyclamenlift.members', lambda: len(members.members()))
         watch('cyclamenlift.config.version', lambda: node.follower.version)
-        kept = node.quarantine
+        state = node.quarantine
         watch(
             'cyclamenlift.requests.quarantined',
-            lambda: quarantined(kept.evidence, kept.now()),
+            lambda: quarantined(state.evidence, state.now()),
         )
         if node.gate is not None:
             self.watch_gate(node.gate)
--- a/cyclamenlift/runtime/control.py
+++ b/cyclamenlift/runtime/control.py
@@ -295,7 +295,7 @@
     configure_logs(settings.log_format, settings.log_level, settings.instance)
     peers = parse_peers(settings)
     if isinstance(peers, Failure):
-        report(peers.failure())
+        print_problems(peers.failure())
         return EXIT_SETTINGS
     node = ControlNode(settings, peers.unwrap(), random.Random())
     try:
@@ -304,12 +304,12 @@
         LOG.error('port_unavailable', error=str(error))
         return EXIT_FAILED
     if isinstance(started, Failure):
-        report([started.failure()])
+        print_problems([started.failure()])
         return EXIT_FAILED
     node.loop.run()
     return 0
 
 
-def report(problems: list[Problem]) -> None:
+def print_problems(problems: list[Problem]) -> None:
     for problem in problems:
         sys.stderr.write(problem.line() + '\n')
--- a/cyclamenlift/runtime/mechanisms.py
+++ b/cyclamenlift/runtime/mechanisms.py
@@ -73,9 +73,9 @@
 # -- admission to a target ------------------------------------------------
 
 
-def override_admission_rules(node: 'DaemonNode', **figures: float) -> None:
+def override_admission_rules(node: 'DaemonNode', **overrides: float) -> None:
     state = node.gate.state
-    state.rules = dataclasses.replace(state.rules, **figures)
+    state.rules = dataclasses.replace(state.rules, **overrides)
 
 
 @mechanism('slots_by_crowding', 'adapts concurrency to the highest throughput')
--- a/tests/conf/test_settings_watcher.py
+++ b/tests/conf/test_settings_watcher.py
@@ -24,9 +24,9 @@
     return found
 
 
-def wait_for(root, taken: list) -> None:
+def wait_for(root, received: list) -> None:
     end = time.monotonic() + TIMEOUT_SECONDS
-    while not taken:
+    while not received:
         assert time.monotonic() < end, 'the change was not detected in time'
         root.tick(0.01)
 
@@ -38,10 +38,10 @@
     path.write_text(path.read_text() + 'new=1\n')
     root = build_root()
     root._running = True
-    taken = []
-    SettingsWatcher(root, FILE, fields, stamp, taken.append)
-    wait_for(root, taken)
-    assert taken[0]['new'] == '1'
+    received = []
+    SettingsWatcher(root, FILE, fields, stamp, received.append)
+    wait_for(root, received)
+    assert received[0]['new'] == '1'
 
 
 def test_missing_file_changes_nothing(path):
@@ -49,11 +49,11 @@
     fields = parse_fields(path.read_text())
     root = build_root()
     root._running = True
-    taken = []
-    watch = SettingsWatcher(root, FILE, fields, stamp, taken.append)
+    received = []
+    watch = SettingsWatcher(root, FILE, fields, stamp, received.append)
     path.unlink()
     watch.check_file()
-    assert taken == []
+    assert received == []
     path.write_text(settings_lines(service='fees'))
     watch.check_file()
-    assert taken[0]['service'] == 'fees'
+    assert received[0]['service'] == 'fees'
--- a/tests/platform/fleet.py
+++ b/tests/platform/fleet.py
@@ -111,8 +111,8 @@
             return Answer(0, {})
         finally:
             connection.close()
-        place = answer.headers.get('Location', '')
-        return Answer(answer.status, value, place)
+        location = answer.headers.get('Location', '')
+        return Answer(answer.status, value, location)
 
     def ask_until(self, host: str, path: str, body: bytes, base: int):
         """Repeat an order until it is accepted; return the seconds taken."""
--- a/tests/runtime/test_control.py
+++ b/tests/runtime/test_control.py
@@ -185,22 +185,24 @@
     shutil.rmtree(cluster.folder / lost)
     cluster.start(lost)
 
-    def seen() -> dict:
+    def replica_entry() -> dict:
         replica = cluster.get(leader, '/api/status')['replica']
         found = {item['instance']: item for item in replica['instances']}
         return found[lost]
 
-    def fresh() -> str:
-        item = seen()
+    def new_storage_id() -> str:
+        item = replica_entry()
         counted = item['storage_id'] == item['voter_storage_id']
         return '' if counted else item['storage_id']
 
-    wait_until(fresh)
-    assert not seen()['counts']
+    wait_until(new_storage_id)
+    assert not replica_entry()['counts']
     consoles = ','.join(map(str, cluster.consoles))
     flags = ['--console', consoles]
     assert run(['replace-storage', lost, *flags]) == 0
-    wait_until(lambda: seen()['counts'] and seen()['caught_up'])
+    wait_until(
+        lambda: replica_entry()['counts'] and replica_entry()['caught_up']
+    )
     cluster.kill(leader)
     shutil.rmtree(cluster.folder / leader)
     assert cluster.publish(change('x', 0))['version'] == 1
--- a/tests/runtime/test_graceful_shutdown.py
+++ b/tests/runtime/test_graceful_shutdown.py
@@ -49,9 +49,9 @@
     def __init__(self):
         self.root = build_root()
         self.root._running = True
-        self.taken = []
+        self.received = []
         self.server = HttpServer(
-            self.root.poller, HttpLimits(), self.taken.append, 'entry'
+            self.root.poller, HttpLimits(), self.received.append, 'entry'
         ).register(self.root)
         self.address = self.server.listen(Address('127.0.0.1', 0))
         self.scheduler = ManualScheduler()
@@ -111,7 +111,7 @@
     daemon.scheduler.run_until(GRACE)
     assert daemon.ended
     # The request was not read, so its caller may retry it anywhere.
-    assert daemon.taken == []
+    assert daemon.received == []
     caller.settimeout(1.0)
     daemon.run_loop()
     assert caller.recv(100) == b''
@@ -125,7 +125,7 @@
     daemon.ask(caller)
     daemon.scheduler.run_until(FAREWELL + 1.0)
     assert not daemon.ended
-    daemon.taken[0].respond(200, [], b'fine')
+    daemon.received[0].respond(200, [], b'fine')
     daemon.run_loop()
     daemon.scheduler.run_until(FAREWELL + 2.0)
     assert daemon.ended
--- a/tests/runtime/test_load_news.py
+++ b/tests/runtime/test_load_news.py
@@ -20,24 +20,24 @@
     """Regression: a local link has no Hello, which failed each call."""
     gate = make_gate(platform_like_dialect())
     entry_end, gate_end = local_link_pair(iter(range(1, 9)))
-    told = []
-    entry_end.subscribe(LoadNews, lambda link, news: told.append(link.hello))
+    sent = []
+    entry_end.subscribe(LoadNews, lambda link, news: sent.append(link.hello))
     gate.news.note_call(gate_end, 0.0)
     gate.note_answer_head([('x-load', '1,0,4,700')])
-    assert told == [None]
+    assert sent == [None]
 
 
 def test_only_changes_of_pace_are_sent():
     gate = make_gate(platform_like_dialect())
     entry_end, gate_end = local_link_pair(iter(range(1, 9)))
-    told = []
+    sent = []
     entry_end.subscribe(
-        LoadNews, lambda link, news: told.append(news.load.pace_percent)
+        LoadNews, lambda link, news: sent.append(news.load.pace_percent)
     )
     gate.news.note_call(gate_end, 0.0)
     for pace in (100, 105, 700, 690, 100):
         gate.note_answer_head([('x-load', f'1,0,4,{pace}')])
-    assert told == [100, 700, 100]
+    assert sent == [100, 700, 100]
 
 
 def test_slow_gate_returns_a_call_that_limits_the_pace():
