--- a/bench/order_times.py
+++ b/bench/order_times.py
@@ -33,7 +33,7 @@
 
 import fire
 
-from cyclamenlift.platform.operators import STATUS_OF
+from cyclamenlift.platform.operators import STATUS_BY_CODE
 
 LINE_PATTERN = re.compile(r'\s*(-?\d+\.\d+) (\S+) (\{.*\})\s*$')
 UNSTABLE_PATTERN = re.compile(r'^the core was not stable: (.+)$')
@@ -45,7 +45,7 @@
 EVENTS = (TAKEN, ANSWERED, CARRIED)
 # Codes of definite answers, after which an order is not sent again.
 DEFINITE_CODES = {
-    int(code) for code, status in STATUS_OF.items() if status < 500
+    int(code) for code, status in STATUS_BY_CODE.items() if status < 500
 }
 # Seconds after which a sender moves on to another instance.
 SENDER_TIMEOUT_SECONDS = 1.0
--- a/cyclamenlift/cli/losses.py
+++ b/cyclamenlift/cli/losses.py
@@ -23,7 +23,7 @@
     brace of a line is ignored. SECONDS is the length of a window. Exit
     status 1 if there is no line to count.
     """
-    length = parse_seconds(seconds)
+    length = to_seconds(seconds)
     if length is None:
         detail = f'invalid window length: {seconds!r} seconds'
         print_problem(Problem(ResultCode.BAD_REQUEST, detail, 'seconds'))
@@ -47,10 +47,10 @@
     return ExitStatus.SUCCESS
 
 
-def parse_seconds(text: object) -> float | None:
+def to_seconds(text: object) -> float | None:
     """Parse the length of a window; return None if it is invalid.
 
-    >>> parse_seconds('2.5'), parse_seconds('0'), parse_seconds('nan')
+    >>> to_seconds('2.5'), to_seconds('0'), to_seconds('nan')
     (2.5, None, None)
     """
     try:
--- a/cyclamenlift/conf/watching.py
+++ b/cyclamenlift/conf/settings_watcher.py
@@ -1,4 +1,4 @@
-"""Notices that a settings file has changed, with or without a signal."""
+"""Reloads a settings file on SIGHUP or when the file has changed."""
 
 from collections.abc import Callable
 from collections.abc import Mapping
@@ -13,8 +13,8 @@
 
 from cyclamenlift.core.problems import Problem
 
-# The file may change without a signal; a look costs one system call.
-LOOK_SECONDS = 2.0
+# Polling also detects changes without a signal and costs one system call.
+POLL_SECONDS = 2.0
 Fields = Mapping[str, str]
 Stamp = tuple[int, int]
 LOG = structlog.get_logger('settings')
@@ -22,17 +22,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SettingsFile:
-    """How a file is read, and what changes whenever it does."""
+    """Functions that read a file and return its modification stamp."""
 
     read: Callable[[], Result[Fields, Problem]]
     stamp: Callable[[], Stamp]
 
 
-class SettingsWatch(BaseComponent):
-    """Reads the file again on SIGHUP or when it has another time stamp.
+class SettingsWatcher(BaseComponent):
+    """Reloads the file on SIGHUP or when its stamp has changed.
 
-    ``stamp`` is that of before ``fields`` were read, so a change since
-    then is noticed.
+    ``stamp`` must be taken before ``fields`` are read, so that a change
+    between the two is detected.
     """
 
     channel = 'settings'
@@ -53,8 +53,8 @@
         self.stamp = stamp
         self.register(root)
         signal.signal(signal.SIGHUP, root._signal_handler)
-        root.scheduler.after(0.0, self.look)
-        root.scheduler.every(LOOK_SECONDS, self.look)
+        root.scheduler.after(0.0, self.check_file)
+        root.scheduler.every(POLL_SECONDS, self.check_file)
 
     @handler('signal', channel='*')
     def _on_signal(self, event, number, _stack) -> None:
@@ -62,13 +62,13 @@
             event.stop()
             self.reload('signal')
 
-    def look(self) -> None:
-        """Read the file if it is another than before."""
+    def check_file(self) -> None:
+        """Reload the file if its stamp has changed."""
         if self.file.stamp() != self.stamp:
             self.reload('changed file')
 
     def reload(self, reason: str) -> None:
-        """Take over what has changed; an unreadable file changes nothing."""
+        """Read the file and apply changes; ignore an unreadable file."""
         self.stamp = self.file.stamp()
         found = self.file.read()
         if isinstance(found, Failure):
--- a/cyclamenlift/platform/operators.py
+++ b/cyclamenlift/platform/operators.py
@@ -1,4 +1,4 @@
-"""The operators' calls, read into changes and queries of the product."""
+"""HTTP interface for operators: changes and reads of the configuration."""
 
 from returns.result import Failure
 import structlog
@@ -34,10 +34,10 @@
 REPLACE_PATH = '/v1/Config.Replace'
 PATCH_PATH = '/v1/Config.Patch'
 GET_PATH = '/v1/Config.Get'
-# 1,400 routes have 219 KB as they are sent, so 10,000, the most of a document,
-# 1.6 MB (worked out); routes with several shares need more.
-MOST_CHANGE_BYTES = 4 * 1024 * 1024
-STATUS_OF = {
+# A request with 1,400 routes takes 219 KB, so the maximum of 10,000 routes is
+# estimated at 1.6 MB; routes with several services need more.
+MAX_CHANGE_BYTES = 4 * 1024 * 1024
+STATUS_BY_CODE = {
     ResultCode.CHANGE_ACCEPTED: 200,
     ResultCode.VERSION_CONFLICT: 412,
     ResultCode.DOCUMENT_INVALID: 400,
@@ -45,13 +45,13 @@
     ResultCode.BAD_REQUEST: 400,
     ResultCode.CHANGE_UNKNOWN: 504,
 }
-NOT_SURE = 503
+UNAVAILABLE = 503
 LOG = structlog.get_logger('operators')
 
 
 @ORDER_KINDS.register(REPLACE_PATH)
 def replace(context: ControlContext, order: Order, done: OrderDone) -> None:
-    """Publish a whole configuration."""
+    """Publish a complete configuration."""
     document = read_configuration(order.body)
     if isinstance(document, Failure):
         done(invalid_report(context, [document.failure()]))
@@ -61,7 +61,7 @@
 
 @ORDER_KINDS.register(PATCH_PATH)
 def patch(context: ControlContext, order: Order, done: OrderDone) -> None:
-    """Publish a change of named items."""
+    """Publish a partial change."""
     publish_partial(
         context,
         order.change,
@@ -70,46 +70,46 @@
     )
 
 
-class OperatorCalls:
-    """Takes changes and reads of the configuration.
+class OperatorEndpoint:
+    """Serves changes and reads of the configuration.
 
-    Every instance takes changes, but for large ones; these and reads are
-    sent to the leader's place, which is the same port on its host.
+    Every instance accepts changes unless they are large. Large changes and
+    reads are redirected to the same port of the leader's host.
     """
 
     def __init__(self, orders: OrderHandler, port: int):
         self.orders = orders
         self.port = port
 
-    def take(self, exchange: Exchange) -> None:
-        """Take one request on the operators' address."""
+    def handle(self, exchange: Exchange) -> None:
+        """Handle a request from an operator."""
         path = exchange.path.partition('?')[0]
         if (exchange.method, path) == ('GET', GET_PATH):
-            self.take_get(exchange)
+            self.on_get(exchange)
         elif exchange.method != 'POST' or path not in ORDER_KINDS.items:
             reject(exchange, 404, Problem(ResultCode.NOT_FOUND, path[:100]))
         elif not self.orders.accepts_size(exchange.body_length):
-            self.send_on(exchange, self.orders.location())
+            self.redirect(exchange, self.orders.location())
         else:
             read_body(
                 exchange,
-                MOST_CHANGE_BYTES,
-                lambda body: self.take_change(exchange, path, body),
+                MAX_CHANGE_BYTES,
+                lambda body: self.on_change(exchange, path, body),
             )
 
-    def take_get(self, exchange: Exchange) -> None:
-        """Answer with the newest configuration, if sure to have it."""
-        if not self.orders.read(lambda report: self.give(exchange, report)):
-            self.send_on(exchange, self.orders.location())
+    def on_get(self, exchange: Exchange) -> None:
+        """Answer with the newest configuration, or redirect the request."""
+        if not self.orders.read(lambda report: self.reply(exchange, report)):
+            self.redirect(exchange, self.orders.location())
 
-    def give(self, exchange: Exchange, report: DocumentReport) -> None:
+    def reply(self, exchange: Exchange, report: DocumentReport) -> None:
         if not report.confirmed or not report.document:
-            self.refuse_unsure(exchange, 'not sure to be newest')
+            self.refuse_unavailable(exchange, 'not sure to be newest')
             return
         source = document_from_bytes(report.document.encode()).source
         exchange.respond(200, [JSON_TYPE], source.encode())
 
-    def take_change(self, exchange: Exchange, path: str, body: bytes) -> None:
+    def on_change(self, exchange: Exchange, path: str, body: bytes) -> None:
         base = exchange.header(BASE_VERSION_FIELD) or ''
         version = read_version(body)
         if not (base.isascii() and base.isdigit() and len(base) <= 15):
@@ -126,33 +126,33 @@
             lambda report: self.finish(exchange, order, report),
         )
 
-    def refuse_unsure(self, exchange: Exchange, detail: str) -> None:
-        reject(exchange, NOT_SURE, Problem(ResultCode.NOT_LEADER, detail))
+    def refuse_unavailable(self, exchange: Exchange, detail: str) -> None:
+        reject(exchange, UNAVAILABLE, Problem(ResultCode.NOT_LEADER, detail))
 
     def refuse_change(self, exchange: Exchange, problem: Problem) -> None:
         LOG.info('change_refused', problem=problem.line())
-        reject(exchange, STATUS_OF.get(problem.code, 400), problem)
+        reject(exchange, STATUS_BY_CODE.get(problem.code, 400), problem)
 
     def finish(
         self, exchange: Exchange, order: Order, report: PublishReport
     ) -> None:
-        """Answer with what became of a change."""
+        """Answer a change with its outcome."""
         log_answered(order, report)
         alternate_address = self.orders.alternate_address()
         if report.code in UNDECIDED_CODES and alternate_address is not None:
-            self.send_on(exchange, alternate_address)
+            self.redirect(exchange, alternate_address)
             return
-        status = STATUS_OF.get(report.code, NOT_SURE)
+        status = STATUS_BY_CODE.get(report.code, UNAVAILABLE)
         if status == 200:
             send_json(exchange, 200, {'version': report.version})
         else:
             reject(exchange, status, Problem(report.code, report.summary()))
 
-    def send_on(self, exchange: Exchange, location: Address | None) -> None:
-        """Name the place of another instance, or say that none is known."""
-        log_redirected(exchange.path, location)
-        if location is None:
-            self.refuse_unsure(exchange, 'no leader is known')
+    def redirect(self, exchange: Exchange, address: Address | None) -> None:
+        """Redirect to another instance, or refuse if none is known."""
+        log_redirected(exchange.path, address)
+        if address is None:
+            self.refuse_unavailable(exchange, 'no leader is known')
             return
-        there = f'http://{location.host}:{self.port}{exchange.path}'
-        send_json(exchange, 307, None, (('Location', there),))
+        location = f'http://{address.host}:{self.port}{exchange.path}'
+        send_json(exchange, 307, None, (('Location', location),))
--- a/cyclamenlift/platform/readiness.py
+++ b/cyclamenlift/platform/readiness.py
@@ -1,4 +1,4 @@
-"""The platform's question whether callers may be sent to a daemon."""
+"""Readiness endpoint of a daemon for the platform."""
 
 from collections.abc import Callable
 
@@ -11,14 +11,14 @@
 READY_PATH = '/v1/ready'
 
 
-class Readiness:
-    """Answers 200 while ``is_ready`` says so, else 503."""
+class ReadinessEndpoint:
+    """Answers 200 while ``is_ready`` returns True, otherwise 503."""
 
     def __init__(self, is_ready: Callable[[], bool]):
         self.is_ready = is_ready
 
-    def take(self, exchange: Exchange) -> None:
-        """Take one request on the readiness address."""
+    def handle(self, exchange: Exchange) -> None:
+        """Handle a request on the readiness address."""
         if exchange.path.partition('?')[0] != READY_PATH:
             problem = Problem(ResultCode.NOT_FOUND, exchange.path[:100])
             reject(exchange, 404, problem)
--- a/cyclamenlift/runtime/admin.py
+++ b/cyclamenlift/runtime/admin.py
@@ -1,4 +1,4 @@
-"""The admin pages of a daemon: status, metrics, burn figures, drain."""
+"""Admin pages of a daemon: status, metrics, burn rates and drain."""
 
 import dataclasses
 import typing
@@ -24,7 +24,7 @@
 
 
 class ApiPages(Controller):
-    """``/api``: what ``cyclamenlift status`` and ``quarantine`` show."""
+    """``/api``: data for ``cyclamenlift status`` and ``quarantine``."""
 
     channel = '/api'
 
@@ -38,15 +38,15 @@
 
     @expose('quarantine')
     def quarantine(self) -> WebResponse:
-        """Return the requests that are not clear; a POST lifts some."""
+        """Return suspect and quarantined requests; a POST releases some."""
         if self.request.method == 'POST':
             order = parse_request_body(LiftOrder, self.request.content)
             if isinstance(order, Failure):
                 return problem_response(order.failure())
             names = order.unwrap().fingerprints
             self.node.quarantine.lift([bytes.fromhex(n) for n in names])
-        kept = self.node.quarantine
-        found = rows(kept.history, kept.now())
+        state = self.node.quarantine
+        found = rows(state.history, state.now())
         return json_response(
             {'requests': [dataclasses.asdict(row) for row in found]}
         )
@@ -64,16 +64,18 @@
     @expose('metrics')
     def metrics(self) -> WebResponse:
         return WebResponse(
-            self.node.observer.metrics.render_prometheus(), 200, METRICS_TYPE
+            self.node.call_metrics.metrics.render_prometheus(),
+            200,
+            METRICS_TYPE,
         )
 
     @expose('burn')
     def burn(self) -> WebResponse:
-        return json_response(self.node.observer.burn_snapshot())
+        return json_response(self.node.call_metrics.burn_snapshot())
 
     @expose('drain')
     def drain(self) -> WebResponse:
-        """Begin a drain; a second request changes nothing."""
+        """Begin a drain (POST); a repeated request has no effect."""
         if self.request.method != 'POST':
             return problem_response(Problem(ResultCode.METHOD_NOT_ALLOWED))
         self.node.drain()
--- a/cyclamenlift/runtime/control_api.py
+++ b/cyclamenlift/runtime/control_api.py
@@ -30,7 +30,7 @@
 
 
 class ControlApi(Controller):
-    """``/api``: each answer is one report as JSON, with its code."""
+    """``/api``: every answer is a JSON report with a result code."""
 
     channel = '/api'
 
@@ -45,17 +45,17 @@
 
     @expose('replace-storage')
     def replace_storage(self) -> Deferred | WebResponse:
-        """Let a new storage count for an instance (POST)."""
+        """Accept the new storage of an instance as a voter (POST)."""
         return run_command(self, StorageReplacement, replace_storage)
 
     @expose('document')
     def document(self) -> Deferred | WebResponse:
-        """Return one version of the document, by default the newest."""
+        """Return a version of the document, by default the newest."""
         return run_query(self, 'version', 0, show)
 
     @expose('history')
     def history(self) -> Deferred | WebResponse:
-        """Return who made the newest versions."""
+        """Return the authors and times of the newest versions."""
         return run_query(self, 'limit', HISTORY_LIMIT, history)
 
     @expose('status')
@@ -64,13 +64,13 @@
         return report_answer(status(self.context))
 
 
-# These are functions, since circuits exposes every method of a controller.
+# Module-level functions: circuits exposes every method of a controller.
 
 
 def run_command(
     page: ControlApi, kind: type, command: Callable
 ) -> Deferred | WebResponse:
-    """Read the JSON body as ``kind`` and run a command with it."""
+    """Validate the JSON body as ``kind`` and run a command with it."""
     if page.request.method != 'POST':
         return problem_response(Problem(ResultCode.METHOD_NOT_ALLOWED))
     order = parse_request_body(kind, page.request.content)
@@ -103,6 +103,6 @@
 
 
 def report_answer(report) -> WebResponse:
-    """Return a report as JSON, under the HTTP status of its code."""
+    """Return a report as JSON with the HTTP status of its code."""
     status_code = describe(report.code).status or 200
     return WebResponse(report_to_json(report), status_code, JSON)
--- a/cyclamenlift/runtime/control_metrics.py
+++ b/cyclamenlift/runtime/control_metrics.py
@@ -1,8 +1,8 @@
-"""Metrics of a control instance, read when ``/metrics`` is asked for.
+"""Metrics of a control instance, read on each request for ``/metrics``.
 
-``CONTROL_METRICS`` is the one list of their names, units and meanings. The
-numbers are those of this instance, as it sees itself: claims are answered
-by whoever leads, so add up the instances for the cluster's counts.
+``CONTROL_METRICS`` defines their names, units and descriptions. All values
+are local to the instance. Claims are answered by the current leader, so a
+count for the cluster is the sum over its instances.
 """
 
 from collections.abc import Callable
@@ -81,7 +81,7 @@
 
 
 class ControlMetrics:
-    """Observable instruments over the parts of one control instance."""
+    """Observable instruments that read the parts of a control instance."""
 
     def __init__(self, context: ControlContext, claims: ClaimServer):
         self.context = context
@@ -100,13 +100,13 @@
         return self.context.replica.status()
 
     def watch(self, info: MetricInfo, read: Callable[[], float]) -> None:
-        """Report ``read()`` at each collection."""
+        """Register a metric whose single value is ``read()``."""
         self.observe(info, lambda: [Reading(read())])
 
     def observe(
         self, info: MetricInfo, read: Callable[[], Iterable[Reading]]
     ) -> None:
-        """Report what ``read`` returns at each collection."""
+        """Register a metric whose readings ``read`` returns."""
         self.metrics.observe(info, read)
 
     def roles(self) -> list[Reading]:
@@ -124,5 +124,5 @@
         ]
 
     def render(self) -> bytes:
-        """Return all metrics in the text form of Prometheus."""
+        """Return all metrics in the Prometheus text format."""
         return self.metrics.render_prometheus()
--- a/cyclamenlift/runtime/peers.py
+++ b/cyclamenlift/runtime/peers.py
@@ -1,4 +1,4 @@
-"""The control instances as the settings name them."""
+"""Parsing and validation of the ``peers`` setting."""
 
 import re
 
@@ -12,7 +12,7 @@
 from cyclamenlift.core.problems import Problem
 from cyclamenlift.core.streams import Address
 
-MOST_PEERS = 7
+MAX_PEERS = 7
 HINT = 'Write name=host:port for every control instance, this one too.'
 
 
@@ -21,41 +21,41 @@
 ) -> Result[dict[str, Address], list[Problem]]:
     """Return the peer address of each control instance by its name.
 
-    Every problem is returned at once. An instance that is not in its own
-    list, or stands there with another address than it listens on, would be
-    counted wrongly by the others.
+    All problems are returned together. An instance that is missing from its
+    own list, or listed with another port than it listens on, would be
+    counted incorrectly by the others.
     """
-    peers, problems = read_list(settings.peers)
+    peers, problems = parse_entries(settings.peers)
     if not problems:
-        problems.extend(check_whole(peers, settings))
+        problems.extend(check_consistency(peers, settings))
     return Failure(problems) if problems else Success(peers)
 
 
-def read_list(
+def parse_entries(
     texts: tuple[str, ...],
 ) -> tuple[dict[str, Address], list[Problem]]:
-    """Return the instances that could be read, and what could not."""
+    """Return the valid entries by name and a problem for each other one."""
     peers: dict[str, Address] = {}
     problems = []
     for text in texts:
-        name, _, place = text.partition('=')
+        name, _, address_text = text.partition('=')
         try:
-            address = Address.parse(place)
+            address = Address.parse(address_text)
         except ValueError:
             address = None
         if address is None or not re.match(NAME_PATTERN, name):
             problems.append(problem(f'{text!r} is not name=host:port'))
             continue
         if name in peers:
-            problems.append(problem(f'{name!r} is named twice'))
+            problems.append(problem(f'{name!r} is listed twice'))
         peers[name] = address
     return peers, problems
 
 
-def check_whole(
+def check_consistency(
     peers: dict[str, Address], settings: ControlSettings
 ) -> list[Problem]:
-    """Return what is wrong with a list whose parts are well formed."""
+    """Return inconsistencies of a list of well-formed entries."""
     problems = []
     own = peers.get(settings.instance)
     if own is None:
@@ -63,14 +63,14 @@
     elif own.port != Address.parse(settings.peer_listen).port:
         problems.append(
             problem(
-                f'{settings.instance!r} stands there with port {own.port}, '
+                f'{settings.instance!r} is listed with port {own.port}, '
                 f'but peer_listen is {settings.peer_listen}'
             )
         )
     if len(set(peers.values())) < len(peers):
-        problems.append(problem('two instances have one address'))
-    if len(peers) > MOST_PEERS:
-        problems.append(problem(f'more than {MOST_PEERS} instances'))
+        problems.append(problem('two instances have the same address'))
+    if len(peers) > MAX_PEERS:
+        problems.append(problem(f'more than {MAX_PEERS} instances'))
     return problems
 
 
--- a/tests/conf/test_watching.py
+++ b/tests/conf/test_settings_watcher.py
@@ -1,18 +1,18 @@
-"""A settings file that changes around the start of a process."""
+"""Detection of changes to a settings file."""
 
 import time
 
 import pytest
 
-from cyclamenlift.conf.watching import SettingsFile
-from cyclamenlift.conf.watching import SettingsWatch
+from cyclamenlift.conf.settings_watcher import SettingsFile
+from cyclamenlift.conf.settings_watcher import SettingsWatcher
 from cyclamenlift.core.scheduler import build_root
 from cyclamenlift.platform.settings import file_stamp
 from cyclamenlift.platform.settings import parse_fields
 from cyclamenlift.platform.settings import read_fields
 from tests.platform.builders import settings_lines
 
-SECONDS = 10.0
+TIMEOUT_SECONDS = 10.0
 FILE = SettingsFile(read_fields, file_stamp)
 
 
@@ -24,36 +24,36 @@
     return found
 
 
-def wait_for(root, taken: list) -> None:
-    end = time.monotonic() + SECONDS
-    while not taken:
-        assert time.monotonic() < end, 'the change was never noticed'
+def wait_for(root, received: list) -> None:
+    end = time.monotonic() + TIMEOUT_SECONDS
+    while not received:
+        assert time.monotonic() < end, 'the change was not detected in time'
         root.tick(0.01)
 
 
-def test_a_change_between_the_reading_and_the_watch_is_noticed(path):
-    """Regression: the watch began with the stamp of the changed file."""
+def test_change_between_reading_and_watching_is_detected(path):
+    """Regression: the watch started with the stamp of the changed file."""
     stamp = file_stamp()
     fields = parse_fields(path.read_text())
     path.write_text(path.read_text() + 'new=1\n')
     root = build_root()
     root._running = True
-    taken = []
-    SettingsWatch(root, FILE, fields, stamp, taken.append)
-    wait_for(root, taken)
-    assert taken[0]['new'] == '1'
+    received = []
+    SettingsWatcher(root, FILE, fields, stamp, received.append)
+    wait_for(root, received)
+    assert received[0]['new'] == '1'
 
 
-def test_a_file_that_is_gone_changes_nothing(path):
+def test_missing_file_changes_nothing(path):
     stamp = file_stamp()
     fields = parse_fields(path.read_text())
     root = build_root()
     root._running = True
-    taken = []
-    watch = SettingsWatch(root, FILE, fields, stamp, taken.append)
+    received = []
+    watch = SettingsWatcher(root, FILE, fields, stamp, received.append)
     path.unlink()
-    watch.look()
-    assert taken == []
+    watch.check_file()
+    assert received == []
     path.write_text(settings_lines(service='fees'))
-    watch.look()
-    assert taken[0]['service'] == 'fees'
+    watch.check_file()
+    assert received[0]['service'] == 'fees'
--- a/tests/events/test_control_side.py
+++ b/tests/events/test_control_side.py
@@ -18,7 +18,7 @@
 from cyclamenlift.events.server import DocumentServer
 from cyclamenlift.events.server import MAX_PUSHED_BYTES
 from cyclamenlift.events.server import PUSH_FANOUT
-from cyclamenlift.runtime.machine import ControlMachine
+from cyclamenlift.runtime.state_machine import ControlStateMachine
 from cyclamenlift.wire.gen.protocol.ttypes import DocumentRequest
 from tests.events.builders import control_context
 from tests.events.builders import document
@@ -287,5 +287,5 @@
     run(publish, context, publication())
     server = server_of(context)
     assert server.current_history().version == 1
-    context.replica.machine.restore(ControlMachine().snapshot())
+    context.replica.machine.restore(ControlStateMachine().snapshot())
     assert server.current_history().version == 0
--- a/tests/gate/builders.py
+++ b/tests/gate/builders.py
@@ -3,7 +3,7 @@
 from cyclamenlift.gate.admission import AdmissionRequest
 from cyclamenlift.gate.registration import Announcement
 from cyclamenlift.gate.tasks import Gate
-from cyclamenlift.runtime.local import local_pair
+from cyclamenlift.runtime.local_link import local_link_pair
 from cyclamenlift.wire.gen.protocol.ttypes import AnswerStart
 from cyclamenlift.wire.gen.protocol.ttypes import Broken
 from cyclamenlift.wire.gen.protocol.ttypes import CallStart
@@ -12,8 +12,8 @@
 from cyclamenlift.wire.gen.protocol.ttypes import LoadNews
 from cyclamenlift.wire.gen.protocol.ttypes import Refused
 from cyclamenlift.wire.gen.protocol.ttypes import TargetState
+from tests.runtime.builders import null_scheduler
 from tests.runtime.builders import platform_like_dialect
-from tests.runtime.builders import quiet_scheduler
 
 SECOND = 1_000_000
 
@@ -65,7 +65,7 @@
         self.can_query = can_query
         self.target = SilentTarget()
         self.gate = Gate(
-            quiet_scheduler(),
+            null_scheduler(),
             self.target,
             'prices',
             8,
@@ -74,7 +74,7 @@
         self.gate.announce(Announcement('i-1', 'prices', 8))
         self.gate.set_target_state(TargetState.READY)
         self.gate.pace_queries.send_query = self.count_query
-        self.entry_end, self.gate_end = local_pair(iter(range(1, 9)))
+        self.entry_end, self.gate_end = local_link_pair(iter(range(1, 9)))
         self.outcomes = []
         for kind in (Refused, Cancelled, Broken, AnswerStart):
             self.entry_end.subscribe(
--- a/tests/platform/fleet.py
+++ b/tests/platform/fleet.py
@@ -1,4 +1,4 @@
-"""The adapter's programs as a small fleet of processes on loopback."""
+"""Harness: programs of the adapter as processes on loopback."""
 
 import http.client
 import json
@@ -12,20 +12,20 @@
 from tests.platform.builders import as_body
 from tests.platform.builders import configuration
 from tests.platform.builders import free_ports
-from tests.platform.builders import own_host
+from tests.platform.builders import random_host
 from tests.platform.builders import ROOT
 from tests.platform.builders import settings_lines
 
 WAIT_SECONDS = 30.0
-# How long an operator waits for one answer.
-PATIENCE_SECONDS = 1.0
+# Timeout of a request from an operator.
+REQUEST_TIMEOUT_SECONDS = 1.0
 REPLACE = '/v1/Config.Replace'
 PATCH = '/v1/Config.Patch'
 GET = '/v1/Config.Get'
 
 
 class Answer(NamedTuple):
-    """What an operator heard; status 0 for nothing in time."""
+    """An answer to an operator; status 0 stands for a timeout."""
 
     status: int
     value: dict
@@ -33,15 +33,15 @@
 
 
 class Fleet:
-    """Control instances and daemons; ``close`` ends what still runs."""
+    """Control instances and daemons; ``close`` kills those running."""
 
     def __init__(self, folder: pathlib.Path, control: int, daemons: int):
         self.folder = folder
-        host = own_host()
+        host = random_host()
         self.control_port, inner = free_ports(host, 2)
         self.inner = f'{inner},{inner + 1}'
-        self.control = [own_host() for _ in range(control)]
-        self.daemons = [own_host() for _ in range(daemons)]
+        self.control = [random_host() for _ in range(control)]
+        self.daemons = [random_host() for _ in range(daemons)]
         self.processes: dict[str, subprocess.Popen] = {}
         for host in self.control:
             self.start(host, 'control')
@@ -49,7 +49,7 @@
             self.start(host, 'daemon')
 
     def settings(self, host: str) -> str:
-        """Return the settings file of the machine with this address."""
+        """Return the settings file of the instance on ``host``."""
         entry, ready, app = free_ports(host, 3)
         port = self.control_port
         seeds = [f'{seed}:{port}' for seed in self.control[:3]]
@@ -95,9 +95,9 @@
         path: str,
         body: bytes = b'',
         base: int | None = None,
-        seconds: float = PATIENCE_SECONDS,
+        seconds: float = REQUEST_TIMEOUT_SECONDS,
     ) -> Answer:
-        """Send one order, or a read without a base; no redirect is taken."""
+        """Send an order, or a read if ``base`` is None; follow no redirect."""
         headers = {} if base is None else {'Base-Version': str(base)}
         method = 'GET' if base is None else 'POST'
         connection = http.client.HTTPConnection(
@@ -111,11 +111,11 @@
             return Answer(0, {})
         finally:
             connection.close()
-        place = answer.headers.get('Location', '')
-        return Answer(answer.status, value, place)
+        location = answer.headers.get('Location', '')
+        return Answer(answer.status, value, location)
 
     def ask_until(self, host: str, path: str, body: bytes, base: int):
-        """Send an order again until it is accepted; return the seconds."""
+        """Repeat an order until it is accepted; return the seconds taken."""
         began = time.monotonic()
         while True:
             answer = self.ask(host, path, body, base)
@@ -125,20 +125,20 @@
             assert seconds < WAIT_SECONDS, self.log(host)[-2000:]
             time.sleep(0.05)
 
-    def found(self) -> str:
-        """Send the first configuration; return the leader's host."""
+    def publish_first(self) -> str:
+        """Publish the first configuration and return the leader's host."""
         body = as_body(configuration(version=1))
         deadline = time.monotonic() + WAIT_SECONDS
         while time.monotonic() < deadline:
             for host in self.control:
                 answer = self.ask(host, REPLACE, body, 0)
-                if answer.status == 200 and self.leads(host):
+                if answer.status == 200 and self.is_leader(host):
                     return host
             time.sleep(0.05)
         raise AssertionError(self.log(self.control[0])[-2000:])
 
-    def leads(self, host: str) -> bool:
-        """Tell whether an instance is the one that answers reads itself."""
+    def is_leader(self, host: str) -> bool:
+        """Whether an instance answers reads itself, without a redirect."""
         return self.ask(host, GET).status == 200
 
     def close(self) -> None:
--- a/tests/platform/test_boundary.py
+++ b/tests/platform/test_boundary.py
@@ -1,4 +1,4 @@
-"""Nothing but the adapter knows the platform's names."""
+"""The platform's names occur only in the adapter, which stays small."""
 
 import pathlib
 import re
@@ -14,7 +14,7 @@
     '|weighted_services|cold_left|Instances\\.Heartbeat|Config\\.Replace',
     re.IGNORECASE,
 )
-# The default dialect's own name for the service of a caller.
+# Name of a header field in the default dialect.
 OWN = 'cyclamenlift-caller-service'
 
 
@@ -22,7 +22,7 @@
     return [p for p in folder.rglob('*.py') if 'gen' not in p.parts]
 
 
-def test_the_platforms_names_stand_in_the_adapter_alone():
+def test_platform_names_occur_only_in_the_adapter():
     found = [
         f'{path.relative_to(ROOT)}: {match.group()}'
         for path in sources(PACKAGE)
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -1,4 +1,4 @@
-"""Operators' configurations, read and changed in parts."""
+"""Parsing of platform configurations and partial changes."""
 
 import json
 import time
@@ -13,7 +13,7 @@
 from cyclamenlift.platform.documents import edit_document
 from cyclamenlift.platform.documents import read_configuration
 from cyclamenlift.platform.documents import read_version
-from cyclamenlift.platform.documents import remove_named
+from cyclamenlift.platform.documents import remove_by_name
 from cyclamenlift.platform.documents import upsert
 from tests.events.builders import control_context
 from tests.platform.builders import as_body
@@ -26,7 +26,7 @@
     return read_configuration(as_body(value))
 
 
-def test_a_configuration_becomes_a_document_and_keeps_its_text():
+def test_configuration_is_converted_and_keeps_its_text():
     body = as_body(configuration())
     document = read_configuration(body).unwrap()
     assert document.source.encode() == body
@@ -40,7 +40,7 @@
 
 
 @pytest.mark.parametrize('kind', ['non_idempotent', 'upload'])
-def test_what_may_not_repeat_runs_once_for_each_attempt(kind):
+def test_non_idempotent_routes_run_once_per_attempt(kind):
     hosts = [{'host': 'a.example', 'path_rules': [route('r', '/p/', kind)]}]
     document = read(configuration(virtual_hosts=hosts)).unwrap()
     assert document.routes[0].repetition == 'once_per_attempt'
@@ -75,19 +75,19 @@
 
 
 @pytest.mark.parametrize('cut', [1, 40, 400])
-def test_a_configuration_that_was_cut_short_is_refused(cut):
+def test_truncated_configuration_is_refused(cut):
     body = as_body(configuration())[:-cut]
     assert isinstance(read_version(body), Failure)
     assert isinstance(read_configuration(body), Failure)
 
 
 @pytest.mark.parametrize('version', [0, -1, 'x', 1.5, None, True, 2**60])
-def test_a_version_is_a_positive_number(version):
+def test_version_must_be_a_positive_integer(version):
     body = as_body({'version': version})
     assert isinstance(read_version(body), Failure)
 
 
-def edited(patch: dict) -> dict:
+def apply_change(patch: dict) -> dict:
     document = read(configuration()).unwrap()
     result = edit_document(document, as_body({'version': 9, **patch}))
     assert isinstance(result, Success), result
@@ -104,7 +104,7 @@
 def test_a_partial_change_adds_replaces_and_removes_by_name():
     changed = route('r-1', '/p/', timeout='900ms')
     added = route('r-3', '/n/')
-    value = edited(
+    value = apply_change(
         {
             'upsert': {
                 'services': [service('new')],
@@ -121,9 +121,9 @@
     assert value['version'] == 9
 
 
-def test_a_route_that_moves_leaves_its_host():
+def test_moved_route_is_removed_from_its_old_host():
     moved = {'host': 'c.example', 'path_rules': [route('r-1', '/p/')]}
-    value = edited({'upsert': {'virtual_hosts': [moved]}})
+    value = apply_change({'upsert': {'virtual_hosts': [moved]}})
     assert names(value) == {'b.example': ['r-2'], 'c.example': ['r-1']}
 
 
@@ -137,17 +137,17 @@
         {'remove': {'routes': 3}},
     ],
 )
-def test_a_partial_change_that_makes_no_document_is_refused(patch):
+def test_partial_change_with_an_invalid_result_is_refused(patch):
     document = read(configuration()).unwrap()
     body = as_body({'version': 9, **patch})
     assert isinstance(edit_document(document, body), Failure)
 
 
-# The longest list of routes that a document may have.
+# Maximum number of routes in a document.
 MOST_ROUTES = 10_000
-# How long the loop of a control instance may stand, in seconds: beyond its
-# election timeout the others choose another leader, the change fails, and
-# the next leader stands as long.
+# How long the loop of a control instance may be blocked, in seconds: beyond
+# the election timeout the others elect another leader, the change fails, and
+# the next leader is blocked for as long.
 ELECTION_SECONDS = 0.5
 
 
@@ -162,30 +162,29 @@
     ]
 
 
-def test_adding_many_routes_leaves_the_leader_its_heartbeats():
-    """Large configurations got no acknowledgement in calm times.
+def test_adding_many_routes_does_not_block_heartbeats():
+    """Regression: partial changes of large configurations were too slow.
 
-    Seen: a valid change was not acknowledged within 4 s though nothing was
-    disturbed. How it came about: the configuration grew by 1,400 routes at
-    a time; each route that a partial change brought was looked for in all
-    that there were. Proved by measuring that step alone: 0.6 s with 4,200
-    routes on four hosts, 5.8 s with a host for each, 16 s with 9,800.
+    Without any failure, a valid change was not acknowledged within 4 s.
+    Changes of 1,400 routes searched all existing routes for each new one:
+    0.6 s with 4,200 routes on four hosts, 5.8 s with one host per route, 16 s
+    with 9,800 routes.
     """
     value = configuration(virtual_hosts=many_hosts(0, MOST_ROUTES - 1400))
     items = {'virtual_hosts': many_hosts(MOST_ROUTES - 1400, 1400)}
     names = {'routes': [f'r{number}' for number in range(700)]}
     began = time.process_time()
-    remove_named(value, names)
+    remove_by_name(value, names)
     upsert(value, items)
     assert time.process_time() - began <= ELECTION_SECONDS
     assert len(value['virtual_hosts']) == MOST_ROUTES - 700
 
 
-def test_a_configuration_with_the_most_routes_is_accepted():
-    """The same changes, four of them: the fifth answer was a refusal.
+def test_configuration_with_the_maximum_of_routes_is_accepted():
+    """Regression: the size limit refused documents with 5,600 routes.
 
-    With 5,600 routes the document was over its limit of bytes, though it
-    may have 10,000 routes.
+    A document may have 10,000 routes; the fifth of a series of changes was
+    refused.
     """
     hosts = many_hosts(0, MOST_ROUTES)
     document = read(configuration(virtual_hosts=hosts)).unwrap()
@@ -237,7 +236,7 @@
     ],
     ids=['same host', 'moved', 'new host twice', 'named at two', 'twice'],
 )
-def test_routes_of_a_change_stand_under_the_host_named_last(added, expected):
+def test_changed_routes_belong_to_the_host_named_last(added, expected):
     value = configuration()
     hosts = [
         {'host': name, 'path_rules': [route(n, f'/{n}/') for n in names]}
--- a/tests/runtime/test_stopping.py
+++ b/tests/runtime/test_graceful_shutdown.py
@@ -1,8 +1,7 @@
-"""A daemon stops while its callers go on to use their connections.
+"""Graceful shutdown while callers keep using their connections.
 
-The load: callers that keep connections open for many requests and learn of
-the stop only by an answer or a closed connection, so that a request may
-come at any moment until the connection ends.
+Callers with persistent connections notice a shutdown only by an answer or a
+closed connection, so a request may arrive at any time until then.
 """
 
 import heapq
@@ -14,15 +13,15 @@
 from cyclamenlift.core.streams import Address
 from cyclamenlift.http.limits import HttpLimits
 from cyclamenlift.http.server import HttpServer
-from cyclamenlift.runtime.stopping import IDLE_CHECK_SECONDS
-from cyclamenlift.runtime.stopping import OrderlyStop
+from cyclamenlift.runtime.graceful_shutdown import GracefulShutdown
+from cyclamenlift.runtime.graceful_shutdown import IDLE_CHECK_SECONDS
 
 FAREWELL = 2.2
 GRACE = 5.3
 
 
-class SteppedClock:
-    """A scheduler whose time moves only when it is told to."""
+class ManualScheduler:
+    """A scheduler whose time is advanced by the test."""
 
     def __init__(self):
         self.clock = self
@@ -44,18 +43,18 @@
         self.time = instant
 
 
-class Bed:
-    """A daemon's parts: a real entry whose calls the test answers."""
+class DaemonStub:
+    """Stub of a daemon with a real entry; the test answers its calls."""
 
     def __init__(self):
         self.root = build_root()
         self.root._running = True
-        self.taken = []
+        self.received = []
         self.server = HttpServer(
-            self.root.poller, HttpLimits(), self.taken.append, 'entry'
+            self.root.poller, HttpLimits(), self.received.append, 'entry'
         ).register(self.root)
         self.address = self.server.listen(Address('127.0.0.1', 0))
-        self.scheduler = SteppedClock()
+        self.scheduler = ManualScheduler()
         self.ended = False
         self.left = False
         idle = SimpleNamespace(is_idle=lambda: True, open_calls=())
@@ -76,7 +75,7 @@
         self.loop = SimpleNamespace(stop=self.end)
 
     def drain(self) -> None:
-        """Have no gate to drain."""
+        """Do nothing: there is no gate."""
 
     def leave(self) -> None:
         self.left = True
@@ -84,61 +83,61 @@
     def end(self) -> None:
         self.ended = True
 
-    def run_until_it_leaves(self) -> None:
-        """Stop right after the look that found nothing in flight."""
+    def run_until_left(self) -> None:
+        """Run until the idle check has passed and the instance has left."""
         while not self.left:
             self.scheduler.run_until(self.scheduler.time + 0.01)
 
     def connect(self) -> socket.socket:
         caller = socket.create_connection(tuple(self.address))
-        self.turn()
+        self.run_loop()
         return caller
 
-    def turn(self) -> None:
+    def run_loop(self) -> None:
         for _ in range(5):
             self.root.tick(0.01)
 
     def ask(self, caller: socket.socket) -> None:
         caller.sendall(b'GET /p HTTP/1.1\r\nHost: prices\r\n\r\n')
-        self.turn()
-
-
-def test_no_request_is_taken_between_the_last_look_and_the_end():
-    bed = Bed()
-    caller = bed.connect()
-    OrderlyStop(bed).begin()
-    bed.run_until_it_leaves()
-    bed.ask(caller)
-    bed.scheduler.run_until(GRACE)
-    assert bed.ended
-    # It was not read, so its caller may send it again wherever it likes.
-    assert bed.taken == []
+        self.run_loop()
+
+
+def test_no_request_is_accepted_between_the_idle_check_and_the_end():
+    daemon = DaemonStub()
+    caller = daemon.connect()
+    GracefulShutdown(daemon).begin()
+    daemon.run_until_left()
+    daemon.ask(caller)
+    daemon.scheduler.run_until(GRACE)
+    assert daemon.ended
+    # The request was not read, so its caller may retry it anywhere.
+    assert daemon.received == []
     caller.settimeout(1.0)
-    bed.turn()
+    daemon.run_loop()
     assert caller.recv(100) == b''
 
 
-def test_a_request_on_a_kept_connection_is_answered_before_the_end():
-    bed = Bed()
-    caller = bed.connect()
-    OrderlyStop(bed).begin()
-    bed.scheduler.run_until(FAREWELL + 0.5 * IDLE_CHECK_SECONDS)
-    bed.ask(caller)
-    bed.scheduler.run_until(FAREWELL + 1.0)
-    assert not bed.ended
-    bed.taken[0].respond(200, [], b'fine')
-    bed.turn()
-    bed.scheduler.run_until(FAREWELL + 2.0)
-    assert bed.ended
+def test_request_on_a_persistent_connection_is_answered():
+    daemon = DaemonStub()
+    caller = daemon.connect()
+    GracefulShutdown(daemon).begin()
+    daemon.scheduler.run_until(FAREWELL + 0.5 * IDLE_CHECK_SECONDS)
+    daemon.ask(caller)
+    daemon.scheduler.run_until(FAREWELL + 1.0)
+    assert not daemon.ended
+    daemon.received[0].respond(200, [], b'fine')
+    daemon.run_loop()
+    daemon.scheduler.run_until(FAREWELL + 2.0)
+    assert daemon.ended
     assert b'fine' in caller.recv(1000)
 
 
-def test_a_call_that_never_ends_does_not_outlast_the_grace_time():
-    bed = Bed()
-    caller = bed.connect()
-    OrderlyStop(bed).begin()
-    bed.ask(caller)
-    bed.scheduler.run_until(GRACE - 0.1)
-    assert not bed.ended
-    bed.scheduler.run_until(GRACE + 3 * IDLE_CHECK_SECONDS)
-    assert bed.ended
+def test_hanging_call_does_not_exceed_the_grace_time():
+    daemon = DaemonStub()
+    caller = daemon.connect()
+    GracefulShutdown(daemon).begin()
+    daemon.ask(caller)
+    daemon.scheduler.run_until(GRACE - 0.1)
+    assert not daemon.ended
+    daemon.scheduler.run_until(GRACE + 3 * IDLE_CHECK_SECONDS)
+    assert daemon.ended
--- a/tests/runtime/test_late_calls.py
+++ b/tests/runtime/test_late_calls.py
@@ -1,7 +1,7 @@
-"""A gate and calls that were long on their way.
+"""A gate and calls that were delayed in transit.
 
-The load: bodies fill the link of a gate's instance, and calls behind them
-arrive when their callers have already given up.
+Bodies saturate the link of a gate's instance, so calls behind them arrive
+after their deadlines.
 """
 
 import pytest
@@ -9,20 +9,20 @@
 from cyclamenlift.core.clock import seconds_since_boot
 from cyclamenlift.core.codes import ResultCode
 from cyclamenlift.gate.tasks import Gate
-from cyclamenlift.runtime.local import local_pair
+from cyclamenlift.runtime.local_link import local_link_pair
 from cyclamenlift.wire.gen.protocol.ttypes import BodyChunk
 from cyclamenlift.wire.gen.protocol.ttypes import CallStart
 from cyclamenlift.wire.gen.protocol.ttypes import Credit
 from cyclamenlift.wire.gen.protocol.ttypes import Hello
 from cyclamenlift.wire.gen.protocol.ttypes import Refused
 from cyclamenlift.wire.gen.protocol.ttypes import TargetState
-from tests.runtime.builders import quiet_scheduler
+from tests.runtime.builders import null_scheduler
 
 MICROSECONDS = 1_000_000
 
 
-class IdleClient:
-    """A target connection that keeps what it was asked to send."""
+class RecordingClient:
+    """A target client that records requests."""
 
     def __init__(self):
         self.requests = []
@@ -34,18 +34,18 @@
     pending = 0
 
     def send_body(self, _data, _last) -> None:
-        """Take a body that never matters here."""
+        """Ignore the body."""
 
 
 @pytest.fixture
 def gate():
-    made = Gate(quiet_scheduler(), IdleClient(), 'prices', 4)
+    made = Gate(null_scheduler(), RecordingClient(), 'prices', 4)
     made.set_target_state(TargetState.READY)
     return made
 
 
 def start(number: int, age: float, left: float, **fields) -> CallStart:
-    """Return a call that was sent ``age`` seconds ago."""
+    """Return a call sent ``age`` seconds ago with ``left`` seconds left."""
     return CallStart(
         call_id=number,
         service_name='prices',
@@ -62,8 +62,8 @@
     )
 
 
-def test_a_call_that_comes_after_its_deadline_is_not_run(gate):
-    entry_end, gate_end = local_pair(iter(range(1, 9)))
+def test_call_arriving_after_its_deadline_is_not_run(gate):
+    entry_end, gate_end = local_link_pair(iter(range(1, 9)))
     refused = []
     entry_end.subscribe(
         Refused, lambda _link, message: refused.append(message)
@@ -76,8 +76,8 @@
     assert len(gate.client.requests) == 1
 
 
-def test_a_target_is_told_the_time_that_is_left_after_the_way(gate):
-    _entry_end, gate_end = local_pair(iter(range(1, 9)))
+def test_time_sent_to_the_target_excludes_the_transit(gate):
+    _entry_end, gate_end = local_link_pair(iter(range(1, 9)))
     gate.on_call_start(gate_end, start(1, age=0.0, left=5.0))
     gate.on_call_start(gate_end, start(2, age=2.0, left=5.0))
     told = [
@@ -87,8 +87,8 @@
     assert told == pytest.approx([5000, 3000], abs=100)
 
 
-def test_a_gate_tells_how_long_the_bodies_on_their_way_take(gate):
-    entry_end, gate_end = local_pair(iter(range(1, 9)))
+def test_gate_reports_the_transfer_time_of_pending_bodies(gate):
+    entry_end, gate_end = local_link_pair(iter(range(1, 9)))
     entry_end.subscribe(Credit, lambda _link, _message: None)
     gate.link_rate = 500_000.0
     upload = start(1, age=0.0, left=5.0)
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -1,4 +1,4 @@
-"""What a daemon may load: memory and start time are dear beside a target."""
+"""Limits the imports of a daemon, for its memory use and start time."""
 
 import pathlib
 import subprocess
@@ -8,8 +8,8 @@
 
 ROOT = pathlib.Path(__file__).parents[1]
 
-# Libraries and standard modules that cost megabytes or a tenth of a second
-# and that no call needs. They come with the first page or metric.
+# Modules that take megabytes or a tenth of a second to import and that no call
+# needs. The first request for an admin page or metrics imports them.
 UNWANTED = {
     '_hashlib',
     'asyncio',
@@ -39,12 +39,12 @@
 }
 SCRIPT = """
 import importlib, sys
-from cyclamenlift.lean import load_lean
-load_lean()
+from cyclamenlift.lazy_imports import install_lazy_imports
+install_lazy_imports()
 import cyclamenlift.platform.programs
 for name in sys.argv[1:]:
     importlib.import_module(name)
-# A module that waits for its first use has no file yet.
+# A lazy module that is not loaded yet has no file.
 for name, module in list(sys.modules.items()):
     held = getattr(module, '__dict__', {})
     if held.get('__spec__') or held.get('__file__'):
@@ -54,9 +54,9 @@
 CONTROL = ('cyclamenlift.runtime.control', 'cyclamenlift.platform.operators')
 
 
-def loaded(*modules: str) -> set[str]:
-    """Return the modules that a process with these has loaded."""
-    # -S leaves out what the packages of this machine load at each start.
+def loaded_modules(*modules: str) -> set[str]:
+    """Return the modules loaded in a process that imports ``modules``."""
+    # -S skips modules that installed packages load at each start.
     command = [sys.executable, '-S', '-c', SCRIPT, *modules]
     path = ':'.join([str(ROOT), *(p for p in sys.path if p)])
     done = subprocess.run(
@@ -69,18 +69,18 @@
     return set(done.stdout.split())
 
 
-def test_a_daemon_loads_nothing_that_it_does_not_use():
-    assert not UNWANTED & loaded(*DAEMON)
+def test_daemon_imports_no_unwanted_module():
+    assert not UNWANTED & loaded_modules(*DAEMON)
 
 
-def test_a_control_instance_loads_nothing_that_it_does_not_use():
-    assert not UNWANTED & loaded(*CONTROL)
+def test_control_instance_imports_no_unwanted_module():
+    assert not UNWANTED & loaded_modules(*CONTROL)
 
 
 def test_a_lazy_function_works_when_it_is_called():
     script = (
-        'from cyclamenlift.lean import load_lean\n'
-        'load_lean()\n'
+        'from cyclamenlift.lazy_imports import install_lazy_imports\n'
+        'install_lazy_imports()\n'
         'from pickle import PicklingError\n'
         'from importlib.metadata import version\n'
         'print(type(PicklingError()).__module__, version("pydantic"))\n'
@@ -97,6 +97,6 @@
     assert found == pydantic.VERSION
 
 
-def test_the_lean_packages_still_offer_their_names():
-    found = loaded('circuits.web.controllers')
+def test_partial_packages_still_export_their_names():
+    found = loaded_modules('circuits.web.controllers')
     assert 'circuits.web.controllers' in found
--- a/tests/test_no_fitting.py
+++ b/tests/test_no_fitting.py
@@ -1,7 +1,7 @@
-"""Nothing that decides may depend on where it runs.
+"""Decision logic must not depend on a particular deployment.
 
-Deployments, their services, data centres and days have names on the users'
-sheets. A rule that knows one of them is fitted to it.
+A rule that contains the name of a user's deployment, service, data centre or
+scenario is overfitted to it.
 """
 
 import pathlib
@@ -43,7 +43,7 @@
     'quito',
     'cumbaya',
     'carapungo',
-    # kinds of request and days
+    # request types and scenarios
     'price-lookup',
     'menu-lookup',
     'order-place',
@@ -63,5 +63,5 @@
 @pytest.mark.parametrize(
     'path', sources(), ids=lambda path: str(path.relative_to(PACKAGE))
 )
-def test_no_rule_names_a_deployment_or_what_is_in_it(path):
+def test_no_rule_contains_a_name_from_a_deployment(path):
     assert NAME.findall(path.read_text()) == []
