--- a/cyclamenlift/membership/budget.py
+++ b/cyclamenlift/membership/budget.py
@@ -11,7 +11,7 @@
 # the bytes go into requests that no member can answer.
 PULL_RESERVE = 1_500
 MIN_ANSWER_BYTES = 400
-CREDIT_BYTES = 20_000
+MAX_OVERDRAFT_BYTES = 20_000
 
 
 class ByteBudget:
@@ -33,8 +33,8 @@
     def available(self, now: float) -> int:
         """Return the number of bytes that may be sent now."""
         if now > self.filled_at:
-            grown = self.tokens + (now - self.filled_at) * self.rate
-            self.tokens = min(self.burst, grown)
+            refilled = self.tokens + (now - self.filled_at) * self.rate
+            self.tokens = min(self.burst, refilled)
             self.filled_at = now
         return max(0, int(self.tokens))
 
@@ -45,16 +45,18 @@
     def answer_allowance(self, now: float, newcomer: bool) -> int:
         """Return the bytes of records that an answer to a pull may contain.
 
-        A newcomer gets a short answer even on credit, because it knows no
-        other member to ask.
+        A newcomer gets a short answer even while the budget is overdrawn,
+        because it knows no other member to ask.
         """
         available_bytes = self.available(now)
         if not newcomer or available_bytes > REFERRAL_SHARE * self.burst:
             return (
                 available_bytes if available_bytes >= MIN_ANSWER_BYTES else 0
             )
-        return REFERRAL_BYTES if self.tokens > -CREDIT_BYTES else 0
+        return REFERRAL_BYTES if self.tokens > -MAX_OVERDRAFT_BYTES else 0
 
     def spend(self, size: int) -> None:
         """Charge a sent packet of ``size`` payload bytes."""
-        self.tokens = max(-CREDIT_BYTES, self.tokens - size - IP_UDP_BYTES)
+        self.tokens = max(
+            -MAX_OVERDRAFT_BYTES, self.tokens - size - IP_UDP_BYTES
+        )
--- a/cyclamenlift/membership/digests.py
+++ b/cyclamenlift/membership/digests.py
@@ -18,30 +18,30 @@
 DIGITS = 4
 MASK = 0xFFFF
 DIGESTS_SIZE = BUCKETS * DIGITS
-MAX_MARKS_SIZE = 240
+MAX_FINGERPRINTS_SIZE = 240
 
 
-def short_mark(mark: int) -> str:
-    """Return the low bits of a fingerprint as hexadecimal text.
+def short_hash(value: int) -> str:
+    """Return the low bits of a fingerprint or digest as hexadecimal text.
 
-    >>> short_mark(0x1234ABCD)
+    >>> short_hash(0x1234ABCD)
     'abcd'
     """
-    return f'{mark & MASK:0{DIGITS}x}'
+    return f'{value & MASK:0{DIGITS}x}'
 
 
-def split_marks(text: str) -> list[str]:
-    """Split a text into its short fingerprints."""
+def split_hashes(text: str) -> list[str]:
+    """Split a text into its short hashes."""
     return [text[i : i + DIGITS] for i in range(0, len(text), DIGITS)]
 
 
 def encode_digests(table: MemberTable) -> str:
     """Return the short digests of all buckets."""
-    return ''.join(short_mark(mark) for mark in table.marks)
+    return ''.join(short_hash(digest) for digest in table.bucket_digests)
 
 
-def encode_marks(table: MemberTable, rng: random.Random) -> str:
-    """Return the fingerprints of as many buckets as fit.
+def encode_fingerprints(table: MemberTable, rng: random.Random) -> str:
+    """Return the short fingerprints of as many buckets as fit.
 
     Starts at a random bucket.
     """
@@ -49,18 +49,20 @@
     parts: list[str] = []
     size = 0
     for number in range(start, start + BUCKETS):
-        part = bucket_marks(table, number % BUCKETS)
+        part = bucket_fingerprints(table, number % BUCKETS)
         size += len(part) + 1
-        if parts and size > MAX_MARKS_SIZE:
+        if parts and size > MAX_FINGERPRINTS_SIZE:
             break
         parts.append(part)
     return ','.join(parts)
 
 
-def bucket_marks(table: MemberTable, number: int) -> str:
+def bucket_fingerprints(table: MemberTable, number: int) -> str:
     entries = table.buckets[number].values()
-    marks = ''.join(short_mark(e.mark) for e in entries if is_live(e.record))
-    return f'{number}:{marks}'
+    hashes = ''.join(
+        short_hash(e.fingerprint) for e in entries if is_live(e.record)
+    )
+    return f'{number}:{hashes}'
 
 
 def select_entries(
@@ -76,7 +78,7 @@
         return missing_entries(table, text)
     if len(text) != DIGESTS_SIZE:
         return []
-    return differing_entries(table, split_marks(text), rng)
+    return differing_entries(table, split_hashes(text), rng)
 
 
 def all_live_entries(table: MemberTable, rng: random.Random) -> list[Entry]:
@@ -90,7 +92,9 @@
 ) -> list[Entry]:
     """Return all entries of differing buckets, tombstones included."""
     numbers = [
-        n for n in range(BUCKETS) if digests[n] != short_mark(table.marks[n])
+        n
+        for n in range(BUCKETS)
+        if digests[n] != short_hash(table.bucket_digests[n])
     ]
     rng.shuffle(numbers)
     return [e for n in numbers for e in table.buckets[n].values()]
@@ -100,12 +104,12 @@
     """Return entries missing from a list, and listed ones that are gone."""
     result = []
     for part in text.split(','):
-        name, _, marks = part.partition(':')
+        name, _, hashes = part.partition(':')
         if not name.isdecimal() or int(name) >= BUCKETS:
             continue
-        known = set(split_marks(marks))
+        known = set(split_hashes(hashes))
         for entry in table.buckets[int(name)].values():
-            listed = short_mark(fingerprint(entry.record)) in known
+            listed = short_hash(fingerprint(entry.record)) in known
             if listed != is_live(entry.record):
                 result.append(entry)
     return result
--- a/cyclamenlift/membership/period_round.py
+++ b/cyclamenlift/membership/period_round.py
@@ -46,7 +46,7 @@
         gap = now - self.last_at
         self.last_at = now
         if gap > STALL_PERIODS * self.state.settings.period:
-            self.state.prober.waiting.clear()
+            self.state.prober.pending_probes.clear()
             self.state.liveness.postpone(gap)
 
     def follow_up(self, probe: Probe, now: float) -> list[Outgoing]:
@@ -132,8 +132,8 @@
         """
         state = self.state
         receiver = state.receiver
-        enough = 1 if receiver.transferring else PULL_MISMATCHES
-        if receiver.mismatches < enough or not state.budget.may_pull(now):
+        threshold = 1 if receiver.transferring else PULL_MISMATCHES
+        if receiver.mismatches < threshold or not state.budget.may_pull(now):
             return []
         receiver.mismatches = 0
         addresses = [receiver.differing_address]
--- a/cyclamenlift/membership/probing.py
+++ b/cyclamenlift/membership/probing.py
@@ -64,7 +64,7 @@
     def __init__(self, rng: random.Random) -> None:
         self.round = ProbeRound(rng)
         self.sequence = rng.getrandbits(32)
-        self.waiting: dict[int, Probe] = {}
+        self.pending_probes: dict[int, Probe] = {}
         self.relays: dict[int, Relay] = {}
 
     def next_sequence(self) -> int:
@@ -75,19 +75,19 @@
         """Register a probe that is about to be sent."""
         number = self.next_sequence()
         probe = Probe(instance, incarnation, number, Stage.DIRECT, fresh)
-        self.waiting[number] = probe
+        self.pending_probes[number] = probe
         return probe
 
     def complete(self, sequence: int) -> Probe | None:
         """Complete and return a probe, None if it is no longer pending."""
-        return self.waiting.pop(sequence, None)
+        return self.pending_probes.pop(sequence, None)
 
     def pending(self) -> list[Probe]:
         """Return the pending probes of earlier periods."""
-        return list(self.waiting.values())
+        return list(self.pending_probes.values())
 
     def give_up(self, probe: Probe) -> None:
-        del self.waiting[probe.sequence]
+        del self.pending_probes[probe.sequence]
 
     def relay(
         self, address: str, sequence: int, subject: str, deadline: float
--- a/cyclamenlift/membership/state.py
+++ b/cyclamenlift/membership/state.py
@@ -13,7 +13,7 @@
 from cyclamenlift.membership.budget import BYTES_PER_PERIOD
 from cyclamenlift.membership.contacts import Contacts
 from cyclamenlift.membership.digests import encode_digests
-from cyclamenlift.membership.digests import encode_marks
+from cyclamenlift.membership.digests import encode_fingerprints
 from cyclamenlift.membership.dissemination import DisseminationQueue
 from cyclamenlift.membership.joining import INTRODUCE_FANOUT
 from cyclamenlift.membership.joining import Introductions
@@ -198,8 +198,8 @@
         accepted = self.liveness.consider(record, now)
         if accepted is None:
             return False
-        fresh = spread or self.table.get(record.instance) is not None
-        self.store(accepted, now, fresh)
+        must_spread = spread or self.table.get(record.instance) is not None
+        self.store(accepted, now, must_spread)
         return True
 
     def refute(self, record: MemberRecord, now: float) -> bool:
@@ -265,7 +265,7 @@
             GossipKind.JOIN, self.prober.next_sequence()
         )
         if self.receiver.transferring:
-            packet.subject = encode_marks(self.table, self.rng)
+            packet.subject = encode_fingerprints(self.table, self.rng)
         elif len(self.table) > 1:
             packet.subject = encode_digests(self.table)
         return self.packet_builder.finish(
--- a/cyclamenlift/membership/table.py
+++ b/cyclamenlift/membership/table.py
@@ -29,7 +29,7 @@
 
     record: MemberRecord
     size: int
-    mark: int
+    fingerprint: int
     expires_at: float | None = None
 
 
@@ -39,7 +39,7 @@
     def __init__(self) -> None:
         self.entries: dict[str, Entry] = {}
         self.buckets: list[dict[str, Entry]] = [{} for _ in range(BUCKETS)]
-        self.marks = [0] * BUCKETS
+        self.bucket_digests = [0] * BUCKETS
         self.digest = 0
         self.counts = dict.fromkeys(MemberState, 0)
 
@@ -56,13 +56,13 @@
     ) -> None:
         """Store a record; a tombstone may be removed at ``expires_at``."""
         self.remove(record.instance)
-        mark = fingerprint(record) if is_live(record) else 0
-        entry = Entry(record, encoded_size(record), mark, expires_at)
+        value = fingerprint(record) if is_live(record) else 0
+        entry = Entry(record, encoded_size(record), value, expires_at)
         number = bucket_of(record.instance)
         self.entries[record.instance] = entry
         self.buckets[number][record.instance] = entry
         self.counts[record.state] += 1
-        self.toggle_mark(number, mark)
+        self.toggle_fingerprint(number, value)
 
     def remove(self, instance: str) -> None:
         entry = self.entries.pop(instance, None)
@@ -71,11 +71,11 @@
         number = bucket_of(instance)
         del self.buckets[number][instance]
         self.counts[entry.record.state] -= 1
-        self.toggle_mark(number, entry.mark)
+        self.toggle_fingerprint(number, entry.fingerprint)
 
-    def toggle_mark(self, number: int, mark: int) -> None:
-        self.marks[number] ^= mark
-        self.digest ^= mark
+    def toggle_fingerprint(self, number: int, value: int) -> None:
+        self.bucket_digests[number] ^= value
+        self.digest ^= value
 
     def live(self) -> list[MemberRecord]:
         """Return the records of live members."""
--- a/cyclamenlift/membership/tasks.py
+++ b/cyclamenlift/membership/tasks.py
@@ -124,7 +124,7 @@
         self.dispatch(self.state.join(clock.now()))
         for seconds in self.join_steps:
             self.loop.scheduler.after(seconds, self.run_join_step)
-        self.plan_period()
+        self.schedule_period()
         return address
 
     def stop(self) -> None:
@@ -176,7 +176,7 @@
 
     # -- loop -------------------------------------------------------------
 
-    def plan_period(self) -> None:
+    def schedule_period(self) -> None:
         """Schedule the next period, with jitter to desynchronize members."""
         factor = self.rng.uniform(1 - JITTER, 1 + JITTER)
         self.timer = self.loop.scheduler.after(
@@ -190,7 +190,7 @@
             self.dispatch(self.state.join_step(now))
 
     def run_period(self) -> None:
-        self.plan_period()
+        self.schedule_period()
         self.dispatch(self.state.on_period(self.loop.scheduler.clock.now()))
 
     def on_poll_read(self, sock: socket.socket) -> None:
--- a/tests/membership/test_state.py
+++ b/tests/membership/test_state.py
@@ -143,7 +143,7 @@
     one.on_packet(packet('d', [record('b')]), 2.0)
     assert one.table.get('b').state == MemberState.DEAD
     for second in range(3, TOMBSTONE_PERIODS + 5):
-        one.prober.waiting.clear()
+        one.prober.pending_probes.clear()
         one.on_period(float(second))
     assert one.table.get('b') is None
 
@@ -156,7 +156,7 @@
     dead = [r for r in one.table.entries.values() if r.expires_at is not None]
     assert len(dead) == MAX_FAILING_SHARE * 10
     for second in range(2, 3 * TOMBSTONE_PERIODS):
-        one.prober.waiting.clear()
+        one.prober.pending_probes.clear()
         one.on_period(float(second))
     assert len(one.members()) == 10 - len(dead)
 
