--- a/cyclamenlift/ledger/finder.py
+++ b/cyclamenlift/ledger/finder.py
@@ -93,5 +93,5 @@
             index = self.rng.randrange(len(self.control))
         in_turn = self.control[index:] + self.control[:index]
         others = [a for a in in_turn if a != tried] or in_turn
-        fresh = [a for a in others if a not in asked_in_round] or others
-        return next(filter(is_established, fresh), fresh[0])
+        candidates = [a for a in others if a not in asked_in_round] or others
+        return next(filter(is_established, candidates), candidates[0])
--- a/cyclamenlift/ledger/state.py
+++ b/cyclamenlift/ledger/state.py
@@ -1,4 +1,4 @@
-"""The claim ledger: a deterministic state machine, one run for each key.
+"""The claim ledger, a deterministic state machine: at most one run per key.
 
 Every control instance applies the same log, so every decision depends on
 the log alone and not on settings or the local clock. Ledger time is the
--- a/cyclamenlift/ledger/tasks.py
+++ b/cyclamenlift/ledger/tasks.py
@@ -23,7 +23,7 @@
 from cyclamenlift.wire.network import PeerNetwork
 
 CLAIM_TIMEOUT_SECONDS = 1.0
-MAX_RELEASES = 1_000
+MAX_PENDING_RELEASES = 1_000
 RELEASE_SECONDS = 30.0
 LOG = structlog.get_logger('ledger')
 
@@ -52,7 +52,7 @@
         finder = LeaderFinder(control, rng)
         super().__init__(root, network, finder, channel='claims')
         self.claim_timeout_seconds = claim_timeout_seconds
-        self.releases = 0
+        self.pending_releases = 0
         network.subscribe(ClaimAnswer, self.on_claim_answer)
         network.subscribe(ClaimEndAnswer, self.on_end_answer)
 
@@ -108,9 +108,9 @@
         The number of pending releases is limited, so that no backlog grows
         during an outage.
         """
-        if self.releases >= MAX_RELEASES:
+        if self.pending_releases >= MAX_PENDING_RELEASES:
             return
-        self.releases += 1
+        self.pending_releases += 1
         ending = ClaimEnd(
             service_name=request.service_name,
             key=request.key,
@@ -122,7 +122,7 @@
         self.end(ending, deadline, self.on_release_finished)
 
     def on_release_finished(self, released: bool) -> None:
-        self.releases -= 1
+        self.pending_releases -= 1
         if not released:
             LOG.warning('claim_not_released')
 
@@ -134,7 +134,7 @@
         if pending is None or not is_claim(pending):
             return
         if answer.verdict == ClaimVerdict.NOT_LEADER:
-            self.refused(pending, link, answer.leader)
+            self.on_refused(pending, link, answer.leader)
         elif answer.verdict == ClaimVerdict.NO_MAJORITY:
             self.on_no_quorum(pending, link)
         else:
@@ -168,9 +168,11 @@
                 self.finder.note_leader(link.address)
             self.finish(pending, bool(answer.committed))
             return
-        self.refused(pending, link, answer.leader)
+        self.on_refused(pending, link, answer.leader)
 
-    def refused(self, pending: LeaderRequest, link: Link, hint: str) -> None:
+    def on_refused(
+        self, pending: LeaderRequest, link: Link, hint: str
+    ) -> None:
         """Ask the next instance, following a leader hint if there is one."""
         hinted = self.finder.address_by_name(hint or '')
         self.on_not_leader(pending, link, hinted)
--- a/cyclamenlift/replication/commits.py
+++ b/cyclamenlift/replication/commits.py
@@ -57,8 +57,11 @@
     entries = state.log.between(state.commit_index, index)
     state.commit_index = index
     state.outbox.add(Apply(tuple(entries)))
-    grown = index - state.snapshot_index
-    if grown >= state.limits.snapshot_entries and not state.snapshot_writes:
+    entries_since_snapshot = index - state.snapshot_index
+    if (
+        entries_since_snapshot >= state.limits.snapshot_entries
+        and not state.snapshot_writes
+    ):
         state.outbox.add(TakeSnapshot(index))
 
 
--- a/cyclamenlift/replication/effect_handlers.py
+++ b/cyclamenlift/replication/effect_handlers.py
@@ -39,7 +39,7 @@
                 entry.index, entry.stamp_unix_ms, entry.command
             )
         replica.applied_index = entry.index
-        replica.waiting.finish_entry(entry, answer)
+        replica.pending.finish_entry(entry, answer)
 
 
 @EFFECT_HANDLERS.register('TakeSnapshot')
@@ -61,10 +61,10 @@
 
 @EFFECT_HANDLERS.register('ReadReady')
 def finish_read(replica: 'Replica', effect: ReadReady) -> None:
-    replica.waiting.finish_read(effect.token, effect.index)
+    replica.pending.finish_read(effect.token, effect.index)
 
 
 @EFFECT_HANDLERS.register('LeadershipLost')
 def lose_leadership(replica: 'Replica', _effect: LeadershipLost) -> None:
     LOG.info('leadership_lost', term=replica.state.term)
-    replica.waiting.fail_all(replica.not_leader())
+    replica.pending.fail_all(replica.not_leader())
--- a/cyclamenlift/replication/installing.py
+++ b/cyclamenlift/replication/installing.py
@@ -24,7 +24,7 @@
         state.incoming = None
         state.outbox.send_synced(sender, make_answer(state, chunk, 0, True))
         return
-    incoming = take_chunk(state, chunk)
+    incoming = store_chunk(state, chunk)
     installed = False
     if chunk.last and incoming.complete:
         installed = install(state, b''.join(incoming.chunks), chunk)
@@ -34,7 +34,7 @@
     state.outbox.send_synced(sender, answer)
 
 
-def take_chunk(state: ReplicaState, chunk: SnapshotChunk) -> IncomingSnapshot:
+def store_chunk(state: ReplicaState, chunk: SnapshotChunk) -> IncomingSnapshot:
     """Store the next chunk in order and ignore any other."""
     incoming = state.incoming
     known = incoming is not None and (
--- a/cyclamenlift/replication/leading.py
+++ b/cyclamenlift/replication/leading.py
@@ -41,12 +41,12 @@
         },
     )
     if state.voters.latest is None:
-        founding = Configuration(
+        initial = Configuration(
             0,
             dict(votes),
             addresses={n: a for n, a in state.addresses.items() if n in votes},
         )
-        state.append_configuration(founding)
+        state.append_configuration(initial)
     else:
         state.append([state.make_entry(KIND_NO_OP, b'')])
     start_round(state, now)
--- a/cyclamenlift/replication/pending_operations.py
+++ b/cyclamenlift/replication/pending_operations.py
@@ -82,8 +82,8 @@
         """Fail all operations; appended entries may still be committed."""
         unknown = Failure(Problem(ResultCode.CHANGE_UNKNOWN))
         appended, self.appended = self.appended, {}
-        for waiting in appended.values():
-            waiting.done(unknown)
+        for operation in appended.values():
+            operation.done(unknown)
         reads, self.reads = self.reads, {}
         for done in reads.values():
             done(Failure(problem))
--- a/cyclamenlift/replication/reads.py
+++ b/cyclamenlift/replication/reads.py
@@ -54,10 +54,10 @@
     if not leadership.reads or state.commit_index < leadership.start_index:
         return
     confirmed = confirmed_round(state)
-    waiting = []
+    unconfirmed = []
     for read in leadership.reads:
         if 0 < read.round_id <= confirmed:
             state.outbox.add(ReadReady(read.token, state.commit_index))
         else:
-            waiting.append(read)
-    leadership.reads = waiting
+            unconfirmed.append(read)
+    leadership.reads = unconfirmed
--- a/cyclamenlift/replication/sending.py
+++ b/cyclamenlift/replication/sending.py
@@ -73,16 +73,16 @@
     if progress.transfer is None:
         snapshot = state.snapshot
         progress.transfer = Transfer(snapshot, snapshot.encode())
-    sending = progress.transfer
-    end = sending.offset + state.limits.chunk_bytes
+    snapshot_transfer = progress.transfer
+    end = snapshot_transfer.offset + state.limits.chunk_bytes
     chunk = SnapshotChunk(
         term=state.term,
         leader=state.instance,
-        last_index=sending.snapshot.index,
-        last_term=sending.snapshot.term,
-        offset=sending.offset,
-        data=sending.payload[sending.offset : end],
-        last=end >= len(sending.payload),
+        last_index=snapshot_transfer.snapshot.index,
+        last_term=snapshot_transfer.snapshot.term,
+        offset=snapshot_transfer.offset,
+        data=snapshot_transfer.payload[snapshot_transfer.offset : end],
+        last=end >= len(snapshot_transfer.payload),
         round_id=state.leadership.round_id,
     )
     progress.retry_at = now + state.limits.election / 2
--- a/cyclamenlift/replication/state.py
+++ b/cyclamenlift/replication/state.py
@@ -235,12 +235,12 @@
         if not self.restarted_with_log:
             return
         names = sorted({self.instance, *self.peers})
-        place = (
+        position = (
             names.index(self.instance)
             + SLOT_RANDOM_FRACTION * self.rng.random()
         )
         wait = self.limits.election * RESTART_ELECTION_FRACTION
-        self.election_deadline = now + wait * (1.0 + place / len(names))
+        self.election_deadline = now + wait * (1.0 + position / len(names))
 
     def persist_term(self) -> int:
         """Persist term and vote; return the write's ticket."""
--- a/cyclamenlift/replication/tasks.py
+++ b/cyclamenlift/replication/tasks.py
@@ -93,7 +93,7 @@
         self.handling = False
         self.flush_scheduled = False
         self.disk_stalled = False
-        self.waiting = PendingOperations()
+        self.pending = PendingOperations()
         self.initial_machine_state = b''
         self.reported_leader = ''
         # Called with the name of each new leader, '' if there is none.
@@ -131,7 +131,9 @@
 
     def initial_addresses(self) -> dict[str, str]:
         settings = self.settings
-        found = {name: str(place) for name, place in settings.peers.items()}
+        found = {
+            name: str(address) for name, address in settings.peers.items()
+        }
         if settings.own_address:
             found[settings.instance] = settings.own_address
         return found
@@ -193,7 +195,7 @@
         self.active = False
         self.sync.stop()
         self.sync = None
-        self.waiting.fail_all(self.not_leader())
+        self.pending.fail_all(self.not_leader())
 
     def propose(self, command: bytes, done: ProposalDone) -> None:
         """Append a command; ``done`` gets the state machine's answer.
@@ -208,7 +210,7 @@
             problem = Problem(ResultCode.BODY_TOO_LARGE, detail)
             self.call_soon(lambda: done(Failure(problem)))
             return
-        self.waiting.queue.append(Proposal(command, done))
+        self.pending.queue.append(Proposal(command, done))
         self.schedule_flush()
 
     def read_barrier(self, done: ReadDone) -> None:
@@ -221,7 +223,7 @@
             problem = self.not_leader()
             self.call_soon(lambda: done(Failure(problem)))
             return
-        token = self.waiting.add_read(done)
+        token = self.pending.add_read(done)
         request_read(self.state, token, self.now())
         self.call_soon(self.handle_effects)
 
@@ -236,13 +238,15 @@
             problem = self.not_leader()
             self.call_soon(lambda: done(Failure(problem)))
             return
-        asked = replace_storage(self.state, instance, storage_id, self.now())
-        if isinstance(asked, Failure):
-            self.call_soon(lambda: done(asked))
+        appended = replace_storage(
+            self.state, instance, storage_id, self.now()
+        )
+        if isinstance(appended, Failure):
+            self.call_soon(lambda: done(appended))
             return
-        index = asked.unwrap()
+        index = appended.unwrap()
         if index:
-            self.waiting.record_appended(index, self.state.term, done)
+            self.pending.record_appended(index, self.state.term, done)
         else:
             self.call_soon(lambda: done(Success(b'')))
         self.call_soon(self.handle_effects)
@@ -313,7 +317,7 @@
         """Stop taking part, since state or storage may be inconsistent."""
         LOG.error('replica_halted', code=int(problem.code), why=problem.line())
         self.active = False
-        self.waiting.fail_all(self.not_leader())
+        self.pending.fail_all(self.not_leader())
 
     def schedule_reopen(self) -> None:
         self.loop.scheduler.after(REOPEN_SECONDS, self.reopen)
@@ -369,14 +373,14 @@
 
     def flush(self) -> None:
         """Append queued proposals, one batch per local sync."""
-        if not self.waiting.queue:
+        if not self.pending.queue:
             return
         if not self.leads:
-            self.waiting.fail_queue(self.not_leader())
+            self.pending.fail_queue(self.not_leader())
             return
         if not self.state.outbox.is_synced:
             return
-        batch = self.waiting.take_batch(self.state.limits.batch_entries)
+        batch = self.pending.take_batch(self.state.limits.batch_entries)
         first = append_commands(
             self.state,
             [proposal.command for proposal in batch],
@@ -384,7 +388,7 @@
             self.now(),
         )
         for index, proposal in enumerate(batch, start=first):
-            self.waiting.record_appended(index, self.state.term, proposal.done)
+            self.pending.record_appended(index, self.state.term, proposal.done)
         self.handle_effects()
 
     def not_leader(self) -> Problem:
--- a/cyclamenlift/replication/voters.py
+++ b/cyclamenlift/replication/voters.py
@@ -165,7 +165,7 @@
         )
 
     def has_quorum(self, present: Mapping[str, str]) -> bool:
-        """Return whether ``present`` is a quorum in every active one."""
+        """Return whether ``present`` is a quorum of each active one."""
         active = self.active
         if not active:
             return self.can_bootstrap(present)
--- a/tests/ledger/test_tasks.py
+++ b/tests/ledger/test_tasks.py
@@ -5,7 +5,7 @@
 from cyclamenlift.core.streams import Address
 from cyclamenlift.ledger.leader_client import ANSWER_TIMEOUT_SECONDS
 from cyclamenlift.ledger.tasks import CLAIM_TIMEOUT_SECONDS
-from cyclamenlift.ledger.tasks import MAX_RELEASES
+from cyclamenlift.ledger.tasks import MAX_PENDING_RELEASES
 from cyclamenlift.ledger.tasks import RELEASE_SECONDS
 from cyclamenlift.wire.gen.protocol import ttypes
 from tests.ledger.builders import ClaimClientHarness
@@ -202,16 +202,16 @@
 
 def test_releases_during_an_outage_are_bounded_and_end():
     harness = ClaimClientHarness()
-    for number in range(MAX_RELEASES + 50):
+    for number in range(MAX_PENDING_RELEASES + 50):
         harness.claim(attempt=str(number))
     harness.clock.instant += CLAIM_TIMEOUT_SECONDS
     harness.root.scheduler.run_due()
-    assert len(harness.answers) == MAX_RELEASES + 50
-    assert len(harness.client.pending_requests) == MAX_RELEASES
+    assert len(harness.answers) == MAX_PENDING_RELEASES + 50
+    assert len(harness.client.pending_requests) == MAX_PENDING_RELEASES
     harness.clock.instant += RELEASE_SECONDS
     harness.root.scheduler.run_due()
     assert not harness.client.pending_requests
-    assert harness.client.releases == 0
+    assert harness.client.pending_releases == 0
 
 
 # An answer that names its sender as ``leader`` is a decision.
