--- a/cyclamenlift/conf/settings.py
+++ b/cyclamenlift/conf/settings.py
@@ -43,7 +43,7 @@
 
 
 def split_list(value) -> tuple[str, ...]:
-    """Accept ``a,b`` as well as a sequence, which fire makes of commas."""
+    """Split ``a,b``; the command-line library may have done so already."""
     if isinstance(value, str):
         return tuple(part.strip() for part in value.split(',') if part)
     return value
--- a/cyclamenlift/core/log_sink.py
+++ b/cyclamenlift/core/log_sink.py
@@ -48,16 +48,16 @@
     def flush(self) -> None:
         """Write buffered data as far as possible without blocking."""
         while self.buffer and self.is_writable():
-            piece = self.next_chunk()
+            chunk = self.next_chunk()
             try:
-                written = os.write(self.descriptor, piece)
+                written = os.write(self.descriptor, chunk)
             except OSError:
                 # The reader is gone, so the error can't be logged either.
                 self.discard_buffer()
                 return
             self.buffered_bytes -= written
-            if written < len(piece):
-                self.buffer.appendleft(piece[written:])
+            if written < len(chunk):
+                self.buffer.appendleft(chunk[written:])
         if self.dropped and not self.buffer:
             self.report_dropped()
 
@@ -67,15 +67,15 @@
 
     def next_chunk(self) -> bytes:
         """Remove and return lines that fit one write, or part of a line."""
-        piece = self.buffer.popleft()
-        while self.buffer and len(piece) + len(self.buffer[0]) <= (
+        chunk = self.buffer.popleft()
+        while self.buffer and len(chunk) + len(self.buffer[0]) <= (
             MAX_WRITE_BYTES
         ):
-            piece += self.buffer.popleft()
-        if len(piece) > MAX_WRITE_BYTES:
-            self.buffer.appendleft(piece[MAX_WRITE_BYTES:])
-            piece = piece[:MAX_WRITE_BYTES]
-        return piece
+            chunk += self.buffer.popleft()
+        if len(chunk) > MAX_WRITE_BYTES:
+            self.buffer.appendleft(chunk[MAX_WRITE_BYTES:])
+            chunk = chunk[:MAX_WRITE_BYTES]
+        return chunk
 
     def report_dropped(self) -> None:
         count, self.dropped = self.dropped, 0
--- a/cyclamenlift/core/metrics.py
+++ b/cyclamenlift/core/metrics.py
@@ -281,7 +281,10 @@
 
     def durations(self) -> dict[str, LatencyHistogram]:
         """Return the latency histograms of finished calls by service."""
-        return {name: f.duration for name, f in self.calls.items()}
+        return {
+            name: statistics.duration
+            for name, statistics in self.calls.items()
+        }
 
     def render_prometheus(self) -> bytes:
         """Return all metrics in the Prometheus text format."""
--- a/cyclamenlift/http/server.py
+++ b/cyclamenlift/http/server.py
@@ -20,22 +20,22 @@
 class HttpServer(StreamOwner):
     """Serves HTTP/1.1 with strict framing.
 
-    ``take(exchange)`` is called synchronously when the head of a request
-    has been read. Requests of one connection are handled in order.
+    ``handle_request(exchange)`` is called synchronously when the head of a
+    request has been read. Requests of one connection are handled in order.
     """
 
     def __init__(
         self,
         poller,
         limits: HttpLimits,
-        take: Callable[[Exchange], None],
+        handle_request: Callable[[Exchange], None],
         channel: str,
         dialect: Dialect = DEFAULT_DIALECT,
     ):
         super().__init__(poller, channel)
         self.limits = limits
         self.dialect = dialect
-        self.take = take
+        self.handle_request = handle_request
         self.draining = False
         self.closing = False
 
--- a/cyclamenlift/http/web.py
+++ b/cyclamenlift/http/web.py
@@ -66,7 +66,7 @@
 
     # -- requests ---------------------------------------------------------
 
-    def take(self, exchange: Exchange) -> None:
+    def handle_request(self, exchange: Exchange) -> None:
         """Read the body within the limit, then dispatch the request."""
         parts: list[bytes] = []
 
@@ -136,15 +136,15 @@
     # keeps the handlers of a base class without ``override=True``.
 
     @handler('request_success', override=True)
-    def _on_request_success(self, opened, value) -> None:
-        found = opened.value.getValue()
-        request = opened.args[0]
-        if isinstance(found, Deferred):
-            found.then(lambda answer: send_response(request.exchange, answer))
-        elif isinstance(found, WebResponse):
-            send_response(request.exchange, found)
+    def _on_request_success(self, completed_event, value) -> None:
+        result = completed_event.value.getValue()
+        request = completed_event.args[0]
+        if isinstance(result, Deferred):
+            result.then(lambda answer: send_response(request.exchange, answer))
+        elif isinstance(result, WebResponse):
+            send_response(request.exchange, result)
         else:
-            super()._on_request_success(opened, value)
+            super()._on_request_success(completed_event, value)
 
     @handler('response', override=True)
     def _on_response(self, response) -> None:
@@ -166,12 +166,12 @@
             return
         if event.error is not None:
             LOG.error('page_failed', path=request.path, error=event.traceback)
-        kind = CODE_BY_STATUS.get(status)
-        if kind is None:
-            kind = ResultCode.BAD_REQUEST
+        result_code = CODE_BY_STATUS.get(status)
+        if result_code is None:
+            result_code = ResultCode.BAD_REQUEST
             if status >= 500:
-                kind = ResultCode.PAGE_FAILED
-        request.exchange.respond_problem(Problem(kind))
+                result_code = ResultCode.PAGE_FAILED
+        request.exchange.respond_problem(Problem(result_code))
 
     # -- disabled handlers of the protocol component ------------------------
 
@@ -206,15 +206,18 @@
         super().__init__(channel=channel)
         self.register(root)
         self.http = HttpServer(
-            root.poller, limits or HttpLimits(), self.take, f'{channel}-http'
+            root.poller,
+            limits or HttpLimits(),
+            self.handle_request,
+            f'{channel}-http',
         ).register(self)
         self.address = self.http.listen(address)
         self.bridge = WebBridge(self.address, f'{channel}-web').register(self)
         for controller in controllers:
             controller.register(self)
 
-    def take(self, exchange: Exchange) -> None:
-        self.bridge.take(exchange)
+    def handle_request(self, exchange: Exchange) -> None:
+        self.bridge.handle_request(exchange)
 
     def begin_drain(self) -> None:
         """Accept no new connections; finish the requests in flight."""
@@ -235,8 +238,8 @@
     origin = exchange.header('origin')
     if origin is None or exchange.method in SAFE_METHODS:
         return True
-    place = origin.partition('://')[2]
-    return place.lower() == (exchange.header('host') or '').lower()
+    authority = origin.partition('://')[2]
+    return authority.lower() == (exchange.header('host') or '').lower()
 
 
 def refuse_size(exchange: Exchange) -> None:
--- a/cyclamenlift/lazy_imports.py
+++ b/cyclamenlift/lazy_imports.py
@@ -136,7 +136,7 @@
 def install_partial_package(name: str, exports: Mapping[str, str]) -> None:
     """Install a package whose modules load without its ``__init__``.
 
-    ``offered`` maps exported names to ``module`` or ``module:name``, which is
+    ``exports`` maps exported names to ``module`` or ``module:name``, which is
     imported when the name is first read. A name that refers to a module of
     the package yields that module.
     """
--- a/cyclamenlift/models/rules.py
+++ b/cyclamenlift/models/rules.py
@@ -55,9 +55,9 @@
 
     def is_idempotent(self, method: str, path: str) -> bool:
         """Whether it is safe to run a call more than once."""
-        bare = path.partition('?')[0]
+        bare_path = path.partition('?')[0]
         for operation in self.operations:
-            if operation.matches(method, bare):
+            if operation.matches(method, bare_path):
                 return operation.idempotent
         return method in SAFE_METHODS
 
@@ -114,13 +114,13 @@
         prefixes = self.hosts.get(host)
         if prefixes is None:
             return None
-        bare = path.partition('?')[0]
-        end = len(bare)
+        bare_path = path.partition('?')[0]
+        end = len(bare_path)
         while end:
-            end = bare.rfind('/', 0, end) + 1
+            end = bare_path.rfind('/', 0, end) + 1
             if not end:
                 return None
-            route = prefixes.get(bare[:end])
+            route = prefixes.get(bare_path[:end])
             if route is not None:
                 return route
             end -= 1
--- a/cyclamenlift/platform/settings.py
+++ b/cyclamenlift/platform/settings.py
@@ -26,7 +26,7 @@
 # Callers are sent elsewhere after two failed readiness checks, one a second.
 READINESS_SECONDS = 2.2
 # Maximum age of a target's load report before the target is polled, in
-# seconds: a sixth of a slowdown of its machine (measured: 0.5 s).
+# seconds: a sixth of the time that a machine stays slow (measured: 0.5 s).
 LOAD_MAX_AGE_SECONDS = 0.08
 Fields = Mapping[str, str]
 
@@ -131,7 +131,7 @@
 def control_values(fields: Fields) -> dict[str, object]:
     """Return the settings of a control instance."""
     seeds = seed_hosts(fields)
-    losses = int(fields.get('fault_tolerance.machines') or 1)
+    tolerated_failures = int(fields.get('fault_tolerance.machines') or 1)
     return {
         **common_values(fields),
         'data': f'{fields.get("data_dir", "")}/replica',
@@ -139,7 +139,7 @@
             f'{seed}={internal_address(fields, seed)}' for seed in seeds
         ),
         'bootstrap': fields.get('bootstrap') == 'true',
-        'wanted_voters': 2 * losses + 1,
+        'wanted_voters': 2 * tolerated_failures + 1,
     }
 
 
--- a/cyclamenlift/platform/targets.py
+++ b/cyclamenlift/platform/targets.py
@@ -127,7 +127,7 @@
             read_body(
                 exchange,
                 MAX_HEARTBEAT_BYTES,
-                lambda body: self.on_leave(exchange, name, body),
+                lambda body: self.on_deregistration(exchange, name, body),
             )
         else:
             reject(exchange, 404, Problem(ResultCode.NOT_FOUND, path[:100]))
@@ -148,7 +148,9 @@
         self.gate.announce(announcement)
         send_json(exchange, 200)
 
-    def on_leave(self, exchange: Exchange, name: str, body: bytes) -> None:
+    def on_deregistration(
+        self, exchange: Exchange, name: str, body: bytes
+    ) -> None:
         found = parse_deregistration(body)
         if isinstance(found, Failure):
             self.refuse_invalid(exchange, name, found.failure())
