--- a/cyclamenlift/http/connection.py
+++ b/cyclamenlift/http/connection.py
@@ -21,7 +21,9 @@
     from cyclamenlift.http.request_parser import IncomingRequest
     from cyclamenlift.http.server import HttpServer
 
+# A longer remainder of a body is not skipped: the connection is closed.
 MAX_SKIPPED_BODY = 64 * 1024
+# With more unsent output, no further request of the connection is started.
 MAX_PENDING = 256 * 1024
 NO_FIELDS: Headers = []
 SAFE_METHODS = frozenset(('GET', 'HEAD'))
--- a/cyclamenlift/ledger/state.py
+++ b/cyclamenlift/ledger/state.py
@@ -28,12 +28,18 @@
 from cyclamenlift.ledger.records import Verdict
 
 DAY_MS = 24 * 3600 * 1000
+# How far after the end of the event the deadline of a key may be.
 HORIZON_MS = DAY_MS
+# How long claims are retained after their deadline, and how many of them.
 RETAINED_MS = DAY_MS
 MAX_RETAINED = 100_000
+# How long released attempts are remembered, and how many of them.
 RELEASED_MS = 60_000
 MAX_RELEASED = 100_000
+# The heap is rebuilt when it has this many entries more than twice the
+# number of claims.
 HEAP_SLACK = 1_000
+# Suggested delay before a retry while an attempt is in progress.
 RETRY_MS = 500
 MAX_KEY_LENGTH = 512
 MAX_NAME_LENGTH = 256
--- a/cyclamenlift/membership/budget.py
+++ b/cyclamenlift/membership/budget.py
@@ -1,15 +1,17 @@
 """A token bucket that limits the bytes that a member sends."""
 
+# Headers of a packet, which count in addition to its payload.
 IP_UDP_BYTES = 28
 BYTES_PER_PERIOD = 1_900
 BURST_BYTES = 120_000
 # A member that many newcomers ask at once sends each of them only a few
-# records.
+# records while its budget is at most this share of the burst.
 REFERRAL_BYTES = 300
 REFERRAL_SHARE = 0.5
 # A pull is sent only while the budget could also cover an answer: otherwise
 # the bytes go into requests that no member can answer.
 PULL_RESERVE = 1_500
+# With a smaller budget, only pulls of newcomers are answered.
 MIN_ANSWER_BYTES = 400
 MAX_OVERDRAFT_BYTES = 20_000
 
--- a/cyclamenlift/membership/digests.py
+++ b/cyclamenlift/membership/digests.py
@@ -15,6 +15,7 @@
 from cyclamenlift.membership.table import Entry
 from cyclamenlift.membership.table import MemberTable
 
+# Hexadecimal digits of a short hash, and the bits that they represent.
 DIGITS = 4
 MASK = 0xFFFF
 DIGESTS_SIZE = BUCKETS * DIGITS
--- a/cyclamenlift/membership/health.py
+++ b/cyclamenlift/membership/health.py
@@ -10,7 +10,10 @@
 
 # Each side of a partition keeps at least this share of the members it knew.
 MAX_FAILING_SHARE = 0.4
+# Number of recent probes that are taken into account.
 WINDOW = 10
+# A suspect has this many periods to refute, times the binary logarithm of the
+# number of members, but no fewer than the floor.
 SUSPICION_FACTOR = 1.5
 SUSPICION_FLOOR = 4.0
 
--- a/cyclamenlift/membership/packets.py
+++ b/cyclamenlift/membership/packets.py
@@ -21,7 +21,9 @@
 from cyclamenlift.wire.gen.protocol.ttypes import MemberRecord
 
 MAX_PACKET_BYTES = 1_400
+# Upper bound of the size of a packet without its strings and records.
 FIXED_BYTES = 80
+# Piggybacked records of a packet, normally and during a table transfer.
 PIGGYBACK_BYTES = 500
 TRANSFER_PIGGYBACK_BYTES = 130
 MAX_RECORDS = 64
--- a/cyclamenlift/replication/commits.py
+++ b/cyclamenlift/replication/commits.py
@@ -6,6 +6,8 @@
 from cyclamenlift.replication.snapshots import Snapshot
 from cyclamenlift.replication.state import ReplicaState
 
+# ``snapshot_entries`` divided by this is the number of covered entries that
+# stay in the in-memory log.
 KEPT_LOG_DIVISOR = 4
 
 
