--- a/cyclamenlift/http/connection.py
+++ b/cyclamenlift/http/connection.py
@@ -21,7 +21,9 @@
     from cyclamenlift.http.request_parser import IncomingRequest
     from cyclamenlift.http.server import HttpServer
 
+# A longer remainder of a body is not skipped: the connection is closed.
 MAX_SKIPPED_BODY = 64 * 1024
+# With more unsent output, no further request of the connection is started.
 MAX_PENDING = 256 * 1024
 NO_FIELDS: Headers = []
 SAFE_METHODS = frozenset(('GET', 'HEAD'))
@@ -133,7 +135,7 @@
         self.head_deadline_set = False
         now = self.server.now()
         self.active = Exchange(self, request, now)
-        self.server.take(self.active)
+        self.server.handle_request(self.active)
 
     def start_pipelined(self) -> None:
         """Start requests that needn't wait for earlier responses."""
@@ -149,7 +151,7 @@
             request = self.parser.queue.popleft()
             last = Exchange(self, request, self.server.now(), early=True)
             self.pipelined.append(last)
-            self.server.take(last)
+            self.server.handle_request(last)
             if not self.stream.open:
                 return
 
