--- a/cyclamenlift/gate/slowdowns.py
+++ b/cyclamenlift/gate/slowdowns.py
@@ -10,7 +10,7 @@
 import collections
 
 from cyclamenlift.routing.finish import PERCENT
-from cyclamenlift.routing.finish import SPELL_PACE
+from cyclamenlift.routing.finish import SLOWDOWN_PACE
 
 # Assumed duration of slowdowns before any was observed, in seconds, as
 # measured on real sites. Counts as two observations.
@@ -47,7 +47,7 @@
 
     def note(self, pace_percent: int, now: float) -> None:
         """Record a pace figure."""
-        if pace_percent > SPELL_PACE:
+        if pace_percent > SLOWDOWN_PACE:
             self.note_slowdown(pace_percent, now)
         else:
             self.note_usual_pace(now)
--- a/cyclamenlift/routing/finish.py
+++ b/cyclamenlift/routing/finish.py
@@ -2,26 +2,26 @@
 
 Other workloads on a host slow a target down several times for some hundred
 milliseconds, after which it recovers. On the sites that were measured such a
-slow spell took about half a second, was present a quarter of the time and made
+slowdown took about half a second, was present a quarter of the time and made
 calls four or seven times as long. A call keeps the pace at which its target
-began it, even when the spell ends first. So a call of 660 ms that begins in a
-spell takes 4.6 s, while one that first waits for the end of the spell takes
-about a second.
+began it, even when the slowdown ends first. So a call of 660 ms that begins in
+a slowdown takes 4.6 s, while one that first waits for the end of the slowdown
+takes about a second.
 
 A pace is the current duration of calls as a percentage of the usual one.
 """
 
 import dataclasses
 
-# A pace above this, in percent of the usual one, means a slow spell that ends
+# A pace above this, in percent of the usual one, means a slowdown that ends
 # within about a second. Targets that have just started run at about twice the
 # usual duration for seconds, which is too long to wait out.
-SPELL_PACE = 250
-# Default for the remaining seconds of a slow spell when the gate does not
-# report them: half of a spell, since reports arrive at any point of it, plus
-# an allowance for another spell that follows (33 spells were logged: 0.5 s
-# most often, 0.63 s on average).
-DEFAULT_SPELL_LEFT = 0.4
+SLOWDOWN_PACE = 250
+# Default for the remaining seconds of a slowdown when the gate does not report
+# them: half of a slowdown, since reports arrive at any point of it, plus an
+# allowance for another one that follows (33 slowdowns were logged: 0.5 s most
+# often, 0.63 s on average).
+DEFAULT_SLOWDOWN_LEFT = 0.4
 # A reported pace older than this, in seconds, is ignored. Until then it holds,
 # because gates report each change to the entries that called them recently.
 PACE_VALID_SECONDS = 3.0
@@ -59,10 +59,12 @@
     seconds: float
 
 
-def best_start(work: float, pace_percent: int, spell_left: float) -> StartPlan:
+def best_start(
+    work: float, pace_percent: int, slowdown_left: float
+) -> StartPlan:
     """Return the start that completes ``work`` soonest at this pace.
 
-    ``spell_left`` is the expected remaining time of the spell, in seconds.
+    ``slowdown_left`` is the expected remaining seconds of the slowdown.
 
     >>> best_start(0.66, 100, 0.0)
     StartPlan(held=0.0, seconds=0.66)
@@ -72,14 +74,14 @@
     StartPlan(held=0.0, seconds=0.105)
     """
     begun_now = work * max(1.0, pace_percent / PERCENT)
-    held = spell_left + work
-    if pace_percent <= SPELL_PACE or begun_now <= held:
+    held = slowdown_left + work
+    if pace_percent <= SLOWDOWN_PACE or begun_now <= held:
         return StartPlan(0.0, begun_now)
-    return StartPlan(spell_left, held)
+    return StartPlan(slowdown_left, held)
 
 
 def expected_work(
-    work: float, pace_percent: int, spell_left: float, age: float
+    work: float, pace_percent: int, slowdown_left: float, age: float
 ) -> float:
     """Return the expected duration of ``work`` from a report of this age.
 
@@ -94,7 +96,7 @@
     """
     if pace_percent <= 0 or age >= PACE_VALID_SECONDS:
         return work * UNKNOWN_PACE_FACTOR
-    left = max(0.0, (spell_left or DEFAULT_SPELL_LEFT) - age)
+    left = max(0.0, (slowdown_left or DEFAULT_SLOWDOWN_LEFT) - age)
     return best_start(work, pace_percent, left).seconds
 
 
--- a/cyclamenlift/routing/work.py
+++ b/cyclamenlift/routing/work.py
@@ -1,7 +1,7 @@
 """Mean service time of each route's calls at targets of usual pace."""
 
 from cyclamenlift.routing.finish import PERCENT
-from cyclamenlift.routing.finish import SPELL_PACE
+from cyclamenlift.routing.finish import SLOWDOWN_PACE
 
 AVERAGE_WEIGHT = 0.05
 # Samples are clipped to this multiple of the mean, so that one long call does
@@ -18,7 +18,7 @@
 # Answers are used to learn the work only up to this pace, in percent of the
 # usual. It includes targets that have just started, which run at about twice
 # the usual duration for seconds, because early samples are useful at once.
-MAX_LEARNING_PACE = SPELL_PACE
+MAX_LEARNING_PACE = SLOWDOWN_PACE
 DEFAULT_KILOBYTES = 1.0
 
 
--- a/tests/routing/test_finish.py
+++ b/tests/routing/test_finish.py
@@ -1,4 +1,4 @@
-"""Choice of targets while machines have slow spells.
+"""Choice of targets while machines have slowdowns.
 
 In the scenario each target is seven times slower for half a second, a quarter
 of the time, with few calls relative to its slots.
@@ -37,12 +37,12 @@
     return {choice.instance for choice in found}
 
 
-def test_a_target_in_a_slow_spell_gets_no_call(state):
+def test_a_target_in_a_slowdown_gets_no_call(state):
     state.note_load(SERVICE, 't0', pace(700), 1.0)
     assert 't0' not in chosen(state, 1.01, NEED)
 
 
-def test_an_old_report_of_a_slow_spell_expires(state):
+def test_an_old_report_of_a_slowdown_expires(state):
     state.note_load(SERVICE, 't0', pace(700), 1.0)
     for number in range(4):
         state.note_load(SERVICE, f't{number}', pace(100), 2.0)
--- a/tools/mutants_calls.py
+++ b/tools/mutants_calls.py
@@ -176,7 +176,7 @@
     Mutant(
         'a call begins in a slow spell whatever it costs',
         'cyclamenlift/routing/finish.py',
-        'if pace_percent <= SPELL_PACE or begun_now <= held:',
+        'if pace_percent <= SLOWDOWN_PACE or begun_now <= held:',
         'if True:',
         'tests/gate/test_calls_in_slowdowns.py',
     ),
