--- a/cyclamenlift/calls/tasks.py
+++ b/cyclamenlift/calls/tasks.py
@@ -128,7 +128,7 @@
             self.turns.keep_only(names)
             self.usual_timeouts.keep_only(names)
 
-    def take(self, exchange: Exchange) -> None:
+    def handle(self, exchange: Exchange) -> None:
         """Accept a request from the HTTP server."""
         result = read_request(exchange, self.rules, self.max_depth, self.turns)
         if not isinstance(result, Success):
--- a/cyclamenlift/events/control_orders.py
+++ b/cyclamenlift/events/control_orders.py
@@ -55,7 +55,7 @@
         self.over = False
         self.timer = forwarder.loop.scheduler.at(give_up_at, self.give_up)
 
-    def take(self, report: PublishReport) -> None:
+    def on_report(self, report: PublishReport) -> None:
         """Return a final outcome, or forward an undecided order."""
         if self.over:
             return
@@ -127,7 +127,7 @@
 
     # -- commands ---------------------------------------------------------
 
-    def take(self, order: Order, remote: Address, done: OrderDone) -> None:
+    def handle(self, order: Order, remote: Address, done: OrderDone) -> None:
         """Process an order from an operator."""
         log_received(order, remote, self.context.leads())
         give_up_at = self.forwarder.now() + ORDER_TIMEOUT_SECONDS
@@ -151,7 +151,7 @@
             wait = PendingExecution(
                 self.forwarder, order, give_up_at, done, maybe_appended
             )
-            self.execute(order, wait.take)
+            self.execute(order, wait.on_report)
         else:
             self.forwarder.forward(order, give_up_at, done, maybe_appended)
 
--- a/cyclamenlift/events/daemon_orders.py
+++ b/cyclamenlift/events/daemon_orders.py
@@ -25,7 +25,7 @@
         self.forwarder = forwarder
         forwarder.network.subscribe(OrderRequest, self.on_request)
 
-    def take(self, order: Order, remote: Address, done: OrderDone) -> None:
+    def handle(self, order: Order, remote: Address, done: OrderDone) -> None:
         """Process an order from an operator."""
         log_received(order, remote, leads=False)
         give_up_at = self.forwarder.now() + ORDER_TIMEOUT_SECONDS
--- a/cyclamenlift/events/orders.py
+++ b/cyclamenlift/events/orders.py
@@ -66,7 +66,7 @@
 class OrderHandler(Protocol):
     """Accepts operators' orders, on a control instance or a daemon."""
 
-    def take(self, order: Order, remote: Address, done: OrderDone) -> None:
+    def handle(self, order: Order, remote: Address, done: OrderDone) -> None:
         """Process an order; ``done`` is called once with the outcome.
 
         NOT_LEADER means that the order was certainly not executed,
--- a/cyclamenlift/gate/announcements.py
+++ b/cyclamenlift/gate/announcements.py
@@ -38,7 +38,7 @@
             return outcome
         if outcome is AnnouncementOutcome.NEW:
             if before and not draining:
-                gate.ends.note_replaced(before)
+                gate.termination.note_replaced(before)
             self.begin_incarnation(announcement, before)
         if announcement.slots and announcement.slots != gate.state.slots:
             gate.set_slots(announcement.slots)
--- a/cyclamenlift/gate/gate_call.py
+++ b/cyclamenlift/gate/gate_call.py
@@ -271,7 +271,7 @@
             )
             if self.start.route_name:
                 self.note_work(seconds)
-        self.gate.ends.note_answer(self.started_at)
+        self.gate.termination.note_answer(self.started_at)
         self.gate.release(self, seconds, self.status >= SERVER_ERROR)
         if self.streaming:
             self.link.send(BodyChunk(self.start.call_id, b'', True))
@@ -323,7 +323,7 @@
             code = ResultCode.TARGET_UNREACHABLE
             self.send_refused(code, failure.detail)
         elif failure.kind is FailureKind.CLOSED:
-            self.gate.ends.note_broken(self, failure.detail)
+            self.gate.termination.note_broken(self, failure.detail)
         else:
             self.send_broken(ResultCode.TARGET_BROKE_OFF, failure.detail)
 
--- a/cyclamenlift/gate/health.py
+++ b/cyclamenlift/gate/health.py
@@ -186,7 +186,7 @@
 
     def on_end(self) -> None:
         self.record_result(self.status in GOOD_STATUS)
-        self.gate.ends.note_alive(self.request_sent_at)
+        self.gate.termination.note_alive(self.request_sent_at)
 
     def on_drained(self) -> None:
         """Do nothing: the request has no body."""
--- a/cyclamenlift/gate/pace_notifier.py
+++ b/cyclamenlift/gate/pace_notifier.py
@@ -8,8 +8,8 @@
 from cyclamenlift.wire.gen.protocol.ttypes import LoadNews
 
 # Entries that called within this time, in seconds, are notified of pace
-# changes. A little longer than they trust an old figure, so that no change is
-# missed while one is trusted.
+# changes. A little longer than they use an old figure, so that no change is
+# missed while one is used.
 SUBSCRIPTION_SECONDS = PACE_VALID_SECONDS + 0.5
 # A change of the pace by more than this factor is sent.
 PACE_STEP = 1.3
@@ -50,12 +50,12 @@
     def notify(self, figures: LoadFigures, now: float) -> None:
         """Send the figures to entries that called recently."""
         self.last_sent_pace = figures.pace_percent
-        news = LoadNews(figures)
-        for number, user in list(self.subscribers.items()):
-            if now - user.last_call_at > SUBSCRIPTION_SECONDS:
+        message = LoadNews(figures)
+        for number, subscriber in list(self.subscribers.items()):
+            if now - subscriber.last_call_at > SUBSCRIPTION_SECONDS:
                 del self.subscribers[number]
             else:
-                user.link.send(news)
+                subscriber.link.send(message)
         for hook in self.hooks:
             hook(figures)
 
--- a/cyclamenlift/gate/tasks.py
+++ b/cyclamenlift/gate/tasks.py
@@ -74,7 +74,7 @@
         self.verifies_call_ids = dialect.call_id_repeated
         self.state = GateState(slots)
         self.announcements = Announcements(self, self.clock.unix_ms)
-        self.news = PaceNotifier()
+        self.pace_notifier = PaceNotifier()
         self.lag_tracker = LagTracker()
         # The target's host, '' if unknown.
         self.target_host = ''
@@ -89,7 +89,7 @@
         self.slots_hooks: list[Callable[[int], None]] = []
         self.refused = 0
         self.pace_queries = PaceQueries(scheduler)
-        self.ends = TerminationDetector(self)
+        self.termination = TerminationDetector(self)
         self.presence = Presence(self)
         self.body_transfers = BodyTransfers(self)
         self.admission_control = AdmissionController(self)
@@ -188,8 +188,8 @@
 
     def notify_pace_change(self, now: float) -> None:
         """Notify entries of a pace change and refuse calls it makes late."""
-        if self.news.is_due(self.state.pace_percent(now)):
-            self.news.notify(self.figures(), now)
+        if self.pace_notifier.is_due(self.state.pace_percent(now)):
+            self.pace_notifier.notify(self.figures(), now)
             self.admission_control.refuse_late_calls(now)
 
     def release(
@@ -226,7 +226,7 @@
         return self.bytes_due() / self.link_rate if self.link_rate else 0.0
 
     def is_idle(self) -> bool:
-        if self.pace_queries.waiting or self.ends.has_unreported:
+        if self.pace_queries.waiting or self.termination.has_unreported:
             return False
         return self.state.is_idle()
 
@@ -289,7 +289,7 @@
             # targets would reach this one.
             call.send_refused(ResultCode.NO_TARGET, 'ends not known yet')
             return
-        self.news.note_call(link, now)
+        self.pace_notifier.note_call(link, now)
         if self.presence.absent:
             call.send_refused(ResultCode.TARGET_UNREACHABLE, 'nobody listens')
             return
@@ -341,7 +341,7 @@
         A call that is not idempotent and was sent runs on: cutting it would
         leave a booking half done to nobody's benefit.
         """
-        self.news.forget(link)
+        self.pace_notifier.forget(link)
         self.lag_tracker.forget(link.number)
         for key, call in list(self.calls.items()):
             if key[0] != link.number:
@@ -369,7 +369,7 @@
             self.forget(call)
             self.check_idle()
             return
-        self.ends.note_cancelled(call)
+        self.termination.note_cancelled(call)
         call.stop_target()
         self.release(call, None, False)
 
--- a/cyclamenlift/platform/operators.py
+++ b/cyclamenlift/platform/operators.py
@@ -120,7 +120,7 @@
             self.refuse_change(exchange, version.failure())
             return
         order = order_from(path, int(base), version.unwrap(), body)
-        self.orders.take(
+        self.orders.handle(
             order,
             exchange.remote,
             lambda report: self.finish(exchange, order, report),
--- a/cyclamenlift/runtime/call_metrics.py
+++ b/cyclamenlift/runtime/call_metrics.py
@@ -76,4 +76,4 @@
         watch('cyclamenlift.gate.probes', lambda: gate.budget.answered)
         watch('cyclamenlift.gate.in_flight', lambda: len(gate.state.running))
         watch('cyclamenlift.gate.queued', lambda: len(gate.state.queue))
-        watch('cyclamenlift.targets.ended', lambda: gate.ends.ended)
+        watch('cyclamenlift.targets.ended', lambda: gate.termination.ended)
--- a/cyclamenlift/runtime/daemon.py
+++ b/cyclamenlift/runtime/daemon.py
@@ -186,7 +186,7 @@
         gate.link_rate = settings.link_mbps * BYTES_OF_MEGABIT
         gate.target_host = client.address.host
         gate.quarantine = self.quarantine
-        gate.ends.watch(client)
+        gate.termination.watch(client)
         self.health = HealthCheck(gate, client, settings)
         return gate
 
@@ -202,7 +202,7 @@
         server = HttpServer(
             self.loop.poller,
             limits,
-            self.calls.take,
+            self.calls.handle,
             channel='entry',
             dialect=self.dialect,
         )
@@ -253,7 +253,7 @@
             self.gate.state_hooks.append(self.on_target_state)
             self.gate.slots_hooks.append(self.on_slots)
             self.calls.parent_of = self.gate.parent_of
-            self.gate.news.hooks.append(
+            self.gate.pace_notifier.hooks.append(
                 lambda load: self.calls.note_load_change(
                     self.settings.instance, load
                 )
--- a/cyclamenlift/runtime/mechanisms.py
+++ b/cyclamenlift/runtime/mechanisms.py
@@ -153,7 +153,7 @@
 
 @mechanism('pace_news', 'notifies entries when the pace of a target changes')
 def without_pace_news(node: 'DaemonNode') -> None:
-    node.gate.news.is_due = lambda _pace: False
+    node.gate.pace_notifier.is_due = lambda _pace: False
 
 
 # -- choice of target -----------------------------------------------------
--- a/tests/events/test_control_orders.py
+++ b/tests/events/test_control_orders.py
@@ -66,7 +66,7 @@
         self.reports = []
 
     def take(self, order=WHOLE) -> None:
-        self.handler.take(order, OPERATOR, self.reports.append)
+        self.handler.handle(order, OPERATOR, self.reports.append)
 
     def ask(self, order=WHOLE):
         """Send an order as another instance does; return the answer."""
--- a/tests/events/test_order_forwarding.py
+++ b/tests/events/test_order_forwarding.py
@@ -34,7 +34,7 @@
         self.reports = []
 
     def take(self) -> None:
-        self.handler.take(ORDER, OPERATOR, self.reports.append)
+        self.handler.handle(ORDER, OPERATOR, self.reports.append)
 
     def refuse(self, leader: Address | None = None) -> None:
         """Let the last address asked answer that it does not lead."""
--- a/tests/gate/test_presence.py
+++ b/tests/gate/test_presence.py
@@ -27,7 +27,7 @@
 
 def refuse_connection(bench: GateBench) -> None:
     """Simulate a refused connection to the target."""
-    bench.gate.ends.note_connection_refused()
+    bench.gate.termination.note_connection_refused()
 
 
 def codes(bench: GateBench) -> list[int]:
@@ -87,9 +87,9 @@
 @pytest.mark.parametrize(
     'appear',
     [
-        lambda gate: gate.ends.note_connected(),
+        lambda gate: gate.termination.note_connected(),
         lambda gate: gate.announce(Announcement('i-2', 'prices', 8)),
-        lambda gate: gate.ends.note_alive(request_sent_at=1.0),
+        lambda gate: gate.termination.note_alive(request_sent_at=1.0),
     ],
     ids=['takes connections', 'announces itself', 'answers its page'],
 )
@@ -107,7 +107,7 @@
     bench = GateBench(can_query=False)
     bench.gate.announcements.doubt()
     refuse_connection(bench)
-    bench.gate.ends.note_connected()
+    bench.gate.termination.note_connected()
     assert not bench.gate.presence.absent
     assert bench.gate.state.target_state == TargetState.STARTING
 
@@ -142,6 +142,6 @@
     with capture_logs() as logs:
         refuse_connection(bench)
         refuse_connection(bench)
-        bench.gate.ends.note_connected()
+        bench.gate.termination.note_connected()
     events = [e['event'] for e in logs if e['event'].startswith('target_')]
     assert events == ['target_absent', 'target_present']
--- a/tests/gate/test_suspects.py
+++ b/tests/gate/test_suspects.py
@@ -109,7 +109,7 @@
         listener.on_failure(CLOSED)
     assert bench.outcomes == []
     assert not bench.gate.is_idle()
-    bench.gate.ends.note_connection_refused()
+    bench.gate.termination.note_connection_refused()
     assert codes(bench) == [ResultCode.TARGET_ENDED] * 2
     assert bench.outcomes[0].end.fingerprints == [BAD, OTHER]
     assert bench.outcomes[1].end is None
@@ -119,7 +119,7 @@
 def test_broken_call_is_reported_soon_without_a_termination(bench):
     bench.send_call(1, fingerprint=BAD)
     bench.target.listeners[0].on_failure(CLOSED)
-    bench.gate.ends.note_alive(request_sent_at=bench.gate.now())
+    bench.gate.termination.note_alive(request_sent_at=bench.gate.now())
     assert codes(bench) == [ResultCode.TARGET_BROKE_OFF]
     assert bench.outcomes[0].end is None
 
@@ -127,7 +127,7 @@
 def test_call_cancelled_just_before_the_termination_counts(bench):
     bench.send_call(1, fingerprint=BAD)
     bench.gate.on_cancel(bench.gate_end, Cancel(1))
-    bench.gate.ends.note_connection_refused()
+    bench.gate.termination.note_connection_refused()
     assessment = bench.gate.quarantine.assess('prices', BAD)
     assert assessment.status is QuarantineStatus.SUSPECT
 
@@ -139,4 +139,4 @@
     bench.gate.now = lambda: 100.0
     bench.send_call(2, fingerprint=OTHER)
     bench.target.listeners[1].on_failure(CLOSED)
-    assert [b.fingerprint for b in bench.gate.ends.broken] == [OTHER]
+    assert [b.fingerprint for b in bench.gate.termination.broken] == [OTHER]
--- a/tests/gate/test_termination.py
+++ b/tests/gate/test_termination.py
@@ -36,8 +36,8 @@
     with capture_logs() as logs:
         disconnect(bench)
         assert bench.target.looks == 1
-        bench.gate.ends.note_connection_refused()
-        bench.gate.ends.note_connection_refused()
+        bench.gate.termination.note_connection_refused()
+        bench.gate.termination.note_connection_refused()
     assert ended(logs) == [[b'a'.hex(), b'b'.hex()]]
 
 
@@ -56,8 +56,8 @@
     run(bench, b'a')
     with capture_logs() as logs:
         disconnect(bench)
-        bench.gate.ends.note_answer(begun_at=1.0)
-        bench.gate.ends.note_connection_refused()
+        bench.gate.termination.note_answer(begun_at=1.0)
+        bench.gate.termination.note_connection_refused()
     assert ended(logs) == []
 
 
@@ -66,7 +66,7 @@
     bench.gate.target_leaves('i-1')
     with capture_logs() as logs:
         disconnect(bench)
-        bench.gate.ends.note_connection_refused()
+        bench.gate.termination.note_connection_refused()
     assert ended(logs) == []
 
 
@@ -74,7 +74,7 @@
     run(bench, b'a')
     with capture_logs() as logs:
         disconnect(bench, TargetFailure(True, 'spoilt', FailureKind.OTHER))
-        bench.gate.ends.note_connection_refused()
+        bench.gate.termination.note_connection_refused()
     assert ended(logs) == []
 
 
@@ -83,10 +83,10 @@
     run(bench, b'a')
     disconnect(bench)
     before = bench.queries
-    bench.gate.ends.note_connected()
+    bench.gate.termination.note_connected()
     assert bench.queries == before + 1
     assert not bench.outcomes
-    bench.gate.ends.note_connection_refused()
+    bench.gate.termination.note_connection_refused()
     assert [message.code for message in bench.outcomes] == [
         ResultCode.TARGET_ENDED
     ]
@@ -96,9 +96,9 @@
     """Guards against counting an answer to a request sent before the break."""
     run(bench, b'a')
     disconnect(bench)
-    bench.gate.ends.note_alive(request_sent_at=-0.1)
+    bench.gate.termination.note_alive(request_sent_at=-0.1)
     assert not bench.outcomes
-    bench.gate.ends.note_alive(request_sent_at=0.1)
+    bench.gate.termination.note_alive(request_sent_at=0.1)
     assert [message.code for message in bench.outcomes] == [
         ResultCode.TARGET_BROKE_OFF
     ]
--- a/tests/runtime/builders.py
+++ b/tests/runtime/builders.py
@@ -266,7 +266,7 @@
         self.network.subscribe(BodyChunk, self.calls.on_body_chunk)
         self.network.subscribe(Credit, self.calls.on_credit)
         self.server = HttpServer(
-            self.loop.poller, HttpLimits(), self.calls.take, channel='entry'
+            self.loop.poller, HttpLimits(), self.calls.handle, channel='entry'
         ).register(self.loop)
         self.entry = self.server.listen(LOCAL)
         self.rules = rules(**fields)
@@ -286,7 +286,7 @@
             self.loop.poller, target, limits, channel=f'target-{name}'
         ).register(self.loop)
         gate = Gate(self.loop.scheduler, client, 'prices', slots)
-        gate.ends.watch(client)
+        gate.termination.watch(client)
         gate.subscribe(network)
         network.subscribe(BodyChunk, gate.on_body_chunk)
         network.subscribe(Credit, gate.on_credit)
--- a/tests/runtime/test_load_news.py
+++ b/tests/runtime/test_load_news.py
@@ -21,8 +21,10 @@
     gate = make_gate(platform_like_dialect())
     entry_end, gate_end = local_link_pair(iter(range(1, 9)))
     sent = []
-    entry_end.subscribe(LoadNews, lambda link, news: sent.append(link.hello))
-    gate.news.note_call(gate_end, 0.0)
+    entry_end.subscribe(
+        LoadNews, lambda link, message: sent.append(link.hello)
+    )
+    gate.pace_notifier.note_call(gate_end, 0.0)
     gate.note_answer_head([('x-load', '1,0,4,700')])
     assert sent == [None]
 
@@ -32,9 +34,9 @@
     entry_end, gate_end = local_link_pair(iter(range(1, 9)))
     sent = []
     entry_end.subscribe(
-        LoadNews, lambda link, news: sent.append(news.load.pace_percent)
+        LoadNews, lambda link, message: sent.append(message.load.pace_percent)
     )
-    gate.news.note_call(gate_end, 0.0)
+    gate.pace_notifier.note_call(gate_end, 0.0)
     for pace in (100, 105, 700, 690, 100):
         gate.note_answer_head([('x-load', f'1,0,4,{pace}')])
     assert sent == [100, 700, 100]
