--- a/cyclamenlift/calls/attempt.py
+++ b/cyclamenlift/calls/attempt.py
@@ -75,7 +75,7 @@
                 self.body_frames.append(frame)
         self.sending = False
 
-    def take_credit(self, allowed: int) -> None:
+    def add_credit(self, allowed: int) -> None:
         self.window += allowed
         self.send_more()
 
--- a/cyclamenlift/calls/intake.py
+++ b/cyclamenlift/calls/intake.py
@@ -65,18 +65,18 @@
     exchange: Exchange,
     rules: EventRules | None,
     max_depth: int,
-    turns: WeightedRoundRobin,
+    service_picker: WeightedRoundRobin,
 ) -> Result[Request, Problem]:
     """Validate the head of a request against the event document."""
     if rules is None:
         return fail(ResultCode.NO_CONFIGURATION)
     if rules.routes is not None:
-        return read_routed(exchange, rules, turns)
+        return read_routed(exchange, rules, service_picker)
     return read_named(exchange, rules, max_depth)
 
 
 def read_routed(
-    exchange: Exchange, rules: EventRules, turns: WeightedRoundRobin
+    exchange: Exchange, rules: EventRules, service_picker: WeightedRoundRobin
 ) -> Result[Request, Problem]:
     """Validate a request whose service is chosen by a route."""
     dialect = exchange.dialect
@@ -97,7 +97,7 @@
         seconds = min(seconds, asked / MILLISECONDS)
     return Success(
         Request(
-            rule=rules.services[turns.next_service(route)],
+            rule=rules.services[service_picker.next_service(route)],
             idempotent=route.idempotent,
             deadline=exchange.received_at + seconds,
             depth=0,
--- a/cyclamenlift/calls/nested.py
+++ b/cyclamenlift/calls/nested.py
@@ -1,4 +1,4 @@
-"""What an entry knows of a call that the local target is running."""
+"""The entry's view of a call that the local target is running."""
 
 from typing import Protocol
 
--- a/cyclamenlift/calls/state.py
+++ b/cyclamenlift/calls/state.py
@@ -95,7 +95,7 @@
         """Return whether to hedge, and charge the budget if so.
 
         ``keep`` is the balance that the hedge must leave. A ``rescue`` hedges
-        a call whose open tries have all gone silent. It is limited by the open
+        a call whose open tries all seem stalled. It is limited by the open
         tries rather than all tries, since earlier ones may have been refused.
         """
         if not self.idempotent or self.done or not self.open_tries:
--- a/cyclamenlift/calls/tasks.py
+++ b/cyclamenlift/calls/tasks.py
@@ -88,7 +88,7 @@
         self.instance = instance
         self.max_depth = max_depth
         self.own_service = own_service
-        self.turns = WeightedRoundRobin(routing.rng)
+        self.service_picker = WeightedRoundRobin(routing.rng)
         self.usual_timeouts = UsualTimeouts()
         self.quarantine = Quarantine(scheduler)
         self.boot = uuid.uuid4().hex[:12]
@@ -125,12 +125,14 @@
         self.routing.set_rules(rules)
         if rules.routes is not None:
             names = {route.name for route in rules.routes.routes}
-            self.turns.keep_only(names)
+            self.service_picker.keep_only(names)
             self.usual_timeouts.keep_only(names)
 
     def handle(self, exchange: Exchange) -> None:
         """Accept a request from the HTTP server."""
-        result = read_request(exchange, self.rules, self.max_depth, self.turns)
+        result = read_request(
+            exchange, self.rules, self.max_depth, self.service_picker
+        )
         if not isinstance(result, Success):
             self.refuse(exchange, self.unless_rules_behind(result.failure()))
             return
@@ -378,7 +380,7 @@
     def on_credit(self, link, credit: Credit) -> None:
         found = self.find(link, credit.call_id)
         if found is not None:
-            found[1].take_credit(credit.bytes_allowed)
+            found[1].add_credit(credit.bytes_allowed)
 
     def on_refused(self, link, refused: Refused) -> None:
         found = self.find(link, refused.call_id)
@@ -404,9 +406,9 @@
             call.on_cancelled(attempt, cancelled)
 
     def on_probe_answer(self, _link, answer: ProbeAnswer) -> None:
-        asked = self.probes.pop(answer.probe_id, None)
-        if asked is not None and answer.load is not None:
-            service, instance = asked
+        probe = self.probes.pop(answer.probe_id, None)
+        if probe is not None and answer.load is not None:
+            service, instance = probe
             self.routing.note_load(service, instance, answer.load, self.now())
 
     def on_link_lost(self, link) -> None:
--- a/cyclamenlift/events/control_orders.py
+++ b/cyclamenlift/events/control_orders.py
@@ -148,10 +148,10 @@
         if known is not None:
             done(known)
         elif self.context.leads():
-            wait = PendingExecution(
+            execution = PendingExecution(
                 self.forwarder, order, give_up_at, done, maybe_appended
             )
-            self.execute(order, wait.on_report)
+            self.execute(order, execution.on_report)
         else:
             self.forwarder.forward(order, give_up_at, done, maybe_appended)
 
@@ -164,8 +164,10 @@
             return
         self.in_progress[change_id] = [done]
         try:
-            kind = ORDER_KINDS.get(order.kind)
-            kind(self.context, order, lambda r: self.finish(change_id, r))
+            execute_kind = ORDER_KINDS.get(order.kind)
+            execute_kind(
+                self.context, order, lambda r: self.finish(change_id, r)
+            )
         except Exception as error:
             # Parsing the body may raise any error. It must not close the
             # connection, which carries other messages as well.
--- a/cyclamenlift/gate/admission.py
+++ b/cyclamenlift/gate/admission.py
@@ -109,7 +109,7 @@
         self.last_seen[request.urgency] = now
 
     def has_more_urgent(self, request: AdmissionRequest, now: float) -> bool:
-        """Tell whether more urgent calls arrived recently."""
+        """Return whether more urgent calls arrived recently."""
         return any(
             urgency < request.urgency and now - at < URGENT_WINDOW_SECONDS
             for urgency, at in self.last_seen.items()
--- a/cyclamenlift/gate/admission_control.py
+++ b/cyclamenlift/gate/admission_control.py
@@ -68,7 +68,7 @@
         if admission.hold_seconds:
             log_hold(self.gate, call, admission.hold_seconds)
         if not call.ended:
-            call.ask_for_body()
+            call.request_body()
 
     def admit(self, call: 'GateCall', now: float) -> Admission:
         """Decide on a call, by its route's objective if it has a route."""
@@ -142,12 +142,12 @@
     # -- queries ----------------------------------------------------------
 
     def is_too_slow(self, start: CallStart, now: float) -> bool:
-        """Tell whether the target is slower than the entry accepts."""
-        most = start.most_pace_percent or 0
-        return 0 < most < self.gate.state.pace_percent(now)
+        """Return whether the target is slower than the entry accepts."""
+        max_pace = start.most_pace_percent or 0
+        return 0 < max_pace < self.gate.state.pace_percent(now)
 
     def needs_pace_query(self, call: 'GateCall', now: float) -> bool:
-        """Tell whether to query the target's pace before a call begins."""
+        """Return whether to query the target's pace before a call begins."""
         start = call.start
         if not (self.gate.dialect.load and start.route_name):
             return False
--- a/cyclamenlift/gate/announcements.py
+++ b/cyclamenlift/gate/announcements.py
@@ -19,7 +19,7 @@
 class Announcements:
     """Processes announcements and departures of the gate's target.
 
-    ``doubt_hooks`` run when a different target answered in its name.
+    ``doubt_hooks`` run when a different target answered at its address.
     """
 
     def __init__(self, gate: 'Gate', unix_ms: Callable[[], int]):
--- a/cyclamenlift/gate/concurrency.py
+++ b/cyclamenlift/gate/concurrency.py
@@ -90,7 +90,7 @@
         return self.bands[-1]
 
     def is_uncontended(self, in_use: float) -> bool:
-        """Tell whether a call ran at a utilization without contention."""
+        """Return whether a call ran at a utilization without contention."""
         return self.band_of(in_use).upper_bound <= self.initial_limit
 
     def contention_factor(self, in_use: float) -> float:
@@ -114,13 +114,13 @@
         return self.trial_band.upper_bound if self.trial_band else self.chosen
 
     def may_start_trial(self, now: float) -> bool:
-        """Tell whether it is time to try more slots."""
+        """Return whether it is time to try more slots."""
         if self.chosen >= self.slots or now < self.next_trial_at:
             return False
-        roomy = sum(
+        samples = sum(
             b.count for b in self.bands if b.upper_bound <= self.chosen
         )
-        return roomy >= MIN_BASELINE_SAMPLES
+        return samples >= MIN_BASELINE_SAMPLES
 
     # -- commands ---------------------------------------------------------
 
@@ -191,5 +191,7 @@
     >>> [band.upper_bound for band in make_bands(6)]
     [3, 4, 5, 6]
     """
-    ends = {max(1, int(slots * share)) for share in BAND_SHARES}
-    return [UtilizationBand(upper_bound) for upper_bound in sorted(ends)]
+    upper_bounds = {max(1, int(slots * share)) for share in BAND_SHARES}
+    return [
+        UtilizationBand(upper_bound) for upper_bound in sorted(upper_bounds)
+    ]
--- a/cyclamenlift/gate/gate_call.py
+++ b/cyclamenlift/gate/gate_call.py
@@ -130,7 +130,7 @@
             repeatable=start.idempotent,
         )
 
-    def ask_for_body(self) -> None:
+    def request_body(self) -> None:
         """Let the entry send a body that did not come with the call."""
         if not self.body_received:
             self.gate.body_transfers.request_transfer(self)
@@ -149,7 +149,7 @@
             return 0
         return max(0, (self.start.body_length or 0) - self.received)
 
-    def take_body(self, data: bytes, last: bool) -> None:
+    def receive_body(self, data: bytes, last: bool) -> None:
         """Process a chunk of the request's body."""
         if data:
             self.body.append(data)
@@ -179,7 +179,7 @@
         else:
             self.owed_credit += len(data)
 
-    def take_credit(self, allowed: int) -> None:
+    def add_credit(self, allowed: int) -> None:
         """Allow that many more bytes of the answer to be sent."""
         self.window += allowed
         if self.window > 0 and self.target_call is not None:
--- a/cyclamenlift/gate/health.py
+++ b/cyclamenlift/gate/health.py
@@ -26,7 +26,7 @@
 # Maximum age of the load, in periods, while no call waits for it. The gate
 # queries the pace before a call begins, so a later figure only serves to
 # inform entries.
-MAX_QUIET_PERIODS = 6.0
+MAX_LOAD_AGE_PERIODS = 6.0
 GOOD_STATUS = range(200, 400)
 
 
@@ -43,7 +43,7 @@
         self.client = client
         self.settings = settings
         self.failures = 0
-        self.asked = 0
+        self.requests_sent = 0
         self.request_sent_at = 0.0
         self.call = None
         self.timer = None
@@ -64,7 +64,7 @@
         self.gate.scheduler.every(self.settings.health_seconds, self.poll)
 
     def is_load_recent(self) -> bool:
-        """Tell whether a recent answer reported the load, so no poll is due.
+        """Return whether a recent answer reported the load, so no poll is due.
 
         The page is still polled once a second to check health itself.
         """
@@ -84,7 +84,7 @@
         """
         if self.gate.state.queue:
             return self.settings.health_seconds
-        return MAX_QUIET_PERIODS * self.settings.health_seconds
+        return MAX_LOAD_AGE_PERIODS * self.settings.health_seconds
 
     def path(self) -> str:
         """Return the path of the page, from the document or the settings."""
@@ -108,7 +108,7 @@
             return False
         if self.gate.rule and not self.gate.budget.take(self.gate.now()):
             return False
-        self.asked += 1
+        self.requests_sent += 1
         self.request_sent_at = self.gate.now()
         request = TargetRequest(
             method='GET',
--- a/cyclamenlift/gate/pace_notifier.py
+++ b/cyclamenlift/gate/pace_notifier.py
@@ -42,7 +42,7 @@
         self.subscribers.pop(link.number, None)
 
     def is_due(self, pace_percent: int) -> bool:
-        """Tell whether a pace differs from the one that was last sent."""
+        """Return whether a pace differs from the one that was last sent."""
         if not pace_percent:
             return False
         return not is_same_pace(pace_percent, self.last_sent_pace)
@@ -61,7 +61,7 @@
 
 
 def is_same_pace(pace: int, sent_pace: int) -> bool:
-    """Tell whether two paces differ too little to send an update.
+    """Return whether two paces differ too little to send an update.
 
     >>> is_same_pace(100, 110), is_same_pace(700, 100)
     (True, False)
--- a/cyclamenlift/gate/performance.py
+++ b/cyclamenlift/gate/performance.py
@@ -89,11 +89,11 @@
         return self.slowdowns.remaining(now)
 
     def is_usual(self, now: float) -> bool:
-        """Tell whether the target is in no slowdown."""
+        """Return whether the target is in no slowdown."""
         return self.percent(now) <= MAX_LEARNING_PACE
 
     def was_constant(self, seconds: float, now: float) -> bool:
-        """Tell whether the pace was constant for the last ``seconds``."""
+        """Return whether the pace was constant for the last ``seconds``."""
         return self.steady_since <= now - seconds
 
 
@@ -147,14 +147,14 @@
         usual_seconds = at_usual_pace(own, pace)
         self.slot_time.note(usual_seconds + nested)
         in_use = concurrent + 1.0
-        if self.work.knows(route, MIN_BASELINE_SAMPLES):
+        if self.work.has_samples(route, MIN_BASELINE_SAMPLES):
             ratio = usual_seconds / self.work.seconds(route)
             self.limiter.note(ratio, in_use, now)
         if self.limiter.is_uncontended(in_use):
             self.work.note(route, own, pace, 0, nested)
 
     def is_work_sample(self, pace_at_start: PaceAtStart) -> bool:
-        """Tell whether a call that began at this pace measures its work.
+        """Return whether a call that began at this pace measures its work.
 
         Targets that never report a pace are assumed to keep the usual one.
         """
@@ -173,7 +173,7 @@
         """Update the pace model with a call during which the pace changed."""
         if nested or not pace_at_start.pace_percent:
             return
-        if not self.work.knows(route, MIN_BASELINE_SAMPLES):
+        if not self.work.has_samples(route, MIN_BASELINE_SAMPLES):
             return
         usual = self.work.seconds(route)
         followed = self.pace.progress.until(now) - pace_at_start.progress
@@ -183,7 +183,7 @@
     def is_pace_uncertain(
         self, route: str, objective: float, now: float
     ) -> bool:
-        """Tell whether querying the pace pays off before a call begins."""
+        """Return whether querying the pace pays off before a call begins."""
         work = self.work.seconds(route, objective)
         age = self.pace.age(now)
         return self.pace.slowdowns.risk(work, age, now) > PACE_QUERY_SECONDS
--- a/cyclamenlift/gate/registration.py
+++ b/cyclamenlift/gate/registration.py
@@ -104,12 +104,12 @@
         """Whether the target accepts no new calls."""
         return self.left or bool(self.current and self.current.draining)
 
-    def is_over(self, announcement: Announcement) -> bool:
-        """Tell whether an announcement is of an incarnation that ended.
+    def has_ended(self, announcement: Announcement) -> bool:
+        """Return whether an announcement is of an incarnation that ended.
 
         One that was only replaced may still be running, if the replacement was
-        a delayed announcement: the health page decides. One that left stays
-        out whatever its page says.
+        a delayed announcement: the health page decides. One that announced
+        its departure stays ended whatever its page reports.
         """
         ended = self.ended.get(announcement.incarnation)
         if ended is None:
@@ -126,7 +126,7 @@
         self, announcement: Announcement, now: float
     ) -> AnnouncementOutcome:
         """Process an announcement; STALE changes nothing."""
-        if self.is_over(announcement):
+        if self.has_ended(announcement):
             return AnnouncementOutcome.STALE
         current = self.current
         if current is None:
@@ -205,13 +205,13 @@
         return True
 
     def doubt(self, incarnation: str) -> None:
-        """Note that a different target answered in this one's name."""
+        """Note that a different target answered at the address."""
         if self.incarnation == incarnation:
             self.doubted = True
 
 
 def is_older(born_ms: int, other_ms: int) -> bool:
-    """Tell whether one start is known to precede another.
+    """Return whether one start is known to precede another.
 
     >>> is_older(5, 7), is_older(7, 7), is_older(UNKNOWN_START, 7)
     (True, False, False)
--- a/cyclamenlift/gate/state.py
+++ b/cyclamenlift/gate/state.py
@@ -354,8 +354,8 @@
         ``guess`` is the slot hold time to assume before any was measured.
         """
         usual = self.performance.slot_seconds(guess)
-        held = mean_hold_time(self.hold_times.values(), usual)
-        return seconds_until_slot(ahead, len(self.running), limit, held)
+        seconds = mean_hold_time(self.hold_times.values(), usual)
+        return seconds_until_slot(ahead, len(self.running), limit, seconds)
 
     def estimate(self, request: AdmissionRequest, now: float) -> StartPlan:
         """Return the soonest way to finish a call, nested calls included."""
@@ -370,7 +370,7 @@
     def would_waste_slot(
         self, request: AdmissionRequest, best: StartPlan, now: float
     ) -> bool:
-        """Tell whether a slot would go to a call that will be late.
+        """Return whether a slot would go to a call that will be late.
 
         Applies only when other calls compete for slots; a target with free
         capacity serves the call anyway.
--- a/cyclamenlift/gate/suspects.py
+++ b/cyclamenlift/gate/suspects.py
@@ -69,7 +69,7 @@
         self.next_trial[fingerprint] = now + TRIAL_SECONDS
 
     def is_running(self, fingerprint: bytes) -> bool:
-        """Tell whether the target already runs the same request.
+        """Return whether the target already runs the same request.
 
         Only one runs at a time: otherwise one request could terminate several
         targets at once.
--- a/cyclamenlift/gate/tasks.py
+++ b/cyclamenlift/gate/tasks.py
@@ -137,7 +137,7 @@
             self.run_state_hooks()
 
     def is_foreign(self, incarnation: str, address: str) -> bool:
-        """Tell whether an announcement comes from another instance's target.
+        """Return whether an announcement comes from another instance's target.
 
         Targets of other instances may announce themselves here while their own
         daemon is down. They must not be acknowledged, as this gate can't
@@ -241,18 +241,18 @@
         return self.calls_by_trace_id.get(name) if name else None
 
     def is_answering(self) -> bool:
-        """Tell whether most recent calls to the target succeeded."""
+        """Return whether most recent calls to the target succeeded."""
         errors = self.state.errors
         share = errors.share(self.now())
         return errors.total >= MIN_ANSWERS and share < MAX_ERROR_SHARE
 
     def is_target_unknown(self) -> bool:
-        """Tell whether the target's incarnation is unknown or in doubt."""
+        """Return whether the target's incarnation is unknown or in doubt."""
         registration = self.registration
         return registration.current is None or registration.doubted
 
     def awaits_target(self) -> bool:
-        """Tell whether calls must wait until the target is identified."""
+        """Return whether calls must wait until the target is identified."""
         return (
             bool(self.dialect.required_incarnation)
             and self.is_target_unknown()
@@ -314,12 +314,12 @@
     def on_body_chunk(self, link, chunk: BodyChunk) -> None:
         call = self.calls.get((link.number, chunk.call_id))
         if call is not None:
-            call.take_body(chunk.data, chunk.last)
+            call.receive_body(chunk.data, chunk.last)
 
     def on_credit(self, link, credit: Credit) -> None:
         call = self.calls.get((link.number, credit.call_id))
         if call is not None:
-            call.take_credit(credit.bytes_allowed)
+            call.add_credit(credit.bytes_allowed)
 
     def on_cancel(self, link, cancel: Cancel) -> None:
         """Confirm a cancellation; only an unsent call is proven not run."""
@@ -363,8 +363,8 @@
 
     def cancel_call(self, call: GateCall) -> None:
         """Cancel a call in whatever stage it is."""
-        asked = self.pace_queries.withdraw(call.key)
-        undecided = asked and call.key not in self.state.running
+        was_deferred = self.pace_queries.withdraw(call.key)
+        undecided = was_deferred and call.key not in self.state.running
         if undecided or self.state.withdraw(call.key):
             self.forget(call)
             self.check_idle()
--- a/cyclamenlift/quarantine/state.py
+++ b/cyclamenlift/quarantine/state.py
@@ -206,7 +206,7 @@
     def keys(self) -> list[int]:
         return list(self.reports)
 
-    def knows(self, report: Report) -> bool:
+    def contains(self, report: Report) -> bool:
         return report.key in self.reports
 
     def unknown_to(self, keys: Iterable[int]) -> list[Report]:
--- a/cyclamenlift/quarantine/tasks.py
+++ b/cyclamenlift/quarantine/tasks.py
@@ -157,7 +157,7 @@
 
     def accept(self, report: Report, fanout: int) -> bool:
         """Store and forward a new report; return False if it is known."""
-        if self.history.knows(report):
+        if self.history.contains(report):
             return False
         cleared = self.history.add(report, self.now())
         self.log_accepted(report)
--- a/cyclamenlift/routing/probes.py
+++ b/cyclamenlift/routing/probes.py
@@ -51,7 +51,8 @@
     """An entry's probe allowance: a fraction of a probe per call sent.
 
     The event's budget limits probes per second. This limits them by calls, so
-    that a quiet service with few slots is not flooded with probes.
+    that a service with little traffic and few slots is not flooded with
+    probes.
     """
 
     def __init__(self, rate: float):
--- a/cyclamenlift/routing/work.py
+++ b/cyclamenlift/routing/work.py
@@ -73,7 +73,7 @@
             known = self.routes[route] = RouteWork()
         known.note(at_usual_pace(seconds, pace_percent), size, nested)
 
-    def knows(self, route: str, samples: int) -> bool:
+    def has_samples(self, route: str, samples: int) -> bool:
         """Return whether at least ``samples`` answers of a route were seen."""
         known = self.routes.get(route)
         return known is not None and known.count >= samples
--- a/cyclamenlift/runtime/status.py
+++ b/cyclamenlift/runtime/status.py
@@ -63,7 +63,7 @@
         kept_body_bytes=node.calls.body_budget.used,
         probes_answered=gate.budget.answered if gate else 0,
         probes_dropped=gate.budget.dropped if gate else 0,
-        health_requests=node.health.asked if gate else 0,
+        health_requests=node.health.requests_sent if gate else 0,
     )
 
 
--- a/tests/calls/test_attempt.py
+++ b/tests/calls/test_attempt.py
@@ -21,9 +21,9 @@
     def post(self, message) -> bytes:
         if isinstance(message, BodyChunk):
             self.received.append(message)
-            self.attempt.take_credit(len(message.data))
+            self.attempt.add_credit(len(message.data))
         else:
-            self.attempt.take_credit(2 * CHUNK_BYTES)
+            self.attempt.add_credit(2 * CHUNK_BYTES)
         return b'frame'
 
 
--- a/tests/calls/test_shares.py
+++ b/tests/calls/test_shares.py
@@ -17,10 +17,10 @@
 
 @pytest.mark.parametrize('weights', [{'a': 90, 'b': 10}, {'a': 1, 'b': 2}])
 def test_any_run_of_requests_is_split_by_the_weights(weights):
-    turns = WeightedRoundRobin(random.Random(4))
+    service_picker = WeightedRoundRobin(random.Random(4))
     wanted = route(**weights)
     counts = collections.Counter(
-        turns.next_service(wanted) for _ in range(300)
+        service_picker.next_service(wanted) for _ in range(300)
     )
     total = sum(weights.values())
     for name, weight in weights.items():
@@ -28,9 +28,9 @@
 
 
 def test_a_service_of_zero_weight_gets_no_requests():
-    turns = WeightedRoundRobin(random.Random(4))
+    service_picker = WeightedRoundRobin(random.Random(4))
     wanted = route(a=0, b=5)
-    assert {turns.next_service(wanted) for _ in range(50)} == {'b'}
+    assert {service_picker.next_service(wanted) for _ in range(50)} == {'b'}
 
 
 def test_many_entries_do_not_all_begin_with_the_same_service():
@@ -43,8 +43,8 @@
 
 
 def test_changed_weights_count_from_the_next_request():
-    turns = WeightedRoundRobin(random.Random(4))
+    service_picker = WeightedRoundRobin(random.Random(4))
     for _ in range(5):
-        turns.next_service(route(a=100, b=1))
+        service_picker.next_service(route(a=100, b=1))
     changed = route(a=0, b=1)
-    assert turns.next_service(changed) == 'b'
+    assert service_picker.next_service(changed) == 'b'
--- a/tests/gate/test_concurrency.py
+++ b/tests/gate/test_concurrency.py
@@ -122,9 +122,9 @@
     state = GateState(SLOTS)
     state.note_target_load(TargetLoad(3, 0, SLOTS, 100), 1.0)
     state.note_work('list', 0.150, 3, 1.1)
-    assert not state.performance.work.knows('list', 1)
+    assert not state.performance.work.has_samples('list', 1)
     state.note_work('list', 0.150, 3, 1.2)
-    assert state.performance.work.knows('list', 1)
+    assert state.performance.work.has_samples('list', 1)
 
 
 def test_work_measured_on_a_cold_target_is_normalized():
--- a/tools/mutants_calls.py
+++ b/tools/mutants_calls.py
@@ -218,8 +218,8 @@
     Mutant(
         'slow calls are thought to free their slots soon',
         'cyclamenlift/gate/state.py',
-        'held = mean_hold_time(self.hold_times.values(), usual)',
-        'held = usual',
+        'seconds = mean_hold_time(self.hold_times.values(), usual)',
+        'seconds = usual',
         'tests/gate/test_calls_in_slowdowns.py',
     ),
     Mutant(
