--- a/cyclamenlift/calls/tasks.py
+++ b/cyclamenlift/calls/tasks.py
@@ -128,7 +128,7 @@
             self.service_picker.keep_only(names)
             self.usual_timeouts.keep_only(names)
 
-    def handle(self, exchange: Exchange) -> None:
+    def handle_request(self, exchange: Exchange) -> None:
         """Accept a request from the HTTP server."""
         result = read_request(
             exchange, self.rules, self.max_depth, self.service_picker
--- a/cyclamenlift/http/connection.py
+++ b/cyclamenlift/http/connection.py
@@ -133,7 +133,7 @@
         self.head_deadline_set = False
         now = self.server.now()
         self.active = Exchange(self, request, now)
-        self.server.handle(self.active)
+        self.server.take(self.active)
 
     def start_pipelined(self) -> None:
         """Start requests that needn't wait for earlier responses."""
@@ -149,7 +149,7 @@
             request = self.parser.queue.popleft()
             last = Exchange(self, request, self.server.now(), early=True)
             self.pipelined.append(last)
-            self.server.handle(last)
+            self.server.take(last)
             if not self.stream.open:
                 return
 
--- a/cyclamenlift/http/lazy_web.py
+++ b/cyclamenlift/http/lazy_web.py
@@ -38,11 +38,11 @@
         self.queued: list[Exchange] | None = None
         self.register(root)
         self.http = HttpServer(
-            root.poller, limits or HttpLimits(), self.handle, f'{channel}-http'
+            root.poller, limits or HttpLimits(), self.take, f'{channel}-http'
         ).register(self)
         self.address = self.http.listen(address)
 
-    def handle(self, exchange: Exchange) -> None:
+    def take(self, exchange: Exchange) -> None:
         """Handle one request.
 
         Controllers are registered by events. The first requests are queued
@@ -55,13 +55,13 @@
         if self.queued is not None:
             self.queued.append(exchange)
             return
-        self.bridge.handle(exchange)
+        self.bridge.take(exchange)
 
     @handler('pages_ready')
     def _on_pages_ready(self) -> None:
         queued, self.queued = self.queued or [], None
         for exchange in queued:
-            self.bridge.handle(exchange)
+            self.bridge.take(exchange)
 
     def create_bridge(self):
         from cyclamenlift.http.web import WebBridge
--- a/cyclamenlift/http/server.py
+++ b/cyclamenlift/http/server.py
@@ -20,7 +20,7 @@
 class HttpServer(StreamOwner):
     """Serves HTTP/1.1 with strict framing.
 
-    ``handle(exchange)`` is called synchronously when the head of a request
+    ``take(exchange)`` is called synchronously when the head of a request
     has been read. Requests of one connection are handled in order.
     """
 
@@ -28,14 +28,14 @@
         self,
         poller,
         limits: HttpLimits,
-        handle: Callable[[Exchange], None],
+        take: Callable[[Exchange], None],
         channel: str,
         dialect: Dialect = DEFAULT_DIALECT,
     ):
         super().__init__(poller, channel)
         self.limits = limits
         self.dialect = dialect
-        self.handle = handle
+        self.take = take
         self.draining = False
         self.closing = False
 
--- a/cyclamenlift/http/web.py
+++ b/cyclamenlift/http/web.py
@@ -66,7 +66,7 @@
 
     # -- requests ---------------------------------------------------------
 
-    def handle(self, exchange: Exchange) -> None:
+    def take(self, exchange: Exchange) -> None:
         """Read the body within the limit, then dispatch the request."""
         parts: list[bytes] = []
 
@@ -206,15 +206,15 @@
         super().__init__(channel=channel)
         self.register(root)
         self.http = HttpServer(
-            root.poller, limits or HttpLimits(), self.handle, f'{channel}-http'
+            root.poller, limits or HttpLimits(), self.take, f'{channel}-http'
         ).register(self)
         self.address = self.http.listen(address)
         self.bridge = WebBridge(self.address, f'{channel}-web').register(self)
         for controller in controllers:
             controller.register(self)
 
-    def handle(self, exchange: Exchange) -> None:
-        self.bridge.handle(exchange)
+    def take(self, exchange: Exchange) -> None:
+        self.bridge.take(exchange)
 
     def begin_drain(self) -> None:
         """Accept no new connections; finish the requests in flight."""
--- a/cyclamenlift/runtime/daemon.py
+++ b/cyclamenlift/runtime/daemon.py
@@ -202,7 +202,7 @@
         server = HttpServer(
             self.loop.poller,
             limits,
-            self.calls.handle,
+            self.calls.handle_request,
             channel='entry',
             dialect=self.dialect,
         )
--- a/tests/http/builders.py
+++ b/tests/http/builders.py
@@ -179,7 +179,7 @@
 
 
 def build_server_harness(
-    handle=echo, limits: HttpLimits = LIMITS
+    take=echo, limits: HttpLimits = LIMITS
 ) -> ServerHarness:
     """Return an ``HttpServer`` that records its exchanges."""
     loop = Loop()
@@ -187,7 +187,7 @@
 
     def note(exchange: Exchange) -> None:
         exchanges.append(exchange)
-        handle(exchange)
+        take(exchange)
 
     server = HttpServer(loop.root.poller, limits, note, 'harness')
     server.register(loop.root)
--- a/tests/http/test_server.py
+++ b/tests/http/test_server.py
@@ -169,10 +169,10 @@
     ],
 )
 def test_response_without_body_sends_none(method, status, fields, length):
-    def handle(exchange):
+    def take(exchange):
         exchange.respond(status, fields, b'abc')
 
-    harness = build_server_harness(handle)
+    harness = build_server_harness(take)
     caller = harness.ask(request(f'{method} / HTTP/1.1'))
     assert caller.received.endswith(b'\r\n\r\n')
     assert (b'Content-Length' in caller.received) is (length is not None)
@@ -208,13 +208,13 @@
     ids=['length', 'chunked', 'until close', 'too short', 'too long'],
 )
 def test_streamed_response_is_complete_or_reset(version, length, sent, whole):
-    def handle(exchange):
+    def take(exchange):
         exchange.start(200, [], length)
         exchange.send(b'abc')
         exchange.send(b'def')
         exchange.finish()
 
-    harness = build_server_harness(handle)
+    harness = build_server_harness(take)
     caller = harness.ask(request(f'GET / HTTP/{version}'))
     assert caller.reset is not whole
     assert sent is None or caller.received == sent
@@ -342,10 +342,10 @@
 def test_framing_fields_of_a_response_are_replaced():
     fields = [('content-length', '99'), ('transfer-encoding', 'chunked')]
 
-    def handle(exchange):
+    def take(exchange):
         exchange.respond(200, [*fields, ('connection', 'x')], b'abc')
 
-    harness = build_server_harness(handle)
+    harness = build_server_harness(take)
     caller = harness.ask(GET_A)
     assert caller.received == (
         b'HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc'
@@ -391,12 +391,12 @@
 
 
 def test_exception_in_the_application_resets_one_connection():
-    def handle(exchange):
+    def take(exchange):
         if exchange.path == '/boom':
             raise RuntimeError('boom')
         exchange.respond(200, [], b'fine')
 
-    harness = build_server_harness(handle)
+    harness = build_server_harness(take)
     caller = harness.ask(request('GET /boom HTTP/1.1'))
     assert caller.reset and caller.received == b''
     assert bodies(harness.ask(GET_A)) == [b'fine']
--- a/tests/runtime/builders.py
+++ b/tests/runtime/builders.py
@@ -266,7 +266,10 @@
         self.network.subscribe(BodyChunk, self.calls.on_body_chunk)
         self.network.subscribe(Credit, self.calls.on_credit)
         self.server = HttpServer(
-            self.loop.poller, HttpLimits(), self.calls.handle, channel='entry'
+            self.loop.poller,
+            HttpLimits(),
+            self.calls.handle_request,
+            channel='entry',
         ).register(self.loop)
         self.entry = self.server.listen(LOCAL)
         self.rules = rules(**fields)
