--- a/cyclamenlift/events/control_orders.py
+++ b/cyclamenlift/events/control_orders.py
@@ -55,7 +55,7 @@
         self.over = False
         self.timer = forwarder.loop.scheduler.at(give_up_at, self.give_up)
 
-    def take(self, report: PublishReport) -> None:
+    def on_report(self, report: PublishReport) -> None:
         """Return a final outcome, or forward an undecided order."""
         if self.over:
             return
@@ -127,7 +127,7 @@
 
     # -- commands ---------------------------------------------------------
 
-    def take(self, order: Order, remote: Address, done: OrderDone) -> None:
+    def handle(self, order: Order, remote: Address, done: OrderDone) -> None:
         """Process an order from an operator."""
         log_received(order, remote, self.context.leads())
         give_up_at = self.forwarder.now() + ORDER_TIMEOUT_SECONDS
@@ -148,10 +148,10 @@
         if known is not None:
             done(known)
         elif self.context.leads():
-            wait = PendingExecution(
+            execution = PendingExecution(
                 self.forwarder, order, give_up_at, done, maybe_appended
             )
-            self.execute(order, wait.take)
+            self.execute(order, execution.on_report)
         else:
             self.forwarder.forward(order, give_up_at, done, maybe_appended)
 
@@ -164,8 +164,10 @@
             return
         self.in_progress[change_id] = [done]
         try:
-            kind = ORDER_KINDS.get(order.kind)
-            kind(self.context, order, lambda r: self.finish(change_id, r))
+            execute_kind = ORDER_KINDS.get(order.kind)
+            execute_kind(
+                self.context, order, lambda r: self.finish(change_id, r)
+            )
         except Exception as error:
             # Parsing the body may raise any error. It must not close the
             # connection, which carries other messages as well.
--- a/cyclamenlift/gate/announcements.py
+++ b/cyclamenlift/gate/announcements.py
@@ -19,7 +19,7 @@
 class Announcements:
     """Processes announcements and departures of the gate's target.
 
-    ``doubt_hooks`` run when a different target answered in its name.
+    ``doubt_hooks`` run when a different target answered at its address.
     """
 
     def __init__(self, gate: 'Gate', unix_ms: Callable[[], int]):
@@ -38,7 +38,7 @@
             return outcome
         if outcome is AnnouncementOutcome.NEW:
             if before and not draining:
-                gate.ends.note_replaced(before)
+                gate.termination.note_replaced(before)
             self.begin_incarnation(announcement, before)
         if announcement.slots and announcement.slots != gate.state.slots:
             gate.set_slots(announcement.slots)
--- a/cyclamenlift/gate/tasks.py
+++ b/cyclamenlift/gate/tasks.py
@@ -74,7 +74,7 @@
         self.verifies_call_ids = dialect.call_id_repeated
         self.state = GateState(slots)
         self.announcements = Announcements(self, self.clock.unix_ms)
-        self.news = PaceNotifier()
+        self.pace_notifier = PaceNotifier()
         self.lag_tracker = LagTracker()
         # The target's host, '' if unknown.
         self.target_host = ''
@@ -89,7 +89,7 @@
         self.slots_hooks: list[Callable[[int], None]] = []
         self.refused = 0
         self.pace_queries = PaceQueries(scheduler)
-        self.ends = TerminationDetector(self)
+        self.termination = TerminationDetector(self)
         self.presence = Presence(self)
         self.body_transfers = BodyTransfers(self)
         self.admission_control = AdmissionController(self)
@@ -137,7 +137,7 @@
             self.run_state_hooks()
 
     def is_foreign(self, incarnation: str, address: str) -> bool:
-        """Tell whether an announcement comes from another instance's target.
+        """Return whether an announcement comes from another instance's target.
 
         Targets of other instances may announce themselves here while their own
         daemon is down. They must not be acknowledged, as this gate can't
@@ -188,8 +188,8 @@
 
     def notify_pace_change(self, now: float) -> None:
         """Notify entries of a pace change and refuse calls it makes late."""
-        if self.news.is_due(self.state.pace_percent(now)):
-            self.news.notify(self.figures(), now)
+        if self.pace_notifier.is_due(self.state.pace_percent(now)):
+            self.pace_notifier.notify(self.figures(), now)
             self.admission_control.refuse_late_calls(now)
 
     def release(
@@ -226,7 +226,7 @@
         return self.bytes_due() / self.link_rate if self.link_rate else 0.0
 
     def is_idle(self) -> bool:
-        if self.pace_queries.waiting or self.ends.has_unreported:
+        if self.pace_queries.waiting or self.termination.has_unreported:
             return False
         return self.state.is_idle()
 
@@ -241,18 +241,18 @@
         return self.calls_by_trace_id.get(name) if name else None
 
     def is_answering(self) -> bool:
-        """Tell whether most recent calls to the target succeeded."""
+        """Return whether most recent calls to the target succeeded."""
         errors = self.state.errors
         share = errors.share(self.now())
         return errors.total >= MIN_ANSWERS and share < MAX_ERROR_SHARE
 
     def is_target_unknown(self) -> bool:
-        """Tell whether the target's incarnation is unknown or in doubt."""
+        """Return whether the target's incarnation is unknown or in doubt."""
         registration = self.registration
         return registration.current is None or registration.doubted
 
     def awaits_target(self) -> bool:
-        """Tell whether calls must wait until the target is identified."""
+        """Return whether calls must wait until the target is identified."""
         return (
             bool(self.dialect.required_incarnation)
             and self.is_target_unknown()
@@ -289,7 +289,7 @@
             # targets would reach this one.
             call.send_refused(ResultCode.NO_TARGET, 'ends not known yet')
             return
-        self.news.note_call(link, now)
+        self.pace_notifier.note_call(link, now)
         if self.presence.absent:
             call.send_refused(ResultCode.TARGET_UNREACHABLE, 'nobody listens')
             return
@@ -314,12 +314,12 @@
     def on_body_chunk(self, link, chunk: BodyChunk) -> None:
         call = self.calls.get((link.number, chunk.call_id))
         if call is not None:
-            call.take_body(chunk.data, chunk.last)
+            call.receive_body(chunk.data, chunk.last)
 
     def on_credit(self, link, credit: Credit) -> None:
         call = self.calls.get((link.number, credit.call_id))
         if call is not None:
-            call.take_credit(credit.bytes_allowed)
+            call.add_credit(credit.bytes_allowed)
 
     def on_cancel(self, link, cancel: Cancel) -> None:
         """Confirm a cancellation; only an unsent call is proven not run."""
@@ -341,7 +341,7 @@
         A call that is not idempotent and was sent runs on: cutting it would
         leave a booking half done to nobody's benefit.
         """
-        self.news.forget(link)
+        self.pace_notifier.forget(link)
         self.lag_tracker.forget(link.number)
         for key, call in list(self.calls.items()):
             if key[0] != link.number:
@@ -363,13 +363,13 @@
 
     def cancel_call(self, call: GateCall) -> None:
         """Cancel a call in whatever stage it is."""
-        asked = self.pace_queries.withdraw(call.key)
-        undecided = asked and call.key not in self.state.running
+        was_deferred = self.pace_queries.withdraw(call.key)
+        undecided = was_deferred and call.key not in self.state.running
         if undecided or self.state.withdraw(call.key):
             self.forget(call)
             self.check_idle()
             return
-        self.ends.note_cancelled(call)
+        self.termination.note_cancelled(call)
         call.stop_target()
         self.release(call, None, False)
 
