--- a/bench/claim_load.py
+++ b/bench/claim_load.py
@@ -5,8 +5,8 @@
 import random
 import time
 
-from cyclamenlift.core.scheduler import build_root
 from cyclamenlift.core.streams import Address
+from cyclamenlift.core.tasks import build_root
 from cyclamenlift.ledger.tasks import ClaimClient
 from cyclamenlift.wire.gen.protocol.ttypes import ClaimAnswer
 from cyclamenlift.wire.gen.protocol.ttypes import ClaimEnd
@@ -14,7 +14,7 @@
 from cyclamenlift.wire.gen.protocol.ttypes import ClaimRequest
 from cyclamenlift.wire.gen.protocol.ttypes import ClaimVerdict
 from cyclamenlift.wire.gen.protocol.ttypes import RecordedAnswer
-from cyclamenlift.wire.network import PeerNetwork
+from cyclamenlift.wire.tasks import PeerNetwork
 
 SERVICE = 'sale'
 CLAIM_SECONDS = 20.0
--- a/bench/floor_roles.py
+++ b/bench/floor_roles.py
@@ -15,10 +15,10 @@
 from circuits.web.servers import Server
 
 from cyclamenlift.core.registry import Registry
-from cyclamenlift.core.scheduler import build_root
 from cyclamenlift.core.streams import Address
 from cyclamenlift.core.streams import Stream
 from cyclamenlift.core.streams import StreamOwner
+from cyclamenlift.core.tasks import build_root
 from cyclamenlift.http.limits import HttpLimits
 from cyclamenlift.http.server import HttpServer
 from cyclamenlift.http.web import WebServer
--- a/bench/gossip_sockets.py
+++ b/bench/gossip_sockets.py
@@ -12,8 +12,8 @@
 
 import fire
 
-from cyclamenlift.core.scheduler import build_root
 from cyclamenlift.core.streams import Address
+from cyclamenlift.core.tasks import build_root
 from cyclamenlift.membership.budget import IP_UDP_BYTES
 from cyclamenlift.membership.settings import MembershipSettings
 from cyclamenlift.membership.tasks import Membership
--- a/bench/replication_node.py
+++ b/bench/replication_node.py
@@ -16,12 +16,12 @@
 from returns.result import Success
 
 from cyclamenlift.core.logs import configure_logs
-from cyclamenlift.core.scheduler import build_root
 from cyclamenlift.core.streams import Address
 from cyclamenlift.core.streams import StreamOwner
+from cyclamenlift.core.tasks import build_root
 from cyclamenlift.replication.settings import ReplicaSettings
 from cyclamenlift.replication.tasks import Replica
-from cyclamenlift.wire.network import PeerNetwork
+from cyclamenlift.wire.tasks import PeerNetwork
 
 COMMAND = b'x' * 200
 MAX_KEPT_COMMANDS = 500
--- a/cyclamenlift/core/__init__.py
+++ b/cyclamenlift/core/__init__.py
@@ -8,9 +8,9 @@
 from cyclamenlift.core.codes import ResultCode
 from cyclamenlift.core.problems import Problem
 from cyclamenlift.core.registry import Registry
-from cyclamenlift.core.scheduler import build_root
-from cyclamenlift.core.scheduler import Scheduler
-from cyclamenlift.core.scheduler import Timer
+from cyclamenlift.core.tasks import build_root
+from cyclamenlift.core.tasks import Scheduler
+from cyclamenlift.core.tasks import Timer
 
 __all__ = [
     'Clock',
--- a/cyclamenlift/events/control_orders.py
+++ b/cyclamenlift/events/control_orders.py
@@ -25,8 +25,8 @@
 from cyclamenlift.events.reports import DocumentReport
 from cyclamenlift.events.reports import PublishReport
 from cyclamenlift.wire.gen.protocol.ttypes import OrderRequest
-from cyclamenlift.wire.network import Link
-from cyclamenlift.wire.network import PeerNetwork
+from cyclamenlift.wire.tasks import Link
+from cyclamenlift.wire.tasks import PeerNetwork
 
 LOG = structlog.get_logger('orders')
 
--- a/cyclamenlift/events/daemon_orders.py
+++ b/cyclamenlift/events/daemon_orders.py
@@ -12,7 +12,7 @@
 from cyclamenlift.events.orders import OrderDone
 from cyclamenlift.events.reports import PublishReport
 from cyclamenlift.wire.gen.protocol.ttypes import OrderRequest
-from cyclamenlift.wire.network import Link
+from cyclamenlift.wire.tasks import Link
 
 # How long a daemon tries to forward a control instance's order, in seconds.
 RELAY_SECONDS = 0.4
--- a/cyclamenlift/events/document_answers.py
+++ b/cyclamenlift/events/document_answers.py
@@ -12,7 +12,7 @@
 from cyclamenlift.events.history import packed_size
 from cyclamenlift.wire.gen.protocol.ttypes import DocumentAnswer
 from cyclamenlift.wire.gen.protocol.ttypes import DocumentRequest
-from cyclamenlift.wire.network import Link
+from cyclamenlift.wire.tasks import Link
 
 # How long queued documents may occupy a link before further requests are
 # redirected, in seconds: an eighth of the 2 s in which a change has to be in
--- a/cyclamenlift/events/document_pulling.py
+++ b/cyclamenlift/events/document_pulling.py
@@ -15,7 +15,7 @@
 from cyclamenlift.core.streams import Address
 from cyclamenlift.events.adoption import Offer
 from cyclamenlift.events.sources import DocumentSources
-from cyclamenlift.wire.network import Link
+from cyclamenlift.wire.tasks import Link
 
 if typing.TYPE_CHECKING:
     from cyclamenlift.events.tasks import ConfigFollower
--- a/cyclamenlift/events/order_forwarding.py
+++ b/cyclamenlift/events/order_forwarding.py
@@ -5,8 +5,8 @@
 import structlog
 
 from cyclamenlift.core.codes import ResultCode
-from cyclamenlift.core.scheduler import Root
 from cyclamenlift.core.streams import Address
+from cyclamenlift.core.tasks import Root
 from cyclamenlift.events.commands import Change
 from cyclamenlift.events.commands import LOGGED_ID_LENGTH
 from cyclamenlift.events.orders import Order
@@ -18,8 +18,8 @@
 from cyclamenlift.ledger.leader_client import LeaderRequest
 from cyclamenlift.wire.gen.protocol.ttypes import OrderAnswer
 from cyclamenlift.wire.gen.protocol.ttypes import OrderRequest
-from cyclamenlift.wire.network import Link
-from cyclamenlift.wire.network import PeerNetwork
+from cyclamenlift.wire.tasks import Link
+from cyclamenlift.wire.tasks import PeerNetwork
 
 # Limit of orders that one instance forwards at a time. At the largest size
 # they take 2 MB of memory. Operators have eight orders in flight.
--- a/cyclamenlift/events/server.py
+++ b/cyclamenlift/events/server.py
@@ -14,8 +14,8 @@
 from cyclamenlift.models.lines import lines_from_canonical
 from cyclamenlift.wire.gen.protocol.ttypes import DocumentAnswer
 from cyclamenlift.wire.gen.protocol.ttypes import DocumentRequest
-from cyclamenlift.wire.network import Link
-from cyclamenlift.wire.network import PeerNetwork
+from cyclamenlift.wire.tasks import Link
+from cyclamenlift.wire.tasks import PeerNetwork
 
 LINKS_KEPT = 1024
 PUSH_FANOUT = 8
--- a/cyclamenlift/events/tasks.py
+++ b/cyclamenlift/events/tasks.py
@@ -12,8 +12,8 @@
 from cyclamenlift.core.clock import MILLISECONDS
 from cyclamenlift.core.compression import compress
 from cyclamenlift.core.problems import Problem
-from cyclamenlift.core.scheduler import Root
 from cyclamenlift.core.streams import Address
+from cyclamenlift.core.tasks import Root
 from cyclamenlift.events.adoption import Adoption
 from cyclamenlift.events.adoption import Offer
 from cyclamenlift.events.document_answers import document_size
@@ -27,8 +27,8 @@
 from cyclamenlift.models.rules import EventRules
 from cyclamenlift.wire.gen.protocol.ttypes import DocumentAnswer
 from cyclamenlift.wire.gen.protocol.ttypes import DocumentRequest
-from cyclamenlift.wire.network import Link
-from cyclamenlift.wire.network import PeerNetwork
+from cyclamenlift.wire.tasks import Link
+from cyclamenlift.wire.tasks import PeerNetwork
 
 POLL_SECONDS = 5.0
 CONFIRM_SECONDS = 0.5
--- a/cyclamenlift/http/client.py
+++ b/cyclamenlift/http/client.py
@@ -6,10 +6,10 @@
 
 import structlog
 
-from cyclamenlift.core.scheduler import Timer
 from cyclamenlift.core.streams import Address
 from cyclamenlift.core.streams import Stream
 from cyclamenlift.core.streams import StreamOwner
+from cyclamenlift.core.tasks import Timer
 from cyclamenlift.http.headers import Headers
 from cyclamenlift.http.limits import ClientLimits
 from cyclamenlift.http.response_parser import ResponseParser
--- a/cyclamenlift/http/deadline.py
+++ b/cyclamenlift/http/deadline.py
@@ -2,8 +2,8 @@
 
 from collections.abc import Callable
 
-from cyclamenlift.core.scheduler import Scheduler
-from cyclamenlift.core.scheduler import Timer
+from cyclamenlift.core.tasks import Scheduler
+from cyclamenlift.core.tasks import Timer
 
 
 class MovingDeadline:
--- a/cyclamenlift/ledger/leader_client.py
+++ b/cyclamenlift/ledger/leader_client.py
@@ -7,12 +7,12 @@
 
 from circuits.core.components import BaseComponent
 
-from cyclamenlift.core.scheduler import Root
-from cyclamenlift.core.scheduler import Timer
 from cyclamenlift.core.streams import Address
+from cyclamenlift.core.tasks import Root
+from cyclamenlift.core.tasks import Timer
 from cyclamenlift.ledger.finder import LeaderFinder
-from cyclamenlift.wire.network import Link
-from cyclamenlift.wire.network import PeerNetwork
+from cyclamenlift.wire.tasks import Link
+from cyclamenlift.wire.tasks import PeerNetwork
 
 # Seconds without an answer before another instance is asked.
 ANSWER_TIMEOUT_SECONDS = 0.25
--- a/cyclamenlift/ledger/server.py
+++ b/cyclamenlift/ledger/server.py
@@ -26,8 +26,8 @@
 from cyclamenlift.wire.gen.protocol.ttypes import ClaimRequest
 from cyclamenlift.wire.gen.protocol.ttypes import ClaimVerdict
 from cyclamenlift.wire.gen.protocol.ttypes import Command
-from cyclamenlift.wire.network import Link
-from cyclamenlift.wire.network import PeerNetwork
+from cyclamenlift.wire.tasks import Link
+from cyclamenlift.wire.tasks import PeerNetwork
 
 MAX_PROPOSALS = 10_000
 
--- a/cyclamenlift/ledger/tasks.py
+++ b/cyclamenlift/ledger/tasks.py
@@ -7,8 +7,8 @@
 
 from cyclamenlift.core.clock import MILLISECONDS
 from cyclamenlift.core.codes import ResultCode
-from cyclamenlift.core.scheduler import Root
 from cyclamenlift.core.streams import Address
+from cyclamenlift.core.tasks import Root
 from cyclamenlift.ledger.finder import LeaderFinder
 from cyclamenlift.ledger.leader_client import LeaderClient
 from cyclamenlift.ledger.leader_client import LeaderRequest
@@ -19,8 +19,8 @@
 from cyclamenlift.wire.gen.protocol.ttypes import ClaimEnding
 from cyclamenlift.wire.gen.protocol.ttypes import ClaimRequest
 from cyclamenlift.wire.gen.protocol.ttypes import ClaimVerdict
-from cyclamenlift.wire.network import Link
-from cyclamenlift.wire.network import PeerNetwork
+from cyclamenlift.wire.tasks import Link
+from cyclamenlift.wire.tasks import PeerNetwork
 
 CLAIM_TIMEOUT_SECONDS = 1.0
 MAX_PENDING_RELEASES = 1_000
--- a/cyclamenlift/membership/tasks.py
+++ b/cyclamenlift/membership/tasks.py
@@ -7,8 +7,8 @@
 from circuits.core.components import BaseComponent
 import structlog
 
-from cyclamenlift.core.scheduler import Root
 from cyclamenlift.core.streams import Address
+from cyclamenlift.core.tasks import Root
 from cyclamenlift.membership.joining import JOIN_STEPS
 from cyclamenlift.membership.packets import EndsDigest
 from cyclamenlift.membership.packets import MAX_PACKET_BYTES
--- a/cyclamenlift/quarantine/tasks.py
+++ b/cyclamenlift/quarantine/tasks.py
@@ -29,8 +29,8 @@
 if typing.TYPE_CHECKING:
     from cyclamenlift.membership.packets import EndsDigest
     from cyclamenlift.membership.tasks import Membership
-    from cyclamenlift.wire.network import Link
-    from cyclamenlift.wire.network import PeerNetwork
+    from cyclamenlift.wire.tasks import Link
+    from cyclamenlift.wire.tasks import PeerNetwork
 
 LOG = structlog.get_logger('quarantine')
 # Number of members that a report is sent to by its origin and by each
--- a/cyclamenlift/replication/tasks.py
+++ b/cyclamenlift/replication/tasks.py
@@ -44,8 +44,8 @@
 from cyclamenlift.wire.gen.protocol.ttypes import SnapshotChunk
 from cyclamenlift.wire.gen.protocol.ttypes import VoteAnswer
 from cyclamenlift.wire.gen.protocol.ttypes import VoteRequest
-from cyclamenlift.wire.network import Link
-from cyclamenlift.wire.network import PeerNetwork
+from cyclamenlift.wire.tasks import Link
+from cyclamenlift.wire.tasks import PeerNetwork
 
 LOG = structlog.get_logger('replication')
 TICKS_PER_HEARTBEAT = 4
--- a/cyclamenlift/runtime/control.py
+++ b/cyclamenlift/runtime/control.py
@@ -16,8 +16,8 @@
 from cyclamenlift.core.log_sink import SINK
 from cyclamenlift.core.logs import configure_logs
 from cyclamenlift.core.problems import Problem
-from cyclamenlift.core.scheduler import build_root
 from cyclamenlift.core.streams import Address
+from cyclamenlift.core.tasks import build_root
 from cyclamenlift.events.context import ControlContext
 from cyclamenlift.events.control_orders import ControlOrderHandler
 from cyclamenlift.events.order_forwarding import OrderForwarder
@@ -37,7 +37,7 @@
 from cyclamenlift.wire.gen.protocol.ttypes import MemberRecord
 from cyclamenlift.wire.gen.protocol.ttypes import MemberRole
 from cyclamenlift.wire.gen.protocol.ttypes import MemberState
-from cyclamenlift.wire.network import PeerNetwork
+from cyclamenlift.wire.tasks import PeerNetwork
 
 EXIT_FAILED = 1
 EXIT_SETTINGS = 2
--- a/cyclamenlift/runtime/daemon.py
+++ b/cyclamenlift/runtime/daemon.py
@@ -20,8 +20,8 @@
 from cyclamenlift.core.logs import configure_logs
 from cyclamenlift.core.memory import freeze_startup_objects
 from cyclamenlift.core.problems import Problem
-from cyclamenlift.core.scheduler import build_root
 from cyclamenlift.core.streams import Address
+from cyclamenlift.core.tasks import build_root
 from cyclamenlift.events.daemon_orders import DaemonOrderHandler
 from cyclamenlift.events.order_forwarding import OrderForwarder
 from cyclamenlift.events.tasks import ConfigFollower
@@ -52,7 +52,7 @@
 from cyclamenlift.wire.gen.protocol.ttypes import MemberRecord
 from cyclamenlift.wire.gen.protocol.ttypes import MemberRole
 from cyclamenlift.wire.gen.protocol.ttypes import TargetState
-from cyclamenlift.wire.network import PeerNetwork
+from cyclamenlift.wire.tasks import PeerNetwork
 
 LOG = structlog.get_logger('daemon')
 EXIT_SETTINGS = 2
--- a/cyclamenlift/wire/__init__.py
+++ b/cyclamenlift/wire/__init__.py
@@ -9,8 +9,8 @@
 from cyclamenlift.wire.codec import FrameError
 from cyclamenlift.wire.codec import FrameReader
 from cyclamenlift.wire.gen.protocol import ttypes
-from cyclamenlift.wire.network import Link
-from cyclamenlift.wire.network import PeerNetwork
+from cyclamenlift.wire.tasks import Link
+from cyclamenlift.wire.tasks import PeerNetwork
 
 __all__ = [
     'FrameError',
--- a/tests/conf/test_settings_watcher.py
+++ b/tests/conf/test_settings_watcher.py
@@ -6,7 +6,7 @@
 
 from cyclamenlift.conf.settings_watcher import SettingsFile
 from cyclamenlift.conf.settings_watcher import SettingsWatcher
-from cyclamenlift.core.scheduler import build_root
+from cyclamenlift.core.tasks import build_root
 from cyclamenlift.platform.settings import file_stamp
 from cyclamenlift.platform.settings import parse_fields
 from cyclamenlift.platform.settings import read_fields
--- a/tests/core/test_scheduler.py
+++ b/tests/core/test_tasks.py
@@ -1,6 +1,6 @@
 """Timers run in order, once, and never after cancellation."""
 
-from cyclamenlift.core.scheduler import Scheduler
+from cyclamenlift.core.tasks import Scheduler
 
 
 class FakeClock:
--- a/tests/events/builders.py
+++ b/tests/events/builders.py
@@ -8,8 +8,8 @@
 from cyclamenlift.core.codes import ResultCode
 from cyclamenlift.core.compression import compress
 from cyclamenlift.core.problems import Problem
-from cyclamenlift.core.scheduler import build_root
 from cyclamenlift.core.streams import Address
+from cyclamenlift.core.tasks import build_root
 from cyclamenlift.events.adoption import Offer
 from cyclamenlift.events.context import ControlContext
 from cyclamenlift.events.tasks import ConfigFollower
--- a/tests/events/fleet.py
+++ b/tests/events/fleet.py
@@ -10,8 +10,8 @@
 import random
 
 from cyclamenlift.core.compression import compress
-from cyclamenlift.core.scheduler import build_root
 from cyclamenlift.core.streams import Address
+from cyclamenlift.core.tasks import build_root
 from cyclamenlift.events.server import DocumentServer
 from cyclamenlift.events.state import EventStore
 from cyclamenlift.events.tasks import ConfigFollower
--- a/tests/events/test_control_orders.py
+++ b/tests/events/test_control_orders.py
@@ -7,8 +7,8 @@
 
 from cyclamenlift.core.codes import ResultCode
 from cyclamenlift.core.problems import Problem
-from cyclamenlift.core.scheduler import build_root
 from cyclamenlift.core.streams import Address
+from cyclamenlift.core.tasks import build_root
 from cyclamenlift.events.commands import publish_document
 from cyclamenlift.events.control_orders import ControlOrderHandler
 from cyclamenlift.events.order_forwarding import OrderForwarder
--- a/tests/http/builders.py
+++ b/tests/http/builders.py
@@ -10,8 +10,8 @@
 from circuits.web.controllers import Controller
 from circuits.web.servers import Server
 
-from cyclamenlift.core.scheduler import build_root
 from cyclamenlift.core.streams import Address
+from cyclamenlift.core.tasks import build_root
 from cyclamenlift.http.exchange import Exchange
 from cyclamenlift.http.limits import HttpLimits
 from cyclamenlift.http.server import HttpServer
--- a/tests/ledger/builders.py
+++ b/tests/ledger/builders.py
@@ -5,8 +5,8 @@
 
 import pydantic
 
-from cyclamenlift.core.scheduler import build_root
 from cyclamenlift.core.streams import Address
+from cyclamenlift.core.tasks import build_root
 from cyclamenlift.ledger import records
 from cyclamenlift.ledger import state
 from cyclamenlift.ledger.tasks import ClaimClient
--- a/tests/membership/builders.py
+++ b/tests/membership/builders.py
@@ -3,8 +3,8 @@
 import random
 import time
 
-from cyclamenlift.core.scheduler import build_root
 from cyclamenlift.core.streams import Address
+from cyclamenlift.core.tasks import build_root
 from cyclamenlift.membership.settings import MembershipSettings
 from cyclamenlift.membership.state import MembershipState
 from cyclamenlift.membership.tasks import Membership
--- a/tests/replication/test_tasks.py
+++ b/tests/replication/test_tasks.py
@@ -12,13 +12,13 @@
 
 from bench.replication_node import CountMachine
 from cyclamenlift.core.codes import ResultCode
-from cyclamenlift.core.scheduler import build_root
 from cyclamenlift.core.streams import Address
+from cyclamenlift.core.tasks import build_root
 from cyclamenlift.replication.queries import Role
 from cyclamenlift.replication.settings import ReplicaSettings
 from cyclamenlift.replication.tasks import MAX_COMMAND_BYTES
 from cyclamenlift.replication.tasks import Replica
-from cyclamenlift.wire.network import PeerNetwork
+from cyclamenlift.wire.tasks import PeerNetwork
 
 NOBODY = {'b': Address('127.0.0.1', 1)}
 SECONDS = 10.0
--- a/tests/runtime/builders.py
+++ b/tests/runtime/builders.py
@@ -9,8 +9,8 @@
 import time
 
 from cyclamenlift.calls.tasks import Calls
-from cyclamenlift.core.scheduler import build_root
 from cyclamenlift.core.streams import Address
+from cyclamenlift.core.tasks import build_root
 from cyclamenlift.gate.tasks import Gate
 from cyclamenlift.http.client import TargetClient
 from cyclamenlift.http.dialects import Dialect
@@ -29,7 +29,7 @@
 from cyclamenlift.wire.gen.protocol.ttypes import MemberRecord
 from cyclamenlift.wire.gen.protocol.ttypes import MemberState
 from cyclamenlift.wire.gen.protocol.ttypes import TargetState
-from cyclamenlift.wire.network import PeerNetwork
+from cyclamenlift.wire.tasks import PeerNetwork
 
 Script = Callable[[socket.socket, bytes], None]
 WAIT_SECONDS = 20.0
--- a/tests/runtime/test_control.py
+++ b/tests/runtime/test_control.py
@@ -9,11 +9,11 @@
 import pytest
 
 from cyclamenlift.cli.program import run
-from cyclamenlift.core.scheduler import build_root
+from cyclamenlift.core.tasks import build_root
 from cyclamenlift.events.tasks import ConfigFollower
 from cyclamenlift.ledger.tasks import ClaimClient
 from cyclamenlift.wire.gen.protocol import ttypes
-from cyclamenlift.wire.network import PeerNetwork
+from cyclamenlift.wire.tasks import PeerNetwork
 from tests.runtime.control_builders import change
 from tests.runtime.control_builders import ControlCluster
 from tests.runtime.control_builders import NAMES
--- a/tests/runtime/test_graceful_shutdown.py
+++ b/tests/runtime/test_graceful_shutdown.py
@@ -9,8 +9,8 @@
 import socket
 from types import SimpleNamespace
 
-from cyclamenlift.core.scheduler import build_root
 from cyclamenlift.core.streams import Address
+from cyclamenlift.core.tasks import build_root
 from cyclamenlift.http.limits import HttpLimits
 from cyclamenlift.http.server import HttpServer
 from cyclamenlift.runtime.graceful_shutdown import GracefulShutdown
--- a/tests/wire/test_network.py
+++ b/tests/wire/test_tasks.py
@@ -6,13 +6,13 @@
 
 import pytest
 
-from cyclamenlift.core.scheduler import build_root
 from cyclamenlift.core.streams import Address
+from cyclamenlift.core.tasks import build_root
 from cyclamenlift.wire.codec import encode_frame
 from cyclamenlift.wire.gen.protocol.ttypes import BodyChunk
 from cyclamenlift.wire.gen.protocol.ttypes import Cancel
 from cyclamenlift.wire.gen.protocol.ttypes import Hello
-from cyclamenlift.wire.network import PeerNetwork
+from cyclamenlift.wire.tasks import PeerNetwork
 
 LOCAL = Address('127.0.0.1', 0)
 ROUNDS = 500
